--- a/src/core/fleet/blocked_requests.cc
+++ b/src/core/fleet/blocked_requests.cc
@@ -16,16 +16,16 @@
 /// Unreported ends kept while nobody leads.
 constexpr size_t kMostUnreported = 1024;
 
-wire::RequestServerEnd report_of(TimePoint now, const ServerEnd& end) {
+wire::RequestServerEnd report_of(TimePoint now, const ServerCrash& end) {
   wire::RequestServerEnd report;
   report.fingerprint = end.request.value();
   report.instance_id = end.instance_id;
   report.age_ms = (now - end.at) / milliseconds(1);
-  report.__set_is_likely(end.certainty == Certainty::kLikely);
+  report.__set_is_likely(end.certainty == CrashCertainty::kLikely);
   return report;
 }
 
-std::vector<wire::RequestServerEnd> reports_of(TimePoint now, const std::vector<ServerEnd>& ends) {
+std::vector<wire::RequestServerEnd> reports_of(TimePoint now, const std::vector<ServerCrash>& ends) {
   std::vector<wire::RequestServerEnd> reports;
   reports.reserve(ends.size());
   for (const auto& end : ends) {
@@ -60,7 +60,7 @@
   if (found != rows_.end()) {
     return found->second.row.trial_due ? Verdict::kTrialDue : Verdict::kBlocked;
   }
-  const bool blocked_here = ends_.count(request) >= kEndsThatBlock && now - ends_.last_end(request) < kOwnBlock;
+  const bool blocked_here = ends_.count(request) >= kEndsThatBlock && now - ends_.last_crash(request) < kOwnBlock;
   return blocked_here ? Verdict::kBlocked : Verdict::kFree;
 }
 
@@ -70,10 +70,10 @@
     const Duration wait = milliseconds(found->second.row.wait_ms);
     return std::max(Duration::zero(), found->second.seen + wait - now);
   }
-  return judge(now, request) == Verdict::kBlocked ? ends_.last_end(request) + kOwnBlock - now : Duration::zero();
+  return judge(now, request) == Verdict::kBlocked ? ends_.last_crash(request) + kOwnBlock - now : Duration::zero();
 }
 
-size_t BlockedRequests::note_end(const ServerEnd& end) {
+size_t BlockedRequests::note_end(const ServerCrash& end) {
   if (recently_answered_.contains(end.at, end.request)) {
     return 0;
   }
@@ -81,12 +81,12 @@
     unreported_.push_back(end);
   }
   ends_.forget_old(end.at);
-  if (end.certainty == Certainty::kLikely) {
+  if (end.certainty == CrashCertainty::kLikely) {
     return ends_.count(end.request);  // The leader hears the servers' reports, which may show the contrary.
   }
   const size_t count = ends_.note(end);
   if (count >= kEndsThatBlock) {
-    ends_.explain(end.request);
+    ends_.mark_as_cause(end.request);
   }
   return count;
 }
@@ -100,7 +100,7 @@
 
 void BlockedRequests::object(requests::RequestFingerprint request) {
   ends_.forget(request);
-  std::erase_if(unreported_, [request](const ServerEnd& end) { return end.request == request; });
+  std::erase_if(unreported_, [request](const ServerCrash& end) { return end.request == request; });
   answered_.push_back(request.value());
 }
 
@@ -111,7 +111,7 @@
 std::vector<int64_t> BlockedRequests::take_answered() { return std::exchange(answered_, {}); }
 
 std::vector<wire::RequestServerEnd> BlockedRequests::recent_ends(TimePoint now) const {
-  return reports_of(now, ends_.newest(kMostRecent));
+  return reports_of(now, ends_.newest_crashes(kMostRecent));
 }
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/blocked_requests.h
+++ b/src/core/fleet/blocked_requests.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "core/base/time.h"
-#include "core/fleet/server_ends.h"
+#include "core/fleet/server_crash_history.h"
 #include "core/requests/recently_answered.h"
 #include "larchlever_types.h"
 
@@ -36,7 +36,7 @@
   Duration time_left(TimePoint now, requests::RequestFingerprint request) const;
 
   /// A server ended while this entry's request ran there. Returns how many ends count against the request here.
-  size_t note_end(const ServerEnd& end);
+  size_t note_end(const ServerCrash& end);
   /// A server ran the request and answered.
   void note_answered(TimePoint now, requests::RequestFingerprint request);
   /// What the leader was not told yet; called once for each report.
@@ -54,10 +54,10 @@
 
   void object(requests::RequestFingerprint request);
 
-  ServerEnds ends_;
+  ServerCrashHistory ends_;
   requests::RecentlyAnswered recently_answered_;
   std::map<requests::RequestFingerprint, Row> rows_;
-  std::vector<ServerEnd> unreported_;
+  std::vector<ServerCrash> unreported_;
   std::vector<int64_t> answered_;
 };
 
--- a/src/core/fleet/demand_tracker.cc
+++ b/src/core/fleet/demand_tracker.cc
@@ -9,14 +9,14 @@
 /// Long enough that a burst of a second does not move groups, short enough to follow a shift of traffic.
 constexpr Duration kWindow = seconds(5);
 /// Demand watched for less than this is not acted on.
-constexpr Duration kShortestWatch = seconds(3);
+constexpr Duration kMinObservationTime = seconds(3);
 /// Fewer requests than this in the window say nothing about shares.
-constexpr double kFewestRequests = 30;
+constexpr double kMinRequests = 30;
 
 }  // namespace
 
 void DemandTracker::start() {
-  watched_since_ = TimePoint::max();
+  first_request_at_ = TimePoint::max();
   totals_.clear();
   windows_.clear();
 }
@@ -41,7 +41,7 @@
     if (total.received <= before.received) {
       continue;
     }
-    watched_since_ = std::min(watched_since_, now);
+    first_request_at_ = std::min(first_request_at_, now);
     Increment increment;
     increment.at = now;
     increment.requests = static_cast<double>(total.received - before.received);
@@ -51,24 +51,25 @@
   }
 }
 
-void DemandTracker::forget_old(TimePoint now, Window& window) const {
+void DemandTracker::remove_old_increments(TimePoint now, Window& window) const {
   while (!window.increments.empty() && now - window.increments.front().at > kWindow) {
     window.increments.pop_front();
   }
 }
 
-bool DemandTracker::is_known(TimePoint now, const std::string& service) {
+bool DemandTracker::has_enough_data(TimePoint now, const std::string& service) {
   double requests = 0;
   for (auto& [key, window] : windows_) {
     if (key.first != service) {
       continue;
     }
-    forget_old(now, window);
+    remove_old_increments(now, window);
     for (const auto& increment : window.increments) {
       requests += increment.requests;
     }
   }
-  return watched_since_ != TimePoint::max() && now - watched_since_ >= kShortestWatch && requests >= kFewestRequests;
+  return first_request_at_ != TimePoint::max() && now - first_request_at_ >= kMinObservationTime &&
+         requests >= kMinRequests;
 }
 
 ModelDemandRate DemandTracker::rate(TimePoint now, const std::string& service, const std::string& model) {
@@ -78,7 +79,7 @@
     return result;
   }
   Window& window = found->second;
-  forget_old(now, window);
+  remove_old_increments(now, window);
   result.target_latency = window.target_latency;
   double requests = 0;
   for (const auto& increment : window.increments) {
@@ -91,8 +92,8 @@
   }
   result.sizes.prompt /= requests;
   result.sizes.answer /= requests;
-  const Duration watched = std::clamp<Duration>(now - watched_since_, seconds(1), kWindow);
-  result.requests_per_second = requests / std::chrono::duration<double>(watched).count();
+  const Duration observed = std::clamp<Duration>(now - first_request_at_, seconds(1), kWindow);
+  result.requests_per_second = requests / std::chrono::duration<double>(observed).count();
   return result;
 }
 
--- a/src/core/fleet/demand_tracker.h
+++ b/src/core/fleet/demand_tracker.h
@@ -33,7 +33,7 @@
   /// The node started anew: its totals begin at zero.
   void forget_node(const std::string& node) { totals_.erase(node); }
   /// Whether demand was watched for long enough, and enough of it was seen, to act on.
-  bool is_known(TimePoint now, const std::string& service);
+  bool has_enough_data(TimePoint now, const std::string& service);
   /// Zero rate when no request for the model was seen in the window.
   ModelDemandRate rate(TimePoint now, const std::string& service, const std::string& model);
 
@@ -49,10 +49,10 @@
     Duration target_latency{};
   };
 
-  void forget_old(TimePoint now, Window& window) const;
+  void remove_old_increments(TimePoint now, Window& window) const;
 
   /// When the first request was seen.
-  TimePoint watched_since_ = TimePoint::max();
+  TimePoint first_request_at_ = TimePoint::max();
   std::map<std::string, std::map<ModelKey, wire::ModelDemand>> totals_;
   std::map<ModelKey, Window> windows_;
 };
--- a/src/core/fleet/dispatcher.cc
+++ b/src/core/fleet/dispatcher.cc
@@ -51,14 +51,14 @@
     const auto known = before.find(instance.id);
     if (known != before.end() && is_other_incarnation(known->second, instance)) {
       restarted.insert(instance.id);
-      lost.push_back(incarnation_of(known->second));
+      lost.push_back(incarnation_name(known->second));
     }
     instances_[instance.id] = instance;
   }
   reported_limits_.clear();
   for (const auto& instance : state.instances) {
-    if (const auto limit = limit_of(instance)) {
-      reported_limits_[incarnation_of(instance)] = *limit;
+    if (const auto limit = rate_limit_of(instance)) {
+      reported_limits_[incarnation_name(instance)] = *limit;
     }
   }
   for (const auto& group : groups_) {
@@ -78,7 +78,7 @@
     known.insert(group.name);
   }
   for (const auto& [id, instance] : instances_) {
-    known.insert(incarnation_of(instance));
+    known.insert(incarnation_name(instance));
   }
   std::erase_if(health_, [&](const auto& item) { return item.second.in_flight() == 0 && !known.contains(item.first); });
 }
@@ -224,8 +224,8 @@
 
 Target Dispatcher::target_at(const wire::EngineGroup& group, const wire::Instance& head) {
   const int in_flight = health_[group.name].total_in_flight();
-  return {group.name,   group.service_name, group.name,           head.id,
-          head.address, in_flight,          incarnation_of(head), zones_of(group, head)};
+  return {group.name, group.service_name,     group.name,           head.id, head.address,
+          in_flight,  incarnation_name(head), zones_of(group, head)};
 }
 
 size_t Dispatcher::better_of_few(const document::ServiceSpec& service, const Demand& demand,
@@ -275,14 +275,14 @@
       continue;
     }
     const TargetHealth& health = health_[group.name];
-    if (health.is_avoided(now) || !notices_.may_send(now, incarnation_of(*head))) {
+    if (health.is_avoided(now) || !notices_.may_send(now, incarnation_name(*head))) {
       continue;
     }
     if (health.total_in_flight() >= most || !health.has_permit()) {
       any_busy = true;
       continue;
     }
-    const std::string incarnation = incarnation_of(*head);
+    const std::string incarnation = incarnation_name(*head);
     const double rate = rate_of(service, *head, incarnation);
     const TimePoint turn = shares_.next_turn(now, incarnation, rate, serving_nodes_);
     if (turn > now) {
@@ -388,7 +388,7 @@
   }
   TimePoint first = TimePoint::max();
   for (const auto* server : servers_of(service, model)) {
-    first = std::min(first, notices_.free_at(now, incarnation_of(*server)));
+    first = std::min(first, notices_.free_at(now, incarnation_name(*server)));
   }
   const bool all_rest = first > now && first != TimePoint::max();
   return all_rest ? std::optional(first) : std::nullopt;
@@ -418,7 +418,7 @@
     const bool is_doubtful =
         health != health_.end() && (health->second.is_avoided(now) || health->second.is_quiet(now, pause));
     const auto* head = find_ready(group.members.front());
-    const bool wants_none = head != nullptr && !notices_.may_send(now, incarnation_of(*head));
+    const bool wants_none = head != nullptr && !notices_.may_send(now, incarnation_name(*head));
     if (is_doubtful || wants_none) {
       result.push_back(group.name);
     }
--- a/src/core/fleet/dispatcher_rates.cc
+++ b/src/core/fleet/dispatcher_rates.cc
@@ -23,7 +23,7 @@
     }
     Candidate candidate;
     candidate.instance = &instance;
-    candidate.incarnation = incarnation_of(instance);
+    candidate.incarnation = incarnation_name(instance);
     if (excluded.contains(candidate.incarnation) || !notices_.may_send(now, candidate.incarnation)) {
       continue;
     }
@@ -97,7 +97,7 @@
   }
   std::set<std::string> rated;
   for (const auto& [id, instance] : instances_) {
-    const std::string incarnation = incarnation_of(instance);
+    const std::string incarnation = incarnation_name(instance);
     if (instance.cold || limit_at(incarnation)) {
       rated.insert(incarnation);
     }
@@ -122,7 +122,7 @@
 
 void Dispatcher::note_rated_sending(TimePoint now, const document::ServiceSpec& service,
                                     const wire::Instance& instance) {
-  const std::string incarnation = incarnation_of(instance);
+  const std::string incarnation = incarnation_name(instance);
   shares_.note_sent(now, incarnation, rate_of(service, instance, incarnation), serving_nodes_);
 }
 
--- a/src/core/fleet/fleet_controller.cc
+++ b/src/core/fleet/fleet_controller.cc
@@ -37,7 +37,7 @@
       subscription_(options, identity, seeds_),
       leader_(options, identity),
       distributor_(options),
-      registrations_(options.instance_silence) {}
+      registrations_(options.instance_timeout) {}
 
 void FleetController::start_replica(TimePoint now, ReplicaId replica_id, Incarnation boot,
                                     consensus::PersistedState persisted) {
@@ -244,7 +244,7 @@
   call.id = next_call_id_++;
   const int64_t id = call.id;
   if (!take_registration(now, call)) {
-    calls_[id] = {std::move(call), now + options_.call_patience, now};
+    calls_[id] = {std::move(call), now + options_.call_timeout, now};
     resend_calls(now);
   }
   process(now);
--- a/src/core/fleet/fleet_controller.h
+++ b/src/core/fleet/fleet_controller.h
@@ -65,7 +65,7 @@
   void written(TimePoint now, consensus::RaftOutput batch);
   void order_result(TimePoint now, const InstanceOrderResult& result) { leader_.order_result(now, result); }
   /// Takes a call of an instance or operator; the answer comes in `replies` under the returned id, at the latest after
-  /// `FleetOptions::call_patience`.
+  /// `FleetOptions::call_timeout`.
   int64_t submit(TimePoint now, wire::ControlCall call);
 
   /// This process stood still for `pause` until now: nobody else's silence in that time counts.
--- a/src/core/fleet/fleet_leader.cc
+++ b/src/core/fleet/fleet_leader.cc
@@ -36,7 +36,7 @@
     : options_(options),
       identity_(std::move(identity)),
       subscribers_(options.node_timeout),
-      instances_(options.instance_silence),
+      instances_(options.instance_timeout),
       groups_(options),
       replicas_(options.control) {}
 
@@ -51,7 +51,7 @@
   instances_.start(now, copy.instances);
   inherited_ = {copy.term, copy.version};
   groups_.start(now, term, copy.groups);
-  groups_.inherit_released(copy.released_groups);
+  groups_.add_released_groups(copy.released_groups);
   slots_.start(term);
   limits_ = ServerLimits();
   update_slot_groups();  // Requests come at once; the groups are those of before until told otherwise.
@@ -83,7 +83,7 @@
 void FleetLeader::take_copy(TimePoint now, const wire::FleetState& copy) {
   instances_.merge(now, copy.instances);
   blocker_.inherit(now, copy.blocked_requests);
-  groups_.inherit_released(copy.released_groups);
+  groups_.add_released_groups(copy.released_groups);
   const std::pair order(copy.term, copy.version);
   if (order > inherited_) {
     // Copies are not joined: an older one may give a server to a group that a newer one has dissolved.
@@ -247,7 +247,7 @@
   bool changed = false;
   for (const auto& end : report.server_ends) {
     const TimePoint ended_at = now - milliseconds(std::max<int64_t>(0, end.age_ms));
-    const Certainty certainty = end.is_likely ? Certainty::kLikely : Certainty::kProved;
+    const CrashCertainty certainty = end.is_likely ? CrashCertainty::kLikely : CrashCertainty::kConfirmed;
     const bool is_news =
         blocker_.note_end({requests::RequestFingerprint(end.fingerprint), end.instance_id, ended_at, certainty});
     changed = changed || is_news;
@@ -269,7 +269,7 @@
                                        limit.__isset.per_second ? std::optional(limit.per_second) : std::nullopt,
                                        now - milliseconds(std::max<int64_t>(0, limit.age_ms))};
     const bool is_news =
-        limits_.observe(observation) && instances_.set_limit(observation.incarnation, observation.per_second);
+        limits_.observe(observation) && instances_.set_rate_limit(observation.incarnation, observation.per_second);
     changed = changed || is_news;
   }
   if (changed) {
@@ -352,7 +352,7 @@
   }
   for (const auto& zone : evacuations_.zones) {
     if (!is_evacuated(log.evacuations(), zone)) {
-      version_ += instances_.expect_cold(now, zone) ? 1 : 0;
+      version_ += instances_.mark_zone_cold(now, zone) ? 1 : 0;
     }
   }
   evacuations_ = log.evacuations();
@@ -365,17 +365,17 @@
   std::erase_if(groups, [this](const auto& group) { return is_evacuated(evacuations_, group); });
   std::vector<RatedServer> rated;
   for (const auto& [id, row] : instances_.rows()) {
-    const auto limit = limit_of(row.instance);
+    const auto limit = rate_limit_of(row.instance);
     if (row.instance.cold || limit) {
-      rated.push_back({incarnation_of(row.instance), row.instance.cold, limit});
+      rated.push_back({incarnation_name(row.instance), row.instance.cold, limit});
     }
   }
   slots_.set_rated_servers(rated);
   std::map<std::string, std::string> rated_heads;
   for (const auto& group : groups) {
     const auto* head = group.members.empty() ? nullptr : instances_.find(group.members.front());
-    if (head != nullptr && (head->cold || limit_of(*head))) {
-      rated_heads[group.name] = incarnation_of(*head);
+    if (head != nullptr && (head->cold || rate_limit_of(*head))) {
+      rated_heads[group.name] = incarnation_name(*head);
     }
   }
   slots_.set_groups(groups, rated_heads);
--- a/src/core/fleet/fleet_leader_calls.cc
+++ b/src/core/fleet/fleet_leader_calls.cc
@@ -71,8 +71,8 @@
   for (const auto& report : batch.reports) {
     // Taken before the replica knew of this leadership, it may be older than the last orders of the one before.
     const bool is_present = report.known_term >= term_;
-    const bool changed =
-        is_present ? instances_.heard(now, report.instance) : instances_.heard_before(now, report.instance);
+    const bool changed = is_present ? instances_.handle_report(now, report.instance)
+                                    : instances_.handle_stale_report(now, report.instance);
     version_ += changed ? 1 : 0;
     note_life(now, report.instance);
   }
@@ -80,7 +80,7 @@
 
 void FleetLeader::note_life(TimePoint now, const wire::Instance& report) {
   // Without a birth, a later start under the same id would be taken for the one that ended.
-  const bool frees_requests = report.born_ms != 0 && blocker_.note_heard(now, incarnation_of(report));
+  const bool frees_requests = report.born_ms != 0 && blocker_.note_heard(now, incarnation_name(report));
   if (frees_requests) {
     ++version_;
     next_push_ = now;
@@ -100,7 +100,7 @@
     }
     const auto* report = std::get_if<wire::Instance>(&parsed);
     leaving = report->state == wire::InstanceState::DRAINING;
-    changed = instances_.heard(now, *report);
+    changed = instances_.handle_report(now, *report);
     note_life(now, *report);
   }
   version_ += changed ? 1 : 0;
@@ -222,7 +222,7 @@
       continue;
     }
     const bool is_published = !is_collecting(now) && subscribers_.all_were_sent(now, waiting.version);
-    const bool patience_over = now - waiting.since > options_.confirmation_patience;
+    const bool patience_over = now - waiting.since > options_.confirmation_timeout;
     if (is_published && (patience_over || all_hold(now, waiting.version))) {
       answer(waiting.key, http_status::kOk, "{}");
     } else {
--- a/src/core/fleet/fleet_options.h
+++ b/src/core/fleet/fleet_options.h
@@ -19,23 +19,23 @@
   /// How often an entry reports to the control replica that it subscribes to.
   Duration entry_heartbeat_interval = milliseconds(250);
   /// A heartbeat unanswered for this long is sent to another control replica.
-  Duration heartbeat_patience = milliseconds(600);
+  Duration heartbeat_timeout = milliseconds(600);
   /// An entry leaves a control replica that has not heard its leader for this long: about what an election takes.
-  Duration publisher_patience = milliseconds(1500);
+  Duration publisher_timeout = milliseconds(1500);
   /// A node not heard for this long is not waited for and takes no share of budgets.
   Duration node_timeout = milliseconds(1200);
   /// How long a node may serve keyed requests by what it holds, counted from when it asked.
   Duration document_lease = milliseconds(4500);
   /// A registered instance not heard for this long is called silent.
-  Duration instance_silence = milliseconds(2800);
+  Duration instance_timeout = milliseconds(2800);
   /// A head that lost a member stands still for this long and is broken then.
   Duration stall_time = seconds(5);
   /// An order without a confirmed effect is sent again after this time.
-  Duration order_retry = milliseconds(800);
+  Duration order_retry_interval = milliseconds(800);
   /// Longest wait for nodes to confirm that they know an instance is leaving.
-  Duration confirmation_patience = milliseconds(600);
+  Duration confirmation_timeout = milliseconds(600);
   /// A control call that no leader answered in this time is given up.
-  Duration call_patience = milliseconds(900);
+  Duration call_timeout = milliseconds(900);
   /// Window over which loads of weights are limited.
   Duration load_window = seconds(5);
   /// Zones that the settings name, each with its region where they tell it; servers and control replicas may stand in
--- a/src/core/fleet/fleet_subscription.cc
+++ b/src/core/fleet/fleet_subscription.cc
@@ -57,11 +57,11 @@
 }
 
 bool FleetSubscription::is_searching(TimePoint now) const {
-  return last_answer_ == TimePoint::min() || now - last_answer_ > options_.heartbeat_patience;
+  return last_answer_ == TimePoint::min() || now - last_answer_ > options_.heartbeat_timeout;
 }
 
 bool FleetSubscription::is_stale(TimePoint now) const {
-  return leader_word_ == TimePoint::min() || now - leader_word_ > options_.publisher_patience;
+  return leader_word_ == TimePoint::min() || now - leader_word_ > options_.publisher_timeout;
 }
 
 Duration FleetSubscription::interval(TimePoint now) const {
@@ -149,7 +149,7 @@
   // What counts is how old the leader's word is, not when it was passed on: else an entry would stay with a replica
   // that lost its leader for twice its patience, and miss a configuration that is confirmed meanwhile.
   const Duration age = milliseconds(update.confirmed_age_ms);
-  const bool is_fresh = update.confirmed_age_ms >= 0 && age < options_.publisher_patience;
+  const bool is_fresh = update.confirmed_age_ms >= 0 && age < options_.publisher_timeout;
   if (update.sequence == 0 && envelope.from_node != publisher_) {
     return;  // A push of a replica that was left.
   }
--- a/src/core/fleet/group_planner.cc
+++ b/src/core/fleet/group_planner.cc
@@ -8,16 +8,16 @@
 namespace {
 
 /// Keeps the pressure of a model without groups finite, and in order of need.
-constexpr double kNoGroups = 1e-3;
+constexpr double kMinPressureDivisor = 1e-3;
 /// Giving up a group must lower the highest pressure at least to this share of it: its servers are out for a drain and
 /// a warm join, some seconds, and the demand is known within some percent.
-constexpr double kWorthwhileRelief = 0.9;
+constexpr double kMaxPressureRatioAfterPreemption = 0.9;
 /// A model whose groups are filled to less than this part by its demand needs no more servers.
-constexpr double kPressed = 0.85;
+constexpr double kMinPressureForPreemption = 0.85;
 /// Weighs weights that a free server holds on its host above any difference of needs.
-constexpr double kHeldWeights = 1e9;
+constexpr double kStagedWeightsBonus = 1e9;
 /// A group may exceed its model's part of the servers by this share of its size.
-constexpr double kOvershoot = 0.5;
+constexpr double kMaxOvershootInGroups = 0.5;
 
 }  // namespace
 
@@ -27,51 +27,51 @@
 
 GroupPlanner::GroupPlanner(PlannerInput input) : input_(std::move(input)) {
   for (size_t index = 0; index < input_.servers.size(); ++index) {
-    by_domain_[input_.servers[index].domain].push_back(index);
-    domains_[input_.servers[index].id] = input_.servers[index].domain;
+    servers_by_domain_[input_.servers[index].domain].push_back(index);
+    domain_by_server_[input_.servers[index].id] = input_.servers[index].domain;
   }
   for (auto& group : input_.groups) {
     groups_[group.name] = group;
   }
 }
 
-double GroupPlanner::groups_held(const std::string& model) const {
+double GroupPlanner::count_groups(const std::string& model) const {
   return static_cast<double>(std::count_if(groups_.begin(), groups_.end(), [&](const auto& item) {
-    return item.second.counts && item.second.model == model;
+    return item.second.counts_as_capacity && item.second.model == model;
   }));
 }
 
 double GroupPlanner::pressure(const ModelNeed& need, double groups) const {
-  return need.groups_needed / std::max(groups, kNoGroups);
+  return need.groups_needed / std::max(groups, kMinPressureDivisor);
 }
 
-std::vector<const ModelNeed*> GroupPlanner::by_pressure() const {
+std::vector<const ModelNeed*> GroupPlanner::needs_by_pressure() const {
   std::vector<const ModelNeed*> result;
   for (const auto& need : input_.needs) {
     result.push_back(&need);
   }
   std::stable_sort(result.begin(), result.end(), [this](const auto* left, const auto* right) {
-    return pressure(*left, groups_held(left->model->name)) > pressure(*right, groups_held(right->model->name));
+    return pressure(*left, count_groups(left->model->name)) > pressure(*right, count_groups(right->model->name));
   });
   return result;
 }
 
-double GroupPlanner::target_servers(const ModelNeed& need) const {
-  double needed_in_all = 0;
+double GroupPlanner::target_server_count(const ModelNeed& need) const {
+  double total_servers_needed = 0;
   for (const auto& other : input_.needs) {
-    needed_in_all += other.groups_needed * other.model->size;
+    total_servers_needed += other.groups_needed * other.model->size;
   }
-  const double share = needed_in_all > 0 ? need.groups_needed * need.model->size / needed_in_all : 0;
+  const double share = total_servers_needed > 0 ? need.groups_needed * need.model->size / total_servers_needed : 0;
   return share * static_cast<double>(input_.servers.size());
 }
 
-bool GroupPlanner::may_grow(const ModelNeed& need) const {
-  const double held = groups_held(need.model->name);
+bool GroupPlanner::may_add_group(const ModelNeed& need) const {
+  const double held = count_groups(need.model->name);
   const double size = need.model->size;
-  return held == 0 || (held + 1) * size <= target_servers(need) + kOvershoot * size;
+  return held == 0 || (held + 1) * size <= target_server_count(need) + kMaxOvershootInGroups * size;
 }
 
-size_t GroupPlanner::largest_groups(size_t free_servers) const {
+size_t GroupPlanner::count_largest_model_groups(size_t free_servers) const {
   int largest = 1;
   for (const auto& need : input_.needs) {
     largest = std::max(largest, need.model->size);
@@ -79,19 +79,19 @@
   return free_servers / static_cast<size_t>(largest);
 }
 
-std::optional<GroupPlan> GroupPlanner::best_plan(const document::ModelSpec& model) const {
+std::optional<GroupPlan> GroupPlanner::cheapest_plan(const document::ModelSpec& model) const {
   const auto size = static_cast<size_t>(model.size);
   std::optional<GroupPlan> best;
   // Fewest loads; then fewest places taken from the largest model; then the domain that serves the model least, so that
   // the loss of a domain costs each model little; then the emptiest domain.
   std::tuple<size_t, size_t, size_t, size_t> best_cost;
-  for (const auto& [domain, indexes] : by_domain_) {
+  for (const auto& [domain, indexes] : servers_by_domain_) {
     const auto reserved = input_.reserved_domains.find(domain);
     if (reserved != input_.reserved_domains.end() && reserved->second != model.name) {
       continue;
     }
     std::vector<const PlannedServer*> free;
-    size_t serving_here = 0;
+    size_t same_model_servers = 0;
     for (const size_t index : indexes) {
       const auto& server = input_.servers[index];
       if (server.group.empty()) {
@@ -99,7 +99,8 @@
         continue;
       }
       const auto group = groups_.find(server.group);
-      serving_here += group != groups_.end() && group->second.counts && group->second.model == model.name ? 1 : 0;
+      same_model_servers +=
+          group != groups_.end() && group->second.counts_as_capacity && group->second.model == model.name ? 1 : 0;
     }
     if (free.size() < size) {
       continue;
@@ -109,20 +110,20 @@
     };
     std::stable_sort(free.begin(), free.end(),
                      [&rank](const auto* left, const auto* right) { return rank(left) < rank(right); });
-    const size_t large_before = largest_groups(free.size());
-    const size_t left_over = free.size() - size;
+    const size_t large_groups_before = count_largest_model_groups(free.size());
+    const size_t servers_left = free.size() - size;
     free.resize(size);
-    const auto loads = static_cast<size_t>(std::count_if(
+    const auto weight_loads = static_cast<size_t>(std::count_if(
         free.begin(), free.end(), [&model](const auto* server) { return !server->is_warm_for(model.name); }));
-    const size_t large_lost = large_before - largest_groups(left_over);
-    const std::tuple cost(loads, large_lost, serving_here, indexes.size() - left_over);
+    const size_t large_groups_lost = large_groups_before - count_largest_model_groups(servers_left);
+    const std::tuple cost(weight_loads, large_groups_lost, same_model_servers, indexes.size() - servers_left);
     if (best && cost >= best_cost) {
       continue;
     }
     best_cost = cost;
     best.emplace();
     best->model = &model;
-    best->loads = loads;
+    best->weight_loads = weight_loads;
     for (const auto* server : free) {
       best->members.push_back(server->id);
     }
@@ -130,13 +131,13 @@
   return best;
 }
 
-bool GroupPlanner::wastes_weights(const GroupPlan& plan) const {
+bool GroupPlanner::discards_needed_weights(const GroupPlan& plan) const {
   if (input_.cold_groups_allowed) {
     return false;
   }
   std::map<std::string, double> pressures;
   for (const auto& need : input_.needs) {
-    pressures[need.model->name] = pressure(need, groups_held(need.model->name));
+    pressures[need.model->name] = pressure(need, count_groups(need.model->name));
   }
   return std::any_of(input_.servers.begin(), input_.servers.end(), [&](const auto& server) {
     const bool is_member = std::find(plan.members.begin(), plan.members.end(), server.id) != plan.members.end();
@@ -146,8 +147,8 @@
   });
 }
 
-size_t GroupPlanner::warm_free_servers(const std::string& domain, const std::string& model) const {
-  const auto& indexes = by_domain_.at(domain);
+size_t GroupPlanner::count_warm_free_servers(const std::string& domain, const std::string& model) const {
+  const auto& indexes = servers_by_domain_.at(domain);
   return static_cast<size_t>(std::count_if(indexes.begin(), indexes.end(), [&](size_t index) {
     const auto& server = input_.servers[index];
     return server.group.empty() && server.is_warm_for(model);
@@ -155,12 +156,12 @@
 }
 
 std::optional<GroupPlan> GroupPlanner::next_group() const {
-  for (const auto* need : by_pressure()) {
-    if (!may_grow(*need)) {
+  for (const auto* need : needs_by_pressure()) {
+    if (!may_add_group(*need)) {
       continue;
     }
-    auto plan = best_plan(*need->model);
-    if (!plan || (plan->loads > 0 && !input_.cold_groups_allowed) || wastes_weights(*plan)) {
+    auto plan = cheapest_plan(*need->model);
+    if (!plan || (plan->weight_loads > 0 && !input_.cold_groups_allowed) || discards_needed_weights(*plan)) {
       continue;
     }
     return plan;
@@ -168,7 +169,7 @@
   return std::nullopt;
 }
 
-void GroupPlanner::note_formed(const GroupPlan& plan, const std::string& group) {
+void GroupPlanner::add_formed_group(const GroupPlan& plan, const std::string& group) {
   groups_[group] = {group, plan.model->name, false, true, false};
   for (auto& server : input_.servers) {
     if (std::find(plan.members.begin(), plan.members.end(), server.id) != plan.members.end()) {
@@ -177,11 +178,12 @@
   }
 }
 
-std::vector<std::string> GroupPlanner::donors_in(const std::string& domain, const document::ModelSpec& model,
-                                                 const std::string& donor) const {
+std::vector<std::string> GroupPlanner::donor_groups_in_domain(const std::string& domain,
+                                                              const document::ModelSpec& model,
+                                                              const std::string& donor) const {
   size_t warm = 0;
   std::map<std::string, size_t> warm_by_group;
-  for (const size_t index : by_domain_.at(domain)) {
+  for (const size_t index : servers_by_domain_.at(domain)) {
     const auto& server = input_.servers[index];
     if (!server.is_warm_for(model.name)) {
       continue;
@@ -209,43 +211,44 @@
   return warm >= static_cast<size_t>(model.size) ? result : std::vector<std::string>();
 }
 
-std::optional<GiveUpPlan> GroupPlanner::groups_to_give_up() const {
-  const bool under_way =
-      std::any_of(groups_.begin(), groups_.end(), [](const auto& item) { return item.second.is_given_up; });
-  if (under_way || !input_.reserved_domains.empty() || input_.needs.size() < 2) {
+std::optional<PreemptionPlan> GroupPlanner::groups_to_preempt() const {
+  const bool preemption_in_progress =
+      std::any_of(groups_.begin(), groups_.end(), [](const auto& item) { return item.second.is_preempted; });
+  if (preemption_in_progress || !input_.reserved_domains.empty() || input_.needs.size() < 2) {
     return std::nullopt;
   }
-  const auto* needy = by_pressure().front();
-  const double held = groups_held(needy->model->name);
-  if (pressure(*needy, held) < kPressed) {
+  const auto* neediest = needs_by_pressure().front();
+  const double held = count_groups(neediest->model->name);
+  if (pressure(*neediest, held) < kMinPressureForPreemption) {
     return std::nullopt;
   }
-  std::optional<GiveUpPlan> result;
-  double best = pressure(*needy, held) * kWorthwhileRelief;
+  std::optional<PreemptionPlan> result;
+  double best = pressure(*neediest, held) * kMaxPressureRatioAfterPreemption;
   for (const auto& donor : input_.needs) {
-    if (donor.model == needy->model) {
+    if (donor.model == neediest->model) {
       continue;
     }
-    for (const auto& [domain, indexes] : by_domain_) {
-      auto given_up = donors_in(domain, *needy->model, donor.model->name);
-      const double left = groups_held(donor.model->name) - static_cast<double>(given_up.size());
-      const double after = std::max(pressure(*needy, held + 1), pressure(donor, left));
-      if (!given_up.empty() && left >= 1 && after < best) {
+    for (const auto& [domain, indexes] : servers_by_domain_) {
+      auto preempted = donor_groups_in_domain(domain, *neediest->model, donor.model->name);
+      const double left = count_groups(donor.model->name) - static_cast<double>(preempted.size());
+      const double after = std::max(pressure(*neediest, held + 1), pressure(donor, left));
+      if (!preempted.empty() && left >= 1 && after < best) {
         best = after;
-        result = GiveUpPlan{std::move(given_up), domain, needy->model->name};
+        result = PreemptionPlan{std::move(preempted), domain, neediest->model->name};
       }
     }
   }
   return result;
 }
 
-std::vector<const PlannedServer*> GroupPlanner::spares_to_hold() const {
+std::vector<const PlannedServer*> GroupPlanner::spares_without_group() const {
   std::vector<const PlannedServer*> spares;
   for (const auto& server : input_.servers) {
-    const bool has_use = std::any_of(input_.needs.begin(), input_.needs.end(),
-                                     [&server](const auto& need) { return need.model->name == server.loaded_model; });
-    const bool is_spare = server.group.empty() && has_use;
-    if (is_spare && !server.is_held && !input_.reserved_domains.contains(server.domain)) {
+    const bool is_model_in_use = std::any_of(input_.needs.begin(), input_.needs.end(), [&server](const auto& need) {
+      return need.model->name == server.loaded_model;
+    });
+    const bool is_useful_spare = server.group.empty() && is_model_in_use;
+    if (is_useful_spare && !server.in_spare_group && !input_.reserved_domains.contains(server.domain)) {
       spares.push_back(&server);
     }
   }
@@ -262,53 +265,53 @@
   return spares;
 }
 
-const document::ModelSpec* GroupPlanner::spare_model(const PlannedServer& server, const SpareCounts& spares) const {
+const document::ModelSpec* GroupPlanner::model_for_spare(const PlannedServer& server, const SpareCounts& spares) const {
   const document::ModelSpec* best = nullptr;
-  double most = -1;
+  double highest_need = -1;
   for (const auto& need : input_.needs) {
     const auto held = spares.find({server.domain, need.model->name});
     const int count = held == spares.end() ? 0 : held->second;
     // Weights on the host already need no load.
-    const double need_each =
-        need.groups_needed * need.model->size / (1 + count) + (server.has_staged(need.model->name) ? kHeldWeights : 0);
-    if (need_each > most) {
-      most = need_each;
+    const double need_per_spare = need.groups_needed * need.model->size / (1 + count) +
+                                  (server.has_staged(need.model->name) ? kStagedWeightsBonus : 0);
+    if (need_per_spare > highest_need) {
+      highest_need = need_per_spare;
       best = need.model;
     }
   }
   return best;
 }
 
-const document::ModelSpec* GroupPlanner::standby_model(const PlannedServer& server) const {
+const document::ModelSpec* GroupPlanner::model_to_stage_on_host(const PlannedServer& server) const {
   const document::ModelSpec* best = nullptr;
-  double most = -1;
+  double highest_need = -1;
   for (const auto& need : input_.needs) {
     const double servers = need.groups_needed * need.model->size;
-    if (need.model->name != server.loaded_model && servers > most) {
-      most = servers;
+    if (need.model->name != server.loaded_model && servers > highest_need) {
+      highest_need = servers;
       best = need.model;
     }
   }
   return best;
 }
 
-std::vector<StagingPlan> GroupPlanner::stagings() const {
+std::vector<StagingPlan> GroupPlanner::staging_plans() const {
   std::map<LoadPriority, std::vector<StagingPlan>> plans;
   SpareCounts spares = count_spares();
   for (const auto& server : input_.servers) {
     const auto group = groups_.find(server.group);
     const bool is_free = server.group.empty();
-    const bool is_settled = is_free || (group != groups_.end() && group->second.is_open);
-    if (!is_settled || input_.needs.empty()) {
+    const bool is_free_or_open = is_free || (group != groups_.end() && group->second.is_open);
+    if (!is_free_or_open || input_.needs.empty()) {
       continue;
     }
     if (is_free && server.loaded_model.empty()) {
-      const std::string& model = spare_model(server, spares)->name;
+      const std::string& model = model_for_spare(server, spares)->name;
       ++spares[{server.domain, model}];
       plans[LoadPriority::kRepair].push_back({server.id, model, LoadPriority::kRepair, true});
       continue;
     }
-    const auto* standby = standby_model(server);
+    const auto* standby = model_to_stage_on_host(server);
     if (server.loaded_model.empty() || standby == nullptr || server.has_staged(standby->name)) {
       continue;
     }
@@ -321,8 +324,8 @@
   // First where the fewest are lacking for a group.
   auto& repairs = plans[LoadPriority::kRepair];
   std::stable_sort(repairs.begin(), repairs.end(), [this](const auto& left, const auto& right) {
-    return warm_free_servers(domains_.at(left.server), left.model) >
-           warm_free_servers(domains_.at(right.server), right.model);
+    return count_warm_free_servers(domain_by_server_.at(left.server), left.model) >
+           count_warm_free_servers(domain_by_server_.at(right.server), right.model);
   });
   std::vector<StagingPlan> result;
   for (const auto& [priority, list] : plans) {
--- a/src/core/fleet/group_planner.h
+++ b/src/core/fleet/group_planner.h
@@ -23,7 +23,7 @@
   /// The group it belongs to; empty when it is free.
   std::string group;
   /// It reports a holding group.
-  bool is_held = false;
+  bool in_spare_group = false;
 
   bool has_staged(const std::string& model) const;
   /// Joining a group of `model` needs no load from the weight store.
@@ -37,9 +37,9 @@
   /// It serves, so it may be given up for another. False while it forms or is being dissolved.
   bool is_open = false;
   /// It serves or will; false while it is drained or dissolved.
-  bool counts = true;
+  bool counts_as_capacity = true;
   /// It was given up for another model, and its servers are not free yet.
-  bool is_given_up = false;
+  bool is_preempted = false;
 };
 
 /// How many groups of a model the present demand fills to the limit of its latency objective; may be fractional.
@@ -64,11 +64,11 @@
   const document::ModelSpec* model = nullptr;
   std::vector<std::string> members;
   /// Members that must load the weights from the store.
-  size_t loads = 0;
+  size_t weight_loads = 0;
 };
 
 /// Open groups whose servers should go to a model that needs them more, all in one domain.
-struct GiveUpPlan {
+struct PreemptionPlan {
   std::vector<std::string> groups;
   std::string domain;
   /// The model that gets the servers.
@@ -106,46 +106,46 @@
   /// The group to form next; nothing when no model needs one that the free servers can form.
   std::optional<GroupPlan> next_group() const;
   /// Records that a plan is carried out, so that the next one is made on top of it.
-  void note_formed(const GroupPlan& plan, const std::string& group);
+  void add_formed_group(const GroupPlan& plan, const std::string& group);
   /// Nothing while servers given up before are not free yet.
-  std::optional<GiveUpPlan> groups_to_give_up() const;
+  std::optional<PreemptionPlan> groups_to_preempt() const;
   /// Free servers that hold weights of a model in use and are in no holding group, unless their domain is reserved:
   /// those are used at once.
-  std::vector<const PlannedServer*> spares_to_hold() const;
+  std::vector<const PlannedServer*> spares_without_group() const;
   /// Weights to stage, the most useful first.
-  std::vector<StagingPlan> stagings() const;
+  std::vector<StagingPlan> staging_plans() const;
 
  private:
   using ServerIndex = std::vector<size_t>;
 
   /// Need over supply; the model with the highest value serves its callers worst.
   double pressure(const ModelNeed& need, double groups) const;
-  double groups_held(const std::string& model) const;
-  std::vector<const ModelNeed*> by_pressure() const;
+  double count_groups(const std::string& model) const;
+  std::vector<const ModelNeed*> needs_by_pressure() const;
   /// Servers that the model should have when all of them are shared out by need.
-  double target_servers(const ModelNeed& need) const;
-  bool may_grow(const ModelNeed& need) const;
+  double target_server_count(const ModelNeed& need) const;
+  bool may_add_group(const ModelNeed& need) const;
   /// A member would lose the weights of a model that is more pressed than the plan's: loads are dearer than idleness.
-  bool wastes_weights(const GroupPlan& plan) const;
+  bool discards_needed_weights(const GroupPlan& plan) const;
   /// Free servers of a domain that need no load for the model.
-  size_t warm_free_servers(const std::string& domain, const std::string& model) const;
-  std::optional<GroupPlan> best_plan(const document::ModelSpec& model) const;
+  size_t count_warm_free_servers(const std::string& domain, const std::string& model) const;
+  std::optional<GroupPlan> cheapest_plan(const document::ModelSpec& model) const;
   /// Groups of the largest model that `free_servers` could still form.
-  size_t largest_groups(size_t free_servers) const;
+  size_t count_largest_model_groups(size_t free_servers) const;
   /// Open groups of `donor` in one domain that would let a group of `model` form there without a load; empty if none.
-  std::vector<std::string> donors_in(const std::string& domain, const document::ModelSpec& model,
-                                     const std::string& donor) const;
+  std::vector<std::string> donor_groups_in_domain(const std::string& domain, const document::ModelSpec& model,
+                                                  const std::string& donor) const;
   /// How many free servers of each domain hold each model in their accelerators, or are about to.
   using SpareCounts = std::map<std::pair<std::string, std::string>, int>;
   SpareCounts count_spares() const;
   /// The model that a free server should hold: the one with most need for each spare of its domain.
-  const document::ModelSpec* spare_model(const PlannedServer& server, const SpareCounts& spares) const;
+  const document::ModelSpec* model_for_spare(const PlannedServer& server, const SpareCounts& spares) const;
   /// The model that a server should hold besides the one it serves.
-  const document::ModelSpec* standby_model(const PlannedServer& server) const;
+  const document::ModelSpec* model_to_stage_on_host(const PlannedServer& server) const;
 
   PlannerInput input_;
-  std::map<std::string, ServerIndex> by_domain_;
-  std::map<std::string, std::string> domains_;
+  std::map<std::string, ServerIndex> servers_by_domain_;
+  std::map<std::string, std::string> domain_by_server_;
   std::map<std::string, PlannedGroup> groups_;
 };
 
--- a/src/core/fleet/silence_watch.h
+++ b/src/core/fleet/group_stall_detector.h
@@ -15,7 +15,7 @@
 /// passes; together they have seen all streams stop at once while every other group went on. So the word of most
 /// entries that have streams there counts as soon as the pass that the cost model expects is over. Pure;
 /// single-threaded.
-class SilenceWatch {
+class GroupStallDetector {
  public:
   /// How many streams `node` has at `group` now.
   void note_streams(const std::string& node, const std::string& group, int streams);
@@ -26,18 +26,18 @@
   bool is_quiet(TimePoint now, const std::string& group) const;
   /// Most entries with streams there say so, and the group should have brought something by now; `longest_pass` is the
   /// longest that its streams pause by the cost model.
-  bool stands_still(TimePoint now, const std::string& group, Duration longest_pass) const;
+  bool is_stalled(TimePoint now, const std::string& group, Duration longest_pass) const;
   /// Groups of which at least one entry says that they are quiet.
   std::vector<std::string> quiet_groups() const;
 
  private:
-  struct Word {
+  struct OverdueReport {
     TimePoint first{};
     TimePoint last{};
   };
   struct Group {
     std::map<std::string, int> streams;
-    std::map<std::string, Word> quiet;
+    std::map<std::string, OverdueReport> quiet;
 
     bool is_empty() const { return streams.empty() && quiet.empty(); }
   };
--- a/src/core/fleet/group_supervisor.cc
+++ b/src/core/fleet/group_supervisor.cc
@@ -10,33 +10,34 @@
 namespace {
 
 /// A group that does not come together in this time is given up.
-constexpr Duration kJoiningPatience = seconds(60);
+constexpr Duration kJoiningTimeout = seconds(60);
 /// Longest wait for the requests in flight of a group whose member leaves as planned.
-constexpr Duration kDrainingPatience = seconds(9);
+constexpr Duration kDrainTimeout = seconds(9);
 /// Shortest time that a draining group is kept, so that every entry has heard of it.
-constexpr Duration kDrainingMinimum = milliseconds(500);
+constexpr Duration kMinDrainTime = milliseconds(500);
 /// A head that did not confirm its leave in this time may be out of reach; a member is asked to leave as well.
-constexpr Duration kHeadPatience = milliseconds(1500);
+constexpr Duration kHeadLeaveTimeout = milliseconds(1500);
 /// Added to the stall time: clocks drift and answers travel.
 constexpr Duration kStallMargin = milliseconds(700);
 /// After a change of leadership, groups that nobody told us of are adopted once every instance had time to report.
 constexpr Duration kAdoptionDelay = seconds(3);
 
 /// A member of a group that failed is not given to another group before it was heard again; by then it is silent.
-constexpr Duration kSuspicionMemory = seconds(5);
+constexpr Duration kSuspicionTimeout = seconds(5);
 /// A plan costs about 2 us an instance: planned anew after this time an instance, it takes 3 % of a core.
-constexpr Duration kPlanningPause = microseconds(60);
+constexpr Duration kPlanningIntervalPerInstance = microseconds(60);
 /// Shorter pauses make no difference beside the interval of the leader's ticks.
-constexpr Duration kPlanningPauseIgnored = milliseconds(40);
+constexpr Duration kMinPlanningInterval = milliseconds(40);
 /// Ends the names of groups of one.
-constexpr std::string_view kHoldingSuffix = "-single";
+constexpr std::string_view kSpareGroupSuffix = "-single";
 
-bool reports(const wire::Instance& instance, const wire::EngineGroup& group) {
+bool reports_membership(const wire::Instance& instance, const wire::EngineGroup& group) {
   return instance.membership.group == group.name && instance.membership.epoch == group.epoch;
 }
 
-bool reports(const wire::Instance* instance, const wire::EngineGroup& group, wire::MembershipState::type state) {
-  return instance != nullptr && reports(*instance, group) && instance->membership.state == state;
+bool reports_membership(const wire::Instance* instance, const wire::EngineGroup& group,
+                        wire::MembershipState::type state) {
+  return instance != nullptr && reports_membership(*instance, group) && instance->membership.state == state;
 }
 
 bool can_take_work(const wire::Instance* instance) {
@@ -56,8 +57,8 @@
 
 /// Pause between two plans, so that planning takes a stated part of a small core whatever the fleet's size.
 Duration planning_interval(size_t instances) {
-  const Duration interval = kPlanningPause * static_cast<int64_t>(instances);
-  return interval > kPlanningPauseIgnored ? interval : Duration::zero();
+  const Duration interval = kPlanningIntervalPerInstance * static_cast<int64_t>(instances);
+  return interval > kMinPlanningInterval ? interval : Duration::zero();
 }
 
 /// Another instance was heard at the address, so the process behind `id` has ended. A row that only a copy names proves
@@ -69,72 +70,72 @@
   }
   return std::any_of(directory.rows().begin(), directory.rows().end(), [&](const auto& item) {
     const auto& other = item.second.instance;
-    return other.id != id && item.second.is_settled() && other.address == instance->address &&
+    return other.id != id && item.second.is_confirmed() && other.address == instance->address &&
            other.state != wire::InstanceState::GONE;
   });
 }
 
 }  // namespace
 
-const char* to_string(GroupReason reason) {
+const char* to_string(GroupChangeReason reason) {
   switch (reason) {
-    case GroupReason::kPlanned:
+    case GroupChangeReason::kPlanned:
       return "planned";
-    case GroupReason::kAllReady:
+    case GroupChangeReason::kAllReady:
       return "all members ready";
-    case GroupReason::kHeadOpen:
+    case GroupChangeReason::kHeadOpen:
       return "head open";
-    case GroupReason::kNotComplete:
+    case GroupChangeReason::kFormationFailed:
       return "not complete";
-    case GroupReason::kEntriesReport:
+    case GroupChangeReason::kEntriesReportedFailure:
       return "entries report a failure";
-    case GroupReason::kMemberLost:
+    case GroupChangeReason::kMemberLost:
       return "member lost";
-    case GroupReason::kMemberLeaves:
+    case GroupChangeReason::kMemberLeaving:
       return "member leaves";
-    case GroupReason::kGivenUp:
+    case GroupChangeReason::kPreempted:
       return "given up for another model";
-    case GroupReason::kDrained:
+    case GroupChangeReason::kDrained:
       return "drained";
-    case GroupReason::kReleased:
+    case GroupChangeReason::kReleased:
       return "released";
   }
   return "";
 }
 
-std::string holding_group_name(int64_t term, int64_t epoch) {
-  return "g" + std::to_string(term) + "-" + std::to_string(epoch & kEpochNumberMask) + std::string(kHoldingSuffix);
+std::string spare_group_name(int64_t term, int64_t epoch) {
+  return "g" + std::to_string(term) + "-" + std::to_string(epoch & kEpochSequenceMask) + std::string(kSpareGroupSuffix);
 }
 
-bool is_holding_group(const std::string& name) { return name.ends_with(kHoldingSuffix); }
+bool is_spare_group(const std::string& name) { return name.ends_with(kSpareGroupSuffix); }
 
 bool reports_ready(const wire::Instance* instance, const wire::EngineGroup& group) {
-  return reports(instance, group, wire::MembershipState::READY);
+  return reports_membership(instance, group, wire::MembershipState::READY);
 }
 
 void GroupSupervisor::start(TimePoint now, int64_t term, const std::vector<wire::EngineGroup>& inherited) {
   term_ = term;
-  next_number_ = 1;
-  started_ = now;
-  dissolved_.clear();
-  sent_at_.clear();
-  staging_.clear();
-  holding_epochs_.clear();
+  next_epoch_sequence_ = 1;
+  leadership_started_at_ = now;
+  released_group_names_.clear();
+  order_sent_at_.clear();
+  pending_stagings_.clear();
+  spare_group_epochs_.clear();
   orders_.clear();
   decisions_.clear();
   reservations_.clear();
   demand_.start();
-  suspects_.clear();
-  next_planning_ = now;
+  suspected_members_.clear();
+  next_planning_at_ = now;
   inherit(now, inherited);
 }
 
 void GroupSupervisor::inherit(TimePoint now, const std::vector<wire::EngineGroup>& inherited) {
   records_.clear();
-  owners_.clear();
+  owning_group_names_.clear();
   limiter_.start(now, !inherited.empty());
   for (const auto& group : inherited) {
-    Record record;
+    GroupRecord record;
     record.group = group;
     record.since = now;
     record.is_inherited = true;
@@ -149,41 +150,41 @@
   }
 }
 
-void GroupSupervisor::inherit_released(const std::vector<std::string>& names) {
-  dissolved_.insert(names.begin(), names.end());
+void GroupSupervisor::add_released_groups(const std::vector<std::string>& names) {
+  released_group_names_.insert(names.begin(), names.end());
 }
 
-void GroupSupervisor::add_record(Record record) {
+void GroupSupervisor::add_record(GroupRecord record) {
   for (const auto& member : record.group.members) {
-    owners_[member] = record.group.name;
+    owning_group_names_[member] = record.group.name;
   }
   records_[record.group.name] = std::move(record);
 }
 
-std::map<std::string, GroupSupervisor::Record>::iterator GroupSupervisor::erase_record(
-    std::map<std::string, Record>::iterator item) {
-  std::erase_if(owners_, [&item](const auto& owner) { return owner.second == item->first; });
+std::map<std::string, GroupSupervisor::GroupRecord>::iterator GroupSupervisor::erase_record(
+    std::map<std::string, GroupRecord>::iterator item) {
+  std::erase_if(owning_group_names_, [&item](const auto& owner) { return owner.second == item->first; });
   return records_.erase(item);
 }
 
 void GroupSupervisor::note_failure(const std::string& group) {
   if (const auto found = records_.find(group); found != records_.end()) {
-    found->second.failed = true;
+    found->second.failure_reported = true;
   }
 }
 
 void GroupSupervisor::order_result(TimePoint now, const InstanceOrderResult& result) {
   if (result.status != 0) {
-    suspects_.erase(result.order.instance_id);
+    suspected_members_.erase(result.order.instance_id);
   }
   const auto found = records_.find(result.order.group);
   if (found == records_.end()) {
     return;
   }
-  Record& record = found->second;
+  GroupRecord& record = found->second;
   const bool to_head = record.group.members.front() == result.order.instance_id;
-  const bool ranks = result.order.kind == OrderKind::kJoin || result.order.kind == OrderKind::kOpen;
-  if (ranks && to_head && result.status != 0) {
+  const bool may_open_head = result.order.kind == OrderKind::kJoin || result.order.kind == OrderKind::kOpen;
+  if (may_open_head && to_head && result.status != 0) {
     --record.unanswered_head_orders;
   }
   // Conflict: the instance is in no such group. Failed precondition: it has seen a higher epoch or fence.
@@ -193,38 +194,40 @@
     return;  // Joins and opens are confirmed by what the instances report, never by an answer.
   }
   if (to_head) {
-    record.head_left = true;
+    record.head_leave_confirmed = true;
   } else {
-    record.members_left.try_emplace(result.order.instance_id, now);
+    record.member_leave_times.try_emplace(result.order.instance_id, now);
   }
 }
 
-void GroupSupervisor::set_phase(TimePoint now, Record& record, wire::GroupPhase::type phase, GroupReason reason) {
+void GroupSupervisor::set_phase(TimePoint now, GroupRecord& record, wire::GroupPhase::type phase,
+                                GroupChangeReason reason) {
   record.group.phase = phase;
   record.since = now;
   decisions_.push_back({record.group, reason});
 }
 
-InstanceOrder GroupSupervisor::order_for(OrderKind kind, const Record& record, const std::string& instance_id) const {
+InstanceOrder GroupSupervisor::group_order(OrderKind kind, const GroupRecord& record,
+                                           const std::string& instance_id) const {
   InstanceOrder order;
   order.kind = kind;
   order.instance_id = instance_id;
   order.group = record.group.name;
   order.epoch = record.group.epoch;
-  order.fence = term_;
+  order.fencing_token = term_;
   order.model = record.group.model;
   order.members = record.group.members;
   return order;
 }
 
-InstanceOrder GroupSupervisor::holding_order(const std::string& instance_id, const std::string& model,
-                                             int64_t epoch) const {
+InstanceOrder GroupSupervisor::spare_group_order(const std::string& instance_id, const std::string& model,
+                                                 int64_t epoch) const {
   InstanceOrder order;
   order.kind = OrderKind::kJoin;
   order.instance_id = instance_id;
-  order.group = holding_group_name(term_, epoch);
+  order.group = spare_group_name(term_, epoch);
   order.epoch = epoch;
-  order.fence = term_;
+  order.fencing_token = term_;
   order.model = model;
   order.members = {instance_id};
   return order;
@@ -236,27 +239,28 @@
     return;
   }
   const std::string key = std::to_string(static_cast<int>(order.kind)) + order.instance_id + order.group;
-  const auto [sent, is_first] = sent_at_.try_emplace(key, now);
-  if (!is_first && now - sent->second < options_.order_retry) {
+  const auto [sent, is_first] = order_sent_at_.try_emplace(key, now);
+  if (!is_first && now - sent->second < options_.order_retry_interval) {
     return;
   }
   sent->second = now;
   orders_.push_back(order);
   orders_.back().address = instance->address;
   const auto record = records_.find(order.group);
-  const bool ranks = order.kind == OrderKind::kJoin || order.kind == OrderKind::kOpen;
-  if (ranks && record != records_.end() && record->second.group.members.front() == order.instance_id) {
+  const bool may_open_head = order.kind == OrderKind::kJoin || order.kind == OrderKind::kOpen;
+  if (may_open_head && record != records_.end() && record->second.group.members.front() == order.instance_id) {
     ++record->second.unanswered_head_orders;
   }
 }
 
-bool GroupSupervisor::head_says_it_left(const Record& record, const InstanceDirectory& directory) {
+bool GroupSupervisor::head_reports_leaving(const GroupRecord& record, const InstanceDirectory& directory) {
   const auto head = directory.rows().find(record.group.members.front());
-  return head != directory.rows().end() && head->second.is_settled() && !reports(head->second.instance, record.group);
+  return head != directory.rows().end() && head->second.is_confirmed() &&
+         !reports_membership(head->second.instance, record.group);
 }
 
-void GroupSupervisor::fence_head(TimePoint now, Record& record, const InstanceDirectory& directory) {
-  if (record.is_inherited && !head_says_it_left(record, directory)) {
+void GroupSupervisor::fence_head(TimePoint now, GroupRecord& record, const InstanceDirectory& directory) {
+  if (record.is_inherited && !head_reports_leaving(record, directory)) {
     return;
   }
   const auto& head = record.group.members.front();
@@ -268,59 +272,60 @@
     record.head_fenced = true;
     return;
   }
-  send(now, holding_order(head, record.group.model, record.fence_epoch), directory);
+  send(now, spare_group_order(head, record.group.model, record.fence_epoch), directory);
 }
 
-bool GroupSupervisor::advance_joining(TimePoint now, Record& record, const InstanceDirectory& directory) {
+bool GroupSupervisor::advance_joining(TimePoint now, GroupRecord& record, const InstanceDirectory& directory) {
   size_t ready = 0;
-  bool lost = now - record.since > kJoiningPatience || record.failed;
+  bool lost = now - record.since > kJoiningTimeout || record.failure_reported;
   for (size_t rank = 0; rank < record.group.members.size(); ++rank) {
     const auto* member = find_member(record.group, rank, directory);
     lost = lost || !can_take_work(member);
     ready += reports_ready(member, record.group) ? 1 : 0;
   }
   if (lost) {
-    record.head_left = record.head_left || !record.may_be_open;  // Never opened: its members are free at once.
-    set_phase(now, record, wire::GroupPhase::DISSOLVING, GroupReason::kNotComplete);
+    record.head_leave_confirmed =
+        record.head_leave_confirmed || !record.may_be_open;  // Never opened: its members are free at once.
+    set_phase(now, record, wire::GroupPhase::DISSOLVING, GroupChangeReason::kFormationFailed);
     return true;
   }
   if (ready == record.group.members.size()) {
     record.may_be_open = true;
-    set_phase(now, record, wire::GroupPhase::OPENING, GroupReason::kAllReady);
-    send(now, order_for(OrderKind::kOpen, record, record.group.members.front()), directory);
+    set_phase(now, record, wire::GroupPhase::OPENING, GroupChangeReason::kAllReady);
+    send(now, group_order(OrderKind::kOpen, record, record.group.members.front()), directory);
     return true;
   }
   for (const auto& id : record.group.members) {
-    if (!reports(*directory.find(id), record.group)) {
-      send(now, order_for(OrderKind::kJoin, record, id), directory);
+    if (!reports_membership(*directory.find(id), record.group)) {
+      send(now, group_order(OrderKind::kJoin, record, id), directory);
     }
   }
   return false;
 }
 
-bool GroupSupervisor::advance_opening(TimePoint now, Record& record, const InstanceDirectory& directory) {
+bool GroupSupervisor::advance_opening(TimePoint now, GroupRecord& record, const InstanceDirectory& directory) {
   bool complete = true;
   for (size_t rank = 0; rank < record.group.members.size(); ++rank) {
     const auto* member = find_member(record.group, rank, directory);
-    complete = complete && can_take_work(member) && reports(*member, record.group) &&
+    complete = complete && can_take_work(member) && reports_membership(*member, record.group) &&
                member->membership.state != wire::MembershipState::BROKEN;
   }
-  if (!complete || record.failed) {
+  if (!complete || record.failure_reported) {
     set_phase(now, record, wire::GroupPhase::DISSOLVING,
-              complete ? GroupReason::kEntriesReport : GroupReason::kNotComplete);
+              complete ? GroupChangeReason::kEntriesReportedFailure : GroupChangeReason::kFormationFailed);
     return true;
   }
   const auto& head = record.group.members.front();
-  if (reports(directory.find(head), record.group, wire::MembershipState::OPEN)) {
-    set_phase(now, record, wire::GroupPhase::OPEN, GroupReason::kHeadOpen);
+  if (reports_membership(directory.find(head), record.group, wire::MembershipState::OPEN)) {
+    set_phase(now, record, wire::GroupPhase::OPEN, GroupChangeReason::kHeadOpen);
     return true;
   }
-  send(now, order_for(OrderKind::kOpen, record, head), directory);
+  send(now, group_order(OrderKind::kOpen, record, head), directory);
   return false;
 }
 
-bool GroupSupervisor::advance_open(TimePoint now, Record& record, const InstanceDirectory& directory) {
-  bool broken = record.failed;
+bool GroupSupervisor::advance_open(TimePoint now, GroupRecord& record, const InstanceDirectory& directory) {
+  bool broken = record.failure_reported;
   bool leaving = false;
   bool silent = false;
   for (size_t rank = 0; rank < record.group.members.size(); ++rank) {
@@ -332,96 +337,98 @@
     }
     const bool gone = member->state == wire::InstanceState::GONE;
     broken = broken || (gone && is_replaced(id, directory));
-    broken = broken || (!gone && !reports(*member, record.group));
+    broken = broken || (!gone && !reports_membership(*member, record.group));
     leaving = leaving || member->state != wire::InstanceState::READY;
     silent = silent || member->silent;
   }
-  broken = broken || reports(directory.find(record.group.members.front()), record.group, wire::MembershipState::BROKEN);
+  broken = broken || reports_membership(directory.find(record.group.members.front()), record.group,
+                                        wire::MembershipState::BROKEN);
   if (broken || (silent && is_idle(record))) {
     suspect_members(now, record);
     set_phase(now, record, wire::GroupPhase::DISSOLVING,
-              record.failed ? GroupReason::kEntriesReport : GroupReason::kMemberLost);
+              record.failure_reported ? GroupChangeReason::kEntriesReportedFailure : GroupChangeReason::kMemberLost);
     return true;
   }
   if (leaving) {
-    set_phase(now, record, wire::GroupPhase::DRAINING, GroupReason::kMemberLeaves);
+    set_phase(now, record, wire::GroupPhase::DRAINING, GroupChangeReason::kMemberLeaving);
     return true;
   }
   return false;
 }
 
-bool GroupSupervisor::is_idle(const Record& record) const {
-  const auto loads = in_flight_.find(record.group.name);
-  return loads == in_flight_.end() || loads->second == 0;
+bool GroupSupervisor::is_idle(const GroupRecord& record) const {
+  const auto in_flight = in_flight_.find(record.group.name);
+  return in_flight == in_flight_.end() || in_flight->second == 0;
 }
 
-bool GroupSupervisor::advance_draining(TimePoint now, Record& record) {
+bool GroupSupervisor::advance_draining(TimePoint now, GroupRecord& record) {
   const Duration age = now - record.since;
-  if (record.failed || age > kDrainingPatience || (is_idle(record) && age > kDrainingMinimum)) {
-    set_phase(now, record, wire::GroupPhase::DISSOLVING, GroupReason::kDrained);
+  if (record.failure_reported || age > kDrainTimeout || (is_idle(record) && age > kMinDrainTime)) {
+    set_phase(now, record, wire::GroupPhase::DISSOLVING, GroupChangeReason::kDrained);
     return true;
   }
   return false;
 }
 
-void GroupSupervisor::suspect_members(TimePoint now, const Record& record) {
+void GroupSupervisor::suspect_members(TimePoint now, const GroupRecord& record) {
   for (const auto& member : record.group.members) {
-    suspects_[member] = now;
+    suspected_members_[member] = now;
   }
 }
 
-void GroupSupervisor::clear_suspects(TimePoint now, const InstanceDirectory& directory) {
-  std::erase_if(suspects_, [&](const auto& item) {
+void GroupSupervisor::clear_suspected_members(TimePoint now, const InstanceDirectory& directory) {
+  std::erase_if(suspected_members_, [&](const auto& item) {
     const auto row = directory.rows().find(item.first);
-    const bool heard = row != directory.rows().end() && row->second.last_heard > item.second;
-    return heard || now - item.second > kSuspicionMemory;
+    const bool heard = row != directory.rows().end() && row->second.last_report_at > item.second;
+    return heard || now - item.second > kSuspicionTimeout;
   });
 }
 
-void GroupSupervisor::forget_returned_members(Record& record, const InstanceDirectory& directory) {
-  std::erase_if(record.members_left, [&](const auto& left) {
+void GroupSupervisor::remove_rejoined_members(GroupRecord& record, const InstanceDirectory& directory) {
+  std::erase_if(record.member_leave_times, [&](const auto& left) {
     const auto row = directory.rows().find(left.first);
-    return row != directory.rows().end() && row->second.is_settled() && row->second.last_heard > left.second &&
-           reports(row->second.instance, record.group);
+    return row != directory.rows().end() && row->second.is_confirmed() && row->second.last_report_at > left.second &&
+           reports_membership(row->second.instance, record.group);
   });
 }
 
-void GroupSupervisor::order_leave(TimePoint now, const Record& record, const InstanceDirectory& directory) {
+void GroupSupervisor::send_leave_orders(TimePoint now, const GroupRecord& record, const InstanceDirectory& directory) {
   const auto& members = record.group.members;
-  if (record.failed) {
+  if (record.failure_reported) {
     // One of them is dead: who answers is not, and the head stands still without any of them.
     for (const auto& member : members) {
       if (can_take_work(directory.find(member))) {
-        send(now, order_for(OrderKind::kLeave, record, member), directory);
+        send(now, group_order(OrderKind::kLeave, record, member), directory);
       }
     }
     return;
   }
-  if (!record.head_left) {
-    send(now, order_for(OrderKind::kLeave, record, members.front()), directory);
+  if (!record.head_leave_confirmed) {
+    send(now, group_order(OrderKind::kLeave, record, members.front()), directory);
   }
   const auto* head = directory.find(members.front());
-  if (can_take_work(head) && now - record.since < kHeadPatience) {
+  if (can_take_work(head) && now - record.since < kHeadLeaveTimeout) {
     return;
   }
-  if (!record.members_left.empty()) {
+  if (!record.member_leave_times.empty()) {
     return;  // One is enough: the head stands still without it.
   }
   for (size_t rank = 1; rank < members.size(); ++rank) {
     if (can_take_work(directory.find(members[rank]))) {
-      send(now, order_for(OrderKind::kLeave, record, members[rank]), directory);
+      send(now, group_order(OrderKind::kLeave, record, members[rank]), directory);
       return;
     }
   }
 }
 
-bool GroupSupervisor::is_dissolved(TimePoint now, const Record& record, const InstanceDirectory& directory) const {
-  if (record.head_left && (!record.may_be_open || record.unanswered_head_orders <= 0 || record.head_fenced)) {
+bool GroupSupervisor::is_dissolved(TimePoint now, const GroupRecord& record, const InstanceDirectory& directory) const {
+  if (record.head_leave_confirmed &&
+      (!record.may_be_open || record.unanswered_head_orders <= 0 || record.head_fenced)) {
     return true;
   }
-  const bool stalled = std::any_of(record.members_left.begin(), record.members_left.end(), [&](const auto& left) {
-    return now - left.second > options_.stall_time + kStallMargin;
-  });
+  const bool stalled =
+      std::any_of(record.member_leave_times.begin(), record.member_leave_times.end(),
+                  [&](const auto& left) { return now - left.second > options_.stall_time + kStallMargin; });
   if (stalled) {
     return true;
   }
@@ -433,20 +440,20 @@
   if (is_replaced(head_id, directory)) {
     return true;
   }
-  if (!head->second.heard_here || head->second.instance.state == wire::InstanceState::GONE) {
+  if (!head->second.reported_this_term || head->second.instance.state == wire::InstanceState::GONE) {
     return false;
   }
   const auto& membership = head->second.instance.membership;
-  if (membership.state == wire::MembershipState::BROKEN && reports(head->second.instance, record.group)) {
+  if (membership.state == wire::MembershipState::BROKEN && reports_membership(head->second.instance, record.group)) {
     return true;
   }
   // A head that only reports itself ready may still carry out an order to open that is under way; one that reports
   // another epoch above ours can no longer.
   return membership.epoch > record.group.epoch ||
-         (!reports(head->second.instance, record.group) && record.unanswered_head_orders <= 0);
+         (!reports_membership(head->second.instance, record.group) && record.unanswered_head_orders <= 0);
 }
 
-bool GroupSupervisor::advance(TimePoint now, Record& record, const InstanceDirectory& directory) {
+bool GroupSupervisor::advance(TimePoint now, GroupRecord& record, const InstanceDirectory& directory) {
   switch (record.group.phase) {
     case wire::GroupPhase::JOINING:
       return advance_joining(now, record, directory);
@@ -457,23 +464,23 @@
     case wire::GroupPhase::DRAINING:
       return advance_draining(now, record);
     case wire::GroupPhase::DISSOLVING:
-      forget_returned_members(record, directory);
+      remove_rejoined_members(record, directory);
       if (is_dissolved(now, record, directory)) {
         return false;
       }
-      if (record.head_left) {
+      if (record.head_leave_confirmed) {
         fence_head(now, record, directory);
       }
       // A head that left may end before it is fenced: its members leave then as they would with an unreachable one.
-      if (!record.head_left || now - record.since > kHeadPatience) {
-        order_leave(now, record, directory);
+      if (!record.head_leave_confirmed || now - record.since > kHeadLeaveTimeout) {
+        send_leave_orders(now, record, directory);
       }
       return false;
   }
   return false;
 }
 
-void GroupSupervisor::note_members(wire::EngineGroup& group, const InstanceDirectory& directory) {
+void GroupSupervisor::fill_member_details(wire::EngineGroup& group, const InstanceDirectory& directory) {
   group.member_born_ms.clear();
   std::set<std::string> zones;
   for (const auto& id : group.members) {
@@ -486,17 +493,18 @@
   group.zones.assign(zones.begin(), zones.end());
 }
 
-GroupSupervisor::Record GroupSupervisor::reported_group(const wire::Instance& instance,
-                                                        const InstanceDirectory& directory) const {
-  Record record;
+GroupSupervisor::GroupRecord GroupSupervisor::build_reported_group(const wire::Instance& instance,
+                                                                   const InstanceDirectory& directory) const {
+  GroupRecord record;
   record.group.name = instance.membership.group;
   record.group.epoch = instance.membership.epoch;
   record.group.service_name = instance.service_name;
   record.group.model = instance.model;
   std::map<int32_t, std::string> by_rank;
   for (const auto& [id, row] : directory.rows()) {
-    const bool present = row.heard_here && row.instance.state != wire::InstanceState::GONE && owner_of(id) == nullptr;
-    if (present && reports(row.instance, record.group)) {
+    const bool present =
+        row.reported_this_term && row.instance.state != wire::InstanceState::GONE && owner_of(id) == nullptr;
+    if (present && reports_membership(row.instance, record.group)) {
       by_rank[row.instance.membership.rank] = id;
     }
   }
@@ -504,7 +512,7 @@
   for (const auto& [rank, id] : by_rank) {
     record.group.members.push_back(id);
   }
-  note_members(record.group, directory);
+  fill_member_details(record.group, directory);
   return record;
 }
 
@@ -515,25 +523,25 @@
                           ? nullptr
                           : service->second.engine->find_model(group.model);
   return model != nullptr && group.members.size() == static_cast<size_t>(model->size) &&
-         reports(directory.find(group.members.front()), group, wire::MembershipState::OPEN);
+         reports_membership(directory.find(group.members.front()), group, wire::MembershipState::OPEN);
 }
 
-bool GroupSupervisor::adopt_unknown(TimePoint now, const document::ConfigurationDocument& document,
-                                    const InstanceDirectory& directory) {
+bool GroupSupervisor::adopt_unknown_groups(TimePoint now, const document::ConfigurationDocument& document,
+                                           const InstanceDirectory& directory) {
   bool adopted = false;
   for (const auto& [id, row] : directory.rows()) {
     const auto& membership = row.instance.membership;
     const bool known = membership.group.empty() || membership.state == wire::MembershipState::NONE ||
-                       is_holding_group(membership.group) || records_.contains(membership.group) ||
-                       dissolved_.contains(membership.group);
+                       is_spare_group(membership.group) || records_.contains(membership.group) ||
+                       released_group_names_.contains(membership.group);
     // One that a group of ours owns has only not carried out our order yet.
-    const bool ours = owner_of(id) != nullptr;
-    if (known || ours || !row.heard_here || row.instance.state == wire::InstanceState::GONE) {
+    const bool is_owned = owner_of(id) != nullptr;
+    if (known || is_owned || !row.reported_this_term || row.instance.state == wire::InstanceState::GONE) {
       continue;
     }
-    Record record = reported_group(row.instance, directory);
+    GroupRecord record = build_reported_group(row.instance, directory);
     const bool intact = is_intact(record.group, document, directory);
-    if (!intact && now - started_ < kAdoptionDelay) {
+    if (!intact && now - leadership_started_at_ < kAdoptionDelay) {
       continue;  // Other members may still report.
     }
     record.group.phase = intact ? wire::GroupPhase::OPEN : wire::GroupPhase::DISSOLVING;
@@ -549,22 +557,22 @@
 
 bool GroupSupervisor::tick(TimePoint now, const document::ConfigurationDocument& document,
                            const InstanceDirectory& directory) {
-  bool changed = adopt_unknown(now, document, directory);
-  clear_suspects(now, directory);
+  bool changed = adopt_unknown_groups(now, document, directory);
+  clear_suspected_members(now, directory);
   for (auto item = records_.begin(); item != records_.end();) {
-    Record& record = item->second;
+    GroupRecord& record = item->second;
     changed = advance(now, record, directory) || changed;
     if (record.group.phase == wire::GroupPhase::DISSOLVING && is_dissolved(now, record, directory)) {
-      dissolved_.insert(record.group.name);
-      decisions_.push_back({record.group, GroupReason::kReleased});
+      released_group_names_.insert(record.group.name);
+      decisions_.push_back({record.group, GroupChangeReason::kReleased});
       item = erase_record(item);
       changed = true;
     } else {
       ++item;
     }
   }
-  if (now >= next_planning_) {
-    next_planning_ = now + planning_interval(directory.rows().size());
+  if (now >= next_planning_at_) {
+    next_planning_at_ = now + planning_interval(directory.rows().size());
     changed = form_groups(now, document, directory) || changed;
   }
   return changed;
@@ -588,7 +596,7 @@
 std::vector<std::string> GroupSupervisor::released_groups(const InstanceDirectory& directory) const {
   std::set<std::string> names;
   for (const auto& [id, row] : directory.rows()) {
-    if (dissolved_.contains(row.instance.membership.group)) {
+    if (released_group_names_.contains(row.instance.membership.group)) {
       names.insert(row.instance.membership.group);
     }
   }
@@ -596,8 +604,8 @@
 }
 
 const wire::EngineGroup* GroupSupervisor::owner_of(const std::string& instance_id) const {
-  const auto owner = owners_.find(instance_id);
-  const auto record = owner == owners_.end() ? records_.end() : records_.find(owner->second);
+  const auto owner = owning_group_names_.find(instance_id);
+  const auto record = owner == owning_group_names_.end() ? records_.end() : records_.find(owner->second);
   return record == records_.end() ? nullptr : &record->second.group;
 }
 
--- a/src/core/fleet/request_blocker.cc
+++ b/src/core/fleet/request_blocker.cc
@@ -35,7 +35,7 @@
 }
 
 void RequestBlocker::start(TimePoint now, const std::vector<wire::BlockedRequest>& inherited) {
-  ends_ = ServerEnds();
+  ends_ = ServerCrashHistory();
   blocked_.clear();
   repeats_.clear();
   likely_ended_.clear();
@@ -69,7 +69,7 @@
     return false;
   }
   bool changed = false;
-  for (const auto request : ends_.refute(incarnation, now)) {
+  for (const auto request : ends_.retract(incarnation, now)) {
     const auto blocked = blocked_.find(request);
     const bool was_blocked_for_it =
         blocked != blocked_.end() && blocked->second.trials == 0 && !blocked->second.is_inherited;
@@ -81,14 +81,14 @@
   return changed;
 }
 
-bool RequestBlocker::note_end(const ServerEnd& end) {
-  if (end.certainty == Certainty::kLikely) {
+bool RequestBlocker::note_end(const ServerCrash& end) {
+  if (end.certainty == CrashCertainty::kLikely) {
     likely_ended_[end.instance_id] = end.at;
   }
   const size_t count = ends_.note(end);
   const auto known = blocked_.find(end.request);
   if (known != blocked_.end()) {
-    ends_.explain(end.request);
+    ends_.mark_as_cause(end.request);
     const bool was_trial = known->second.phase == Phase::kTrialRunning;
     if (was_trial) {
       set_phase(end.at, known->second, Phase::kWaiting);
@@ -99,7 +99,7 @@
     return false;
   }
   block(end.at, end.request, 0);
-  ends_.explain(end.request);
+  ends_.mark_as_cause(end.request);
   return true;
 }
 
--- a/src/core/fleet/request_blocker.h
+++ b/src/core/fleet/request_blocker.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "core/base/time.h"
-#include "core/fleet/server_ends.h"
+#include "core/fleet/server_crash_history.h"
 #include "larchlever_types.h"
 
 namespace larchlever::fleet {
@@ -28,7 +28,7 @@
   /// Adds rows of a copy that arrived later.
   void inherit(TimePoint now, const std::vector<wire::BlockedRequest>& rows);
   /// A server ended while it ran the request. True when the rows changed; so with all that follow.
-  bool note_end(const ServerEnd& end);
+  bool note_end(const ServerCrash& end);
   /// An incarnation of a server was heard: ends of it that were only likely are none, and who was blocked for them is
   /// free.
   bool note_heard(TimePoint now, const std::string& incarnation);
@@ -57,7 +57,7 @@
   static Duration wait_of(const Blocked& blocked);
   static void set_phase(TimePoint now, Blocked& blocked, Phase phase);
 
-  ServerEnds ends_;
+  ServerCrashHistory ends_;
   std::map<requests::RequestFingerprint, Blocked> blocked_;
   /// Repeats of requests under which servers ended: when the last one was granted, until it is answered.
   std::map<requests::RequestFingerprint, TimePoint> repeats_;
--- /dev/null
+++ b/src/core/fleet/server_crash_history.cc
@@ -0,0 +1,145 @@
+#include "core/fleet/server_crash_history.h"
+
+#include <algorithm>
+
+namespace larchlever::fleet {
+
+namespace {
+
+/// Two reports of one instance's end within this time are of the same one: a server takes some seconds to start again,
+/// and entries notice an end within milliseconds of one another.
+constexpr Duration kSameCrashWindow = seconds(2);
+/// A caller that sends its request again does so within minutes.
+constexpr Duration kRetentionTime = std::chrono::minutes(10);
+/// At some 250 bytes each, about a megabyte.
+constexpr size_t kMaxSuspects = 4096;
+/// Ends that are known to be caused by another request; each such request has a handful.
+constexpr size_t kMaxExplainedCrashes = 1024;
+
+bool is_same_crash(const ServerCrash& left, const ServerCrash& right) {
+  const Duration apart = left.at > right.at ? left.at - right.at : right.at - left.at;
+  return left.instance_id == right.instance_id && apart < kSameCrashWindow;
+}
+
+/// A report that was on the way when its sender ended arrives within this time.
+constexpr Duration kReportTransitTime = milliseconds(300);
+
+bool contains_crash(const std::vector<ServerCrash>& crashes, const ServerCrash& end) {
+  return std::any_of(crashes.begin(), crashes.end(),
+                     [&end](const ServerCrash& known) { return is_same_crash(known, end); });
+}
+
+}  // namespace
+
+size_t ServerCrashHistory::note(const ServerCrash& end) {
+  if (is_explained(end)) {
+    return count(end.request);
+  }
+  if (!suspects_.contains(end.request) && suspects_.size() >= kMaxSuspects) {
+    erase(by_last_crash_.begin()->second);
+  }
+  SuspectRequest& suspect = suspects_[end.request];
+  if (!contains_crash(suspect.crashes, end)) {
+    suspect.crashes.push_back(end);
+  }
+  by_last_crash_.erase({suspect.last_crash_at, end.request});
+  suspect.last_crash_at = std::max(suspect.last_crash_at, end.at);
+  by_last_crash_.insert({suspect.last_crash_at, end.request});
+  return suspect.crashes.size();
+}
+
+size_t ServerCrashHistory::count(requests::RequestFingerprint request) const {
+  const auto found = suspects_.find(request);
+  return found == suspects_.end() ? 0 : found->second.crashes.size();
+}
+
+TimePoint ServerCrashHistory::last_crash(requests::RequestFingerprint request) const {
+  const auto found = suspects_.find(request);
+  return found == suspects_.end() ? TimePoint::min() : found->second.last_crash_at;
+}
+
+std::vector<requests::RequestFingerprint> ServerCrashHistory::retract(const std::string& incarnation,
+                                                                      TimePoint reported_at) {
+  const auto is_refuted = [&](const ServerCrash& end) {
+    return end.instance_id == incarnation && end.certainty == CrashCertainty::kLikely &&
+           end.at + kReportTransitTime < reported_at;
+  };
+  std::vector<requests::RequestFingerprint> affected;
+  std::vector<requests::RequestFingerprint> cleared;
+  for (auto& [request, suspect] : suspects_) {
+    if (std::erase_if(suspect.crashes, is_refuted) > 0) {
+      affected.push_back(request);
+    }
+    if (suspect.crashes.empty()) {
+      cleared.push_back(request);
+    }
+  }
+  for (const auto request : cleared) {
+    erase(request);
+  }
+  return affected;
+}
+
+void ServerCrashHistory::erase(requests::RequestFingerprint request) {
+  const auto found = suspects_.find(request);
+  if (found != suspects_.end()) {
+    by_last_crash_.erase({found->second.last_crash_at, request});
+    suspects_.erase(found);
+  }
+}
+
+bool ServerCrashHistory::is_explained(const ServerCrash& end) const {
+  return std::any_of(explained_crashes_.begin(), explained_crashes_.end(), [&end](const ServerCrash& known) {
+    return known.request != end.request && is_same_crash(known, end);
+  });
+}
+
+void ServerCrashHistory::mark_as_cause(requests::RequestFingerprint request) {
+  const auto found = suspects_.find(request);
+  if (found == suspects_.end()) {
+    return;
+  }
+  const auto crashes = found->second.crashes;
+  for (const auto& end : crashes) {
+    if (!contains_crash(explained_crashes_, end)) {
+      explained_crashes_.push_back(end);
+    }
+  }
+  if (explained_crashes_.size() > kMaxExplainedCrashes) {
+    explained_crashes_.erase(explained_crashes_.begin(), explained_crashes_.end() - kMaxExplainedCrashes);
+  }
+  std::vector<requests::RequestFingerprint> cleared;
+  for (auto& [other, suspect] : suspects_) {
+    if (other == request) {
+      continue;
+    }
+    std::erase_if(suspect.crashes, [&crashes](const ServerCrash& end) { return contains_crash(crashes, end); });
+    if (suspect.crashes.empty()) {
+      cleared.push_back(other);
+    }
+  }
+  for (const auto other : cleared) {
+    erase(other);
+  }
+}
+
+void ServerCrashHistory::forget_old(TimePoint now) {
+  while (!by_last_crash_.empty() && now - by_last_crash_.begin()->first > kRetentionTime) {
+    erase(by_last_crash_.begin()->second);
+  }
+  std::erase_if(explained_crashes_, [now](const ServerCrash& end) { return now - end.at > kRetentionTime; });
+}
+
+std::vector<ServerCrash> ServerCrashHistory::newest_crashes(size_t max_crashes) const {
+  std::vector<ServerCrash> result;
+  for (auto item = by_last_crash_.rbegin(); item != by_last_crash_.rend(); ++item) {
+    const auto& crashes = suspects_.at(item->second).crashes;
+    if (result.size() + crashes.size() > max_crashes) {
+      break;
+    }
+    result.insert(result.end(), crashes.begin(), crashes.end());
+  }
+  return result;
+}
+
+}  // namespace larchlever::fleet
--- a/src/core/fleet/slot_scheduler.cc
+++ b/src/core/fleet/slot_scheduler.cc
@@ -34,7 +34,7 @@
 void SlotScheduler::start(int64_t term) {
   term_ = term;
   groups_.clear();
-  silence_ = SilenceWatch();
+  silence_ = GroupStallDetector();
   open_groups_.clear();
   nodes_.clear();
   arrived_.clear();
@@ -131,7 +131,7 @@
     }
     const auto next = group.clock.forecast(now, *service->second.engine, *model, group.in_flight, 0);
     const Duration longest_pass = std::max(next.longest_pass, group.clock.longest_recent_pass());
-    if (silence_.stands_still(now, name, longest_pass)) {
+    if (silence_.is_stalled(now, name, longest_pass)) {
       group.has_failed = true;
       group.is_open = false;
       result.push_back(name);
--- a/src/core/fleet/slot_scheduler.h
+++ b/src/core/fleet/slot_scheduler.h
@@ -11,8 +11,8 @@
 #include "core/base/time.h"
 #include "core/document/configuration_document.h"
 #include "core/engine/pass_clock.h"
+#include "core/fleet/group_stall_detector.h"
 #include "core/fleet/server_rates.h"
-#include "core/fleet/silence_watch.h"
 #include "larchlever_types.h"
 
 namespace larchlever::fleet {
@@ -179,7 +179,7 @@
 
   int64_t term_ = 0;
   std::map<std::string, Group> groups_;
-  SilenceWatch silence_;
+  GroupStallDetector silence_;
   /// The open groups of each model.
   std::map<ModelKey, std::vector<GroupItem*>> open_groups_;
   std::map<std::string, Node> nodes_;
--- a/src/node/block_gate.cc
+++ b/src/node/block_gate.cc
@@ -26,18 +26,18 @@
 /// Callers of a blocked request are told to come back no sooner than this.
 constexpr Duration kShortestReturn = seconds(1);
 
-fleet::Look look_of(net::ListenerState state) {
+fleet::ProbeResult look_of(net::ListenerState state) {
   switch (state) {
     case net::ListenerState::kRefused:
-      return fleet::Look::kRefused;
+      return fleet::ProbeResult::kRefused;
     case net::ListenerState::kClosed:
-      return fleet::Look::kClosed;
+      return fleet::ProbeResult::kClosed;
     case net::ListenerState::kListening:
-      return fleet::Look::kOpen;
+      return fleet::ProbeResult::kOpen;
     case net::ListenerState::kUnknown:
       break;
   }
-  return fleet::Look::kSilent;
+  return fleet::ProbeResult::kTimedOut;
 }
 
 }  // namespace
@@ -55,8 +55,8 @@
   const TimePoint begin = monotonic_now();
   const auto is_worth_waiting = [&] {
     const Duration waited = monotonic_now() - begin;
-    return (lost_.awaits_first_look(incarnation) && waited < kFirstLookPatience) ||
-           (lost_.seems_gone(incarnation) && waited < kSecondLookPatience);
+    return (lost_.awaits_first_probe(incarnation) && waited < kFirstLookPatience) ||
+           (lost_.seems_down(incarnation) && waited < kSecondLookPatience);
   };
   while (is_worth_waiting()) {
     timer.expires_after(kLookPause);
@@ -102,7 +102,7 @@
 
 void BlockGate::answer_lost(RelayedRequest& request, const fleet::Target& target) {
   request.answer_lost_at = target.incarnation;
-  if (lost_.note_loss(monotonic_now(), target.incarnation, request.fingerprint)) {
+  if (lost_.note_lost_response(monotonic_now(), target.incarnation, request.fingerprint)) {
     asio::co_spawn(executor_, watch(target), asio::detached);
   }
 }
@@ -110,7 +110,7 @@
 asio::awaitable<void> BlockGate::watch(fleet::Target target) {
   const std::weak_ptr<bool> alive = alive_;
   asio::steady_timer timer(executor_);
-  while (const auto next = lost_.next_look(target.incarnation)) {
+  while (const auto next = lost_.next_probe_time(target.incarnation)) {
     timer.expires_after(std::max(Duration::zero(), *next - monotonic_now()));
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     if (alive.expired()) {
@@ -121,12 +121,12 @@
       co_return;
     }
     const TimePoint now = monotonic_now();
-    if (const auto ended = lost_.note_look(now, target.incarnation, look_of(state))) {
+    if (const auto ended = lost_.note_probe(now, target.incarnation, look_of(state))) {
       state_.dispatcher.avoid(now, target.key);
       note_ended(target.incarnation, *ended);
     }
   }
-  if (const auto ended = lost_.take_suspicion(target.incarnation)) {
+  if (const auto ended = lost_.take_suspected_crash(target.incarnation)) {
     note_ended(target.incarnation, *ended);
   }
 }
@@ -137,13 +137,13 @@
   }
 }
 
-void BlockGate::note_ended(const std::string& incarnation, const fleet::EndedServer& ended) {
+void BlockGate::note_ended(const std::string& incarnation, const fleet::CrashedServer& ended) {
   for (const auto fingerprint : ended.requests) {
     const size_t ends = state_.blocked.note_end({fingerprint, incarnation, ended.at, ended.certainty});
     log_event("", "server_ended_under_request",
               {{"fingerprint", to_string(fingerprint)},
                {"instance", incarnation},
-               {"is_proved", ended.certainty == fleet::Certainty::kProved ? "yes" : "no"},
+               {"is_proved", ended.certainty == fleet::CrashCertainty::kConfirmed ? "yes" : "no"},
                {"ends_seen_here", std::to_string(ends)}});
   }
   slots_.note_change();  // The leader hears of it within milliseconds.
--- a/src/node/block_gate.h
+++ b/src/node/block_gate.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "core/fleet/lost_answers.h"
+#include "core/fleet/crash_detector.h"
 #include "node/entry_state.h"
 #include "node/relayed_request.h"
 #include "node/slot_requester.h"
@@ -15,7 +15,7 @@
 /// Keeps requests from servers that would end under them: it finds out which servers ended while they ran a request,
 /// and lets no request pass that is blocked for it (`fleet::BlockedRequests`).
 ///
-/// An answer that breaks off does not prove that its server ended; `fleet::LostAnswers` weighs what is seen of the
+/// An answer that breaks off does not prove that its server ended; `fleet::CrashDetector` weighs what is seen of the
 /// server afterwards, and this class looks. One executor; not thread-safe.
 class BlockGate {
  public:
@@ -39,12 +39,12 @@
   boost::asio::awaitable<bool> may_repeat(RelayedRequest& request);
   /// Looks at the target until it is known whether it ended.
   boost::asio::awaitable<void> watch(fleet::Target target);
-  void note_ended(const std::string& incarnation, const fleet::EndedServer& ended);
+  void note_ended(const std::string& incarnation, const fleet::CrashedServer& ended);
 
   boost::asio::any_io_executor executor_;
   EntryState& state_;
   SlotRequester& slots_;
-  fleet::LostAnswers lost_;
+  fleet::CrashDetector lost_;
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/node/control_log.cc
+++ b/src/node/control_log.cc
@@ -29,14 +29,14 @@
 }
 
 void ControlLog::group_changed(const fleet::GroupDecision& decision) const {
-  log_event(
-      name_, "group_changed",
-      {{"group", decision.group.name},
-       {"epoch", std::to_string(decision.group.epoch)},
-       {"model", decision.group.model},
-       {"phase", decision.reason == fleet::GroupReason::kReleased ? "RELEASED" : wire::to_string(decision.group.phase)},
-       {"reason", fleet::to_string(decision.reason)},
-       {"members", joined(decision.group.members)}});
+  log_event(name_, "group_changed",
+            {{"group", decision.group.name},
+             {"epoch", std::to_string(decision.group.epoch)},
+             {"model", decision.group.model},
+             {"phase", decision.reason == fleet::GroupChangeReason::kReleased ? "RELEASED"
+                                                                              : wire::to_string(decision.group.phase)},
+             {"reason", fleet::to_string(decision.reason)},
+             {"members", joined(decision.group.members)}});
 }
 
 void ControlLog::report_instances(const fleet::FleetLeader& leader) {
@@ -44,7 +44,7 @@
   std::erase_if(reported_instances_, [&rows](const auto& item) { return !rows.contains(item.first); });
   for (const auto& [id, row] : rows) {
     const ReportedInstance state{row.instance.state,         row.instance.silent,  row.instance.model,
-                                 row.instance.staged_models, row.instance.born_ms, fleet::limit_of(row.instance)};
+                                 row.instance.staged_models, row.instance.born_ms, fleet::rate_limit_of(row.instance)};
     const auto [reported, is_new] = reported_instances_.try_emplace(id, state);
     if (!is_new && reported->second == state) {
       continue;
--- a/src/node/control_process.cc
+++ b/src/node/control_process.cc
@@ -55,7 +55,7 @@
 std::string order_body(const Dialect& dialect, const fleet::InstanceOrder& order) {
   json::object body;
   body["operation"] = operation_name(dialect, order.kind);
-  body["fencing_token"] = order.fence;
+  body["fencing_token"] = order.fencing_token;
   body["group"] = order.group;
   body["epoch"] = order.epoch;
   if (order.kind == fleet::OrderKind::kJoin) {
--- a/src/settings/fleet_settings.cc
+++ b/src/settings/fleet_settings.cc
@@ -93,7 +93,7 @@
   const Duration by_revocation = revocation - kRevocationMargin;
   const Duration by_evacuation = bounds.duration("evacuation", revocation) - kEvacuationMargin;
   options.document_lease = std::min(by_revocation, by_evacuation);
-  options.instance_silence =
+  options.instance_timeout =
       kMissedHeartbeats * bounds.duration("instance_heartbeat", milliseconds(1200)) + kHeartbeatSlack;
   options.stall_time = bounds.duration("stall", seconds(5));
   options.control.replica_timeout = bounds.duration("catch_up", seconds(4)) / kReplicaTimeoutShare;
--- a/tests/unit/blocked_requests_test.cc
+++ b/tests/unit/blocked_requests_test.cc
@@ -17,7 +17,7 @@
   return TimePoint(Duration(static_cast<int64_t>(seconds_from_start * 1e6) + 1'000'000'000));
 }
 
-ServerEnd end_of(RequestFingerprint request, const std::string& instance, double time) {
+ServerCrash end_of(RequestFingerprint request, const std::string& instance, double time) {
   return {request, instance, at(time)};
 }
 
@@ -140,8 +140,8 @@
   EXPECT_EQ(blocker.rows().back().fingerprint, 100 + 4999) << "those blocked last stay";
 }
 
-TEST(ServerEnds, RemembersABoundedNumberOfRequests) {
-  ServerEnds ends;
+TEST(ServerCrashHistory, RemembersABoundedNumberOfRequests) {
+  ServerCrashHistory ends;
   for (int number = 0; number < 10'000; ++number) {
     ends.note(end_of(RequestFingerprint(number), "i" + std::to_string(number), number * 0.001));
   }
--- a/tests/unit/cold_start_test.cc
+++ b/tests/unit/cold_start_test.cc
@@ -195,25 +195,26 @@
 
 TEST(InstanceDirectory, KnowsHowLongAServerIsColdByItsOwnWord) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, report(1, 2000));
+  directory.handle_report(kStart, report(1, 2000));
   EXPECT_TRUE(directory.find("i1")->cold);
-  EXPECT_FALSE(directory.heard(kStart + seconds(1), report(2, 1000))) << "no news for anybody";
+  EXPECT_FALSE(directory.handle_report(kStart + seconds(1), report(2, 1000))) << "no news for anybody";
   EXPECT_TRUE(directory.tick(kStart + milliseconds(2000)));
   EXPECT_FALSE(directory.find("i1")->cold);
-  EXPECT_TRUE(directory.heard(kStart + milliseconds(2100), report(3, 3000))) << "it may turn cold at any moment";
+  EXPECT_TRUE(directory.handle_report(kStart + milliseconds(2100), report(3, 3000)))
+      << "it may turn cold at any moment";
   EXPECT_TRUE(directory.find("i1")->cold);
 }
 
 // A report that was under way when the zone was restored says nothing of what became of its servers in between.
 TEST(InstanceDirectory, ExpectsServersOfARestoredZoneToBeColdUntilTheySayOtherwise) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, report(1, 0));
-  EXPECT_TRUE(directory.expect_cold(kStart, "north"));
-  directory.heard(kStart + milliseconds(100), report(2, 0));
+  directory.handle_report(kStart, report(1, 0));
+  EXPECT_TRUE(directory.mark_zone_cold(kStart, "north"));
+  directory.handle_report(kStart + milliseconds(100), report(2, 0));
   EXPECT_TRUE(directory.find("i1")->cold);
-  directory.heard(kStart + milliseconds(1200), report(3, 0));
+  directory.handle_report(kStart + milliseconds(1200), report(3, 0));
   EXPECT_FALSE(directory.find("i1")->cold);
-  EXPECT_FALSE(directory.expect_cold(kStart, "south"));
+  EXPECT_FALSE(directory.mark_zone_cold(kStart, "south"));
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/unit/crash_detector_test.cc
@@ -0,0 +1,187 @@
+#include "core/fleet/crash_detector.h"
+
+#include <gtest/gtest.h>
+
+#include "core/fleet/blocked_requests.h"
+#include "core/fleet/request_blocker.h"
+
+namespace larchlever::fleet {
+namespace {
+
+using requests::RequestFingerprint;
+
+const RequestFingerprint kFirst(1);
+const RequestFingerprint kSecond(2);
+constexpr const char* kServer = "i1@5";
+
+TimePoint at(double seconds_from_start) {
+  return TimePoint(Duration(static_cast<int64_t>(seconds_from_start * 1e6) + 1'000'000'000));
+}
+
+/// Answers of both requests were lost at one server.
+CrashDetector detector_with_two_lost_responses() {
+  CrashDetector detector;
+  EXPECT_TRUE(detector.note_lost_response(at(1), kServer, kFirst));
+  EXPECT_FALSE(detector.note_lost_response(at(1.05), kServer, kSecond)) << "it is looked at already";
+  return detector;
+}
+
+TEST(CrashDetector, RefusedConnectionConfirmsCrash) {
+  auto detector = detector_with_two_lost_responses();
+  EXPECT_EQ(detector.next_probe_time(kServer), at(1));
+  EXPECT_FALSE(detector.note_probe(at(1), kServer, ProbeResult::kOpen));
+  EXPECT_EQ(detector.next_probe_time(kServer), at(1.02));
+  const auto crashed = detector.note_probe(at(1.02), kServer, ProbeResult::kRefused);
+  ASSERT_TRUE(crashed);
+  EXPECT_EQ(crashed->certainty, CrashCertainty::kConfirmed);
+  EXPECT_EQ(crashed->requests, (std::vector{kFirst, kSecond}));
+  EXPECT_FALSE(detector.next_probe_time(kServer));
+}
+
+TEST(CrashDetector, RepeatedlyClosedConnectionsMakeCrashLikely) {
+  auto detector = detector_with_two_lost_responses();
+  EXPECT_FALSE(detector.note_probe(at(1), kServer, ProbeResult::kClosed));
+  EXPECT_FALSE(detector.note_probe(at(1.06), kServer, ProbeResult::kClosed));
+  const auto crashed = detector.note_probe(at(1.15), kServer, ProbeResult::kClosed);
+  ASSERT_TRUE(crashed);
+  EXPECT_EQ(crashed->certainty, CrashCertainty::kLikely);
+}
+
+TEST(CrashDetector, OpenConnectionAfterClosedOnesClearsServer) {
+  auto detector = detector_with_two_lost_responses();
+  EXPECT_FALSE(detector.note_probe(at(1), kServer, ProbeResult::kClosed));
+  EXPECT_FALSE(detector.note_probe(at(1.02), kServer, ProbeResult::kClosed));
+  EXPECT_FALSE(detector.note_probe(at(1.06), kServer, ProbeResult::kOpen));
+  EXPECT_FALSE(detector.next_probe_time(kServer)) << "it listens";
+}
+
+// A proxy in front of a dead server keeps connections open, and its server was taken for one that lives.
+TEST(CrashDetector, PortThatStaysOpenMakesCrashLikelyOnce) {
+  auto detector = detector_with_two_lost_responses();
+  EXPECT_FALSE(detector.note_probe(at(1.02), kServer, ProbeResult::kOpen));
+  EXPECT_FALSE(detector.take_suspected_crash(kServer)) << "the port of a process closes later than its connections";
+  EXPECT_FALSE(detector.note_probe(at(1.06), kServer, ProbeResult::kOpen));
+  const auto crashed = detector.take_suspected_crash(kServer);
+  ASSERT_TRUE(crashed);
+  EXPECT_EQ(crashed->certainty, CrashCertainty::kLikely);
+  EXPECT_EQ(crashed->requests, (std::vector{kFirst, kSecond}));
+  EXPECT_FALSE(detector.take_suspected_crash(kServer));
+}
+
+TEST(CrashDetector, ProgressPreventsSuspectedCrash) {
+  auto detector = detector_with_two_lost_responses();
+  detector.note_progress(at(1.15), kServer);
+  detector.note_probe(at(1.16), kServer, ProbeResult::kOpen);
+  EXPECT_FALSE(detector.take_suspected_crash(kServer));
+}
+
+TEST(CrashDetector, ProgressClearsServerUnlessItWasInTransit) {
+  auto detector = detector_with_two_lost_responses();
+  detector.note_progress(at(1.05), kServer);
+  EXPECT_TRUE(detector.next_probe_time(kServer));
+  detector.note_progress(at(1.2), kServer);
+  EXPECT_FALSE(detector.next_probe_time(kServer));
+  EXPECT_FALSE(detector.note_probe(at(1.3), kServer, ProbeResult::kRefused)) << "nothing was lost there any more";
+}
+
+TEST(CrashDetector, RestartConfirmsCrash) {
+  auto detector = detector_with_two_lost_responses();
+  const auto crashed = detector.note_restart(kServer);
+  ASSERT_TRUE(crashed);
+  EXPECT_EQ(crashed->certainty, CrashCertainty::kConfirmed);
+  EXPECT_FALSE(detector.note_restart(kServer));
+}
+
+TEST(CrashDetector, ResponsesLostAfterTheCrashAreNotCounted) {
+  auto detector = detector_with_two_lost_responses();
+  detector.note_probe(at(1), kServer, ProbeResult::kClosed);
+  detector.note_lost_response(at(1.5), kServer, RequestFingerprint(3));
+  const auto crashed = detector.note_probe(at(1.6), kServer, ProbeResult::kClosed);
+  ASSERT_TRUE(crashed);
+  EXPECT_EQ(crashed->requests.size(), 2U);
+}
+
+TEST(CrashDetector, NumberOfProbesIsBounded) {
+  auto detector = detector_with_two_lost_responses();
+  int looks = 0;
+  while (const auto next = detector.next_probe_time(kServer)) {
+    ++looks;
+    detector.note_probe(*next, kServer, looks % 2 == 0 ? ProbeResult::kTimedOut : ProbeResult::kOpen);
+  }
+  EXPECT_LE(looks, 7);
+}
+
+ServerCrash likely_crash(RequestFingerprint request, const std::string& incarnation, double time) {
+  return {request, incarnation, at(time), CrashCertainty::kLikely};
+}
+
+// A cut between one entry and many servers looks like their end to that entry; the servers go on reporting.
+TEST(RequestBlocker, UnblocksRequestWhenLikelyCrashedServersReportAgain) {
+  RequestBlocker blocker;
+  blocker.start(at(0), {});
+  blocker.note_end(likely_crash(kFirst, "i1@5", 1));
+  blocker.note_end(likely_crash(kFirst, "i2@5", 1));
+  EXPECT_TRUE(blocker.note_end(likely_crash(kFirst, "i3@5", 1)));
+  EXPECT_FALSE(blocker.note_heard(at(1.1), "i1@5")) << "that report was on the way";
+  EXPECT_FALSE(blocker.note_heard(at(2), "i1@9")) << "another start of the server";
+  EXPECT_EQ(blocker.rows().size(), 1U);
+  EXPECT_TRUE(blocker.note_heard(at(2), "i1@5"));
+  EXPECT_TRUE(blocker.rows().empty());
+}
+
+// A new leader holds the block and none of the ends that it rests on. One likely end that it heard of itself, and that
+// was taken back, freed the request without a trial.
+TEST(RequestBlocker, KeepsBlockBasedOnCrashesCountedByPreviousLeader) {
+  RequestBlocker before;
+  before.start(at(0), {});
+  for (const char* incarnation : {"i1@5", "i2@5", "i3@5"}) {
+    before.note_end({kFirst, incarnation, at(1)});
+  }
+  RequestBlocker after;
+  after.start(at(2), before.rows());
+  after.note_end(likely_crash(kFirst, "i4@5", 2));
+  EXPECT_FALSE(after.note_heard(at(3), "i4@5"));
+  EXPECT_EQ(after.rows().size(), 1U);
+}
+
+TEST(RequestBlocker, KeepsRequestBlockedForConfirmedCrashes) {
+  RequestBlocker blocker;
+  blocker.start(at(0), {});
+  for (const char* incarnation : {"i1@5", "i2@5", "i3@5"}) {
+    blocker.note_end({kFirst, incarnation, at(1)});
+  }
+  EXPECT_FALSE(blocker.note_heard(at(2), "i1@5"));
+  EXPECT_EQ(blocker.rows().size(), 1U);
+}
+
+TEST(RequestBlocker, GrantsOneRepeatAtATimeToRequestWithCrashes) {
+  RequestBlocker blocker;
+  blocker.start(at(0), {});
+  EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst));
+  EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst)) << "no server ended under it";
+  blocker.note_end({kFirst, "i1@5", at(1)});
+  EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst));
+  EXPECT_FALSE(blocker.grant_repeat(at(1.1), kFirst));
+  EXPECT_TRUE(blocker.grant_repeat(at(1.1), kSecond));
+  EXPECT_TRUE(blocker.grant_repeat(at(2.1), kFirst)) << "the first one harmed nobody";
+  blocker.note_answered(kFirst);
+  EXPECT_TRUE(blocker.grant_repeat(at(2.2), kFirst));
+  blocker.note_end({kFirst, "i2@5", at(3)});
+  blocker.note_end({kFirst, "i3@5", at(3)});
+  blocker.note_end({kFirst, "i4@5", at(3)});
+  EXPECT_FALSE(blocker.grant_repeat(at(9), kFirst)) << "it is blocked";
+}
+
+TEST(BlockedRequests, LeavesLikelyCrashesToTheLeader) {
+  BlockedRequests blocked;
+  for (const char* incarnation : {"i1@5", "i2@5", "i3@5"}) {
+    blocked.note_end(likely_crash(kFirst, incarnation, 1));
+  }
+  EXPECT_EQ(blocked.judge(at(1), kFirst), BlockedRequests::Verdict::kFree);
+  const auto reports = blocked.take_ends(at(1));
+  ASSERT_EQ(reports.size(), 3U);
+  EXPECT_TRUE(reports[0].is_likely);
+}
+
+}  // namespace
+}  // namespace larchlever::fleet
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -29,80 +29,80 @@
   InstanceDirectory directory{seconds(3)};
   auto leaving = instance("i1", "a:1", 5);
   leaving.state = wire::InstanceState::DRAINING;
-  EXPECT_TRUE(directory.heard(kStart, instance("i1", "a:1", 4)));
-  EXPECT_TRUE(directory.heard(kStart, leaving));
-  EXPECT_FALSE(directory.heard(kStart, instance("i1", "a:1", 3))) << "a late report";
-  EXPECT_FALSE(directory.heard(kStart, instance("i1", "a:1", 6))) << "ready again is not believed";
+  EXPECT_TRUE(directory.handle_report(kStart, instance("i1", "a:1", 4)));
+  EXPECT_TRUE(directory.handle_report(kStart, leaving));
+  EXPECT_FALSE(directory.handle_report(kStart, instance("i1", "a:1", 3))) << "a late report";
+  EXPECT_FALSE(directory.handle_report(kStart, instance("i1", "a:1", 6))) << "ready again is not believed";
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::DRAINING);
   EXPECT_TRUE(directory.deregister(kStart, "i1"));
-  EXPECT_FALSE(directory.heard(kStart, instance("i1", "a:1", 7)));
+  EXPECT_FALSE(directory.handle_report(kStart, instance("i1", "a:1", 7)));
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::GONE);
 }
 
 TEST(InstanceDirectory, AnAddressBelongsToWhoGoesOnReportingThere) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, instance("i1", "a:1"));
-  directory.heard(kStart, instance("i2", "a:1"));
+  directory.handle_report(kStart, instance("i1", "a:1"));
+  directory.handle_report(kStart, instance("i2", "a:1"));
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::READY) << "i2 may be long gone";
-  EXPECT_FALSE(directory.rows().at("i2").is_settled());
-  EXPECT_TRUE(directory.heard(kStart + milliseconds(1200), instance("i2", "a:1", 2)));
+  EXPECT_FALSE(directory.rows().at("i2").is_confirmed());
+  EXPECT_TRUE(directory.handle_report(kStart + milliseconds(1200), instance("i2", "a:1", 2)));
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::GONE);
   EXPECT_EQ(directory.find("i2")->state, wire::InstanceState::READY);
-  EXPECT_TRUE(directory.rows().at("i2").is_settled());
+  EXPECT_TRUE(directory.rows().at("i2").is_confirmed());
 }
 
 TEST(InstanceDirectory, ALateHeartbeatOfAnEndedInstanceDisplacesNobody) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, instance("living", "a:1"));
+  directory.handle_report(kStart, instance("living", "a:1"));
   // What the ended one sent behind a cut arrives in a burst.
-  directory.heard(kStart + milliseconds(500), instance("ended", "a:1", 7));
-  directory.heard(kStart + milliseconds(510), instance("ended", "a:1", 8));
+  directory.handle_report(kStart + milliseconds(500), instance("ended", "a:1", 7));
+  directory.handle_report(kStart + milliseconds(510), instance("ended", "a:1", 8));
   TimePoint now = kStart;
   for (int64_t call = 2; call < 6; ++call) {
     now += milliseconds(1200);
-    directory.heard(now, instance("living", "a:1", call));
+    directory.handle_report(now, instance("living", "a:1", call));
     directory.tick(now);
   }
   EXPECT_EQ(directory.find("living")->state, wire::InstanceState::READY);
-  EXPECT_TRUE(directory.rows().at("living").is_settled());
+  EXPECT_TRUE(directory.rows().at("living").is_confirmed());
   EXPECT_EQ(directory.find("ended")->state, wire::InstanceState::GONE);
 }
 
 TEST(InstanceDirectory, ALateHeartbeatThatComesFirstKeepsNoAddress) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, instance("ended", "a:1", 7));
-  directory.heard(kStart + milliseconds(100), instance("living", "a:1"));
-  directory.heard(kStart + milliseconds(150), instance("ended", "a:1", 8));
-  directory.heard(kStart + milliseconds(1300), instance("living", "a:1", 2));
+  directory.handle_report(kStart, instance("ended", "a:1", 7));
+  directory.handle_report(kStart + milliseconds(100), instance("living", "a:1"));
+  directory.handle_report(kStart + milliseconds(150), instance("ended", "a:1", 8));
+  directory.handle_report(kStart + milliseconds(1300), instance("living", "a:1", 2));
   EXPECT_EQ(directory.find("living")->state, wire::InstanceState::READY);
-  EXPECT_TRUE(directory.rows().at("living").is_settled());
+  EXPECT_TRUE(directory.rows().at("living").is_confirmed());
   EXPECT_EQ(directory.find("ended")->state, wire::InstanceState::GONE);
 }
 
 TEST(InstanceDirectory, ANewLeaderKeepsTheLivingInstanceWhateverItsCopyNames) {
   InstanceDirectory directory{seconds(3)};
   directory.start(kStart, {instance("living", "a:1", 5)});
-  directory.heard(kStart + milliseconds(100), instance("ended", "a:1", 7));
+  directory.handle_report(kStart + milliseconds(100), instance("ended", "a:1", 7));
   TimePoint now = kStart + milliseconds(200);
   for (int64_t call = 6; call < 10; ++call) {
-    directory.heard(now, instance("living", "a:1", call));
+    directory.handle_report(now, instance("living", "a:1", call));
     now += milliseconds(1200);
     directory.tick(now);
   }
   EXPECT_EQ(directory.find("living")->state, wire::InstanceState::READY);
-  EXPECT_TRUE(directory.rows().at("living").is_settled());
+  EXPECT_TRUE(directory.rows().at("living").is_confirmed());
 }
 
 TEST(InstanceDirectory, SilenceOfMostIsTakenForOurOwn) {
   InstanceDirectory directory{seconds(3)};
   for (int number = 0; number < 4; ++number) {
-    directory.heard(kStart, instance("i" + std::to_string(number), "a:" + std::to_string(number)));
+    directory.handle_report(kStart, instance("i" + std::to_string(number), "a:" + std::to_string(number)));
   }
   const TimePoint later = kStart + seconds(4);
   EXPECT_FALSE(directory.tick(later)) << "all four at once";
-  directory.heard(later, instance("i0", "a:0", 2));
-  directory.heard(later, instance("i1", "a:1", 2));
-  directory.heard(later, instance("i2", "a:2", 2));
+  directory.handle_report(later, instance("i0", "a:0", 2));
+  directory.handle_report(later, instance("i1", "a:1", 2));
+  directory.handle_report(later, instance("i2", "a:2", 2));
   EXPECT_TRUE(directory.tick(later));
   EXPECT_TRUE(directory.find("i3")->silent);
   EXPECT_FALSE(directory.find("i0")->silent);
@@ -111,12 +111,12 @@
 TEST(InstanceDirectory, OnesOwnPauseIsNobodysSilence) {
   InstanceDirectory directory{seconds(3)};
   for (int number = 0; number < 4; ++number) {
-    directory.heard(kStart, instance("i" + std::to_string(number), "a:" + std::to_string(number)));
+    directory.handle_report(kStart, instance("i" + std::to_string(number), "a:" + std::to_string(number)));
   }
   const TimePoint woken = kStart + seconds(11);
-  directory.heard(woken, instance("i0", "a:0", 2));  // Read before the pause was noticed.
-  directory.heard(woken, instance("i1", "a:1", 2));
-  directory.heard(woken, instance("i2", "a:2", 2));
+  directory.handle_report(woken, instance("i0", "a:0", 2));  // Read before the pause was noticed.
+  directory.handle_report(woken, instance("i1", "a:1", 2));
+  directory.handle_report(woken, instance("i2", "a:2", 2));
   directory.note_own_pause(woken, seconds(10));
   EXPECT_FALSE(directory.tick(woken));
   EXPECT_FALSE(directory.find("i3")->silent);
--- a/tests/unit/group_death_replay_test.cc
+++ b/tests/unit/group_death_replay_test.cc
@@ -18,13 +18,13 @@
 constexpr Duration kEntryTick = milliseconds(25);
 constexpr Duration kLeaderTick = milliseconds(5);
 /// From sending to the first event at a group that works, and the callers' objective for it.
-constexpr Duration kFirstEvent = milliseconds(150);
-constexpr Duration kObjective = milliseconds(300);
+constexpr Duration kFirstEventLatency = milliseconds(150);
+constexpr Duration kLatencyObjective = milliseconds(300);
 /// Arrivals at the group, one after the other.
-constexpr Duration kArrivalGap = milliseconds(45);
+constexpr Duration kArrivalInterval = milliseconds(45);
 /// The time that an entry alone lets a group stand still before it gives up what it has there.
-constexpr Duration kStallAlone = milliseconds(900);
-constexpr Duration kStallEachAlone = milliseconds(100);
+constexpr Duration kSingleEntryStallTimeout = milliseconds(900);
+constexpr Duration kSingleEntryStallTimeoutPerStream = milliseconds(100);
 
 document::ConfigurationDocument engine_document() {
   document::ServiceSpec service;
@@ -66,39 +66,39 @@
       entry.note_gap("s", "m", milliseconds(200));
       entry.begin(kStart, target_, marks_[number]);
       entry.note_first_event(kStart, target_, marks_[number]);
-      tell_load(number);
+      report_load(number);
     }
   }
 
-  void tell_load(int number) {
+  void report_load(int number) {
     wire::GroupLoad load;
     load.group = "g0";
     load.in_flight = 1;
     load.streaming = 1;
-    scheduler_.note_loads(name_of(number), {load}, true, 1, 0);
+    scheduler_.note_loads(entry_name(number), {load}, true, 1, 0);
   }
 
-  static std::string name_of(int number) { return "e" + std::to_string(number); }
+  static std::string entry_name(int number) { return "e" + std::to_string(number); }
 
   /// Plays the group's passes until `end`; those that would end after `death` bring nothing. Entries numbered below
   /// `cut_off` see nothing from `cut` on. Returns when the leader finds that the group stands still, or `end`.
-  TimePoint play(TimePoint death, TimePoint end, int cut_off = 0, TimePoint cut = TimePoint::max()) {
+  TimePoint run(TimePoint death, TimePoint end, int cut_off = 0, TimePoint cut = TimePoint::max()) {
     std::mt19937 random(7);
-    TimePoint pass_ends = kStart;
+    TimePoint pass_ends_at = kStart;
     for (TimePoint now = kStart; now < end; now += milliseconds(1)) {
-      while (pass_ends <= now && pass_ends < death) {
+      while (pass_ends_at <= now && pass_ends_at < death) {
         for (int number = 0; number < kEntries; ++number) {
           if (number >= cut_off || now < cut) {
             entries_[number].note_progress(now, target_);
           }
         }
         // One pass in three reads a prompt beside its writing.
-        pass_ends += random() % 3 == 0 ? milliseconds(70) : milliseconds(42);
+        pass_ends_at += random() % 3 == 0 ? milliseconds(70) : milliseconds(42);
       }
       const auto age = now - kStart;
       for (int number = 0; number < kEntries; ++number) {
         if ((age + milliseconds(number)) % kEntryTick == Duration::zero()) {
-          scheduler_.note_quiet(now, name_of(number), entries_[number].quiet_groups(now));
+          scheduler_.note_quiet(now, entry_name(number), entries_[number].quiet_groups(now));
         }
       }
       if (age % kLeaderTick == Duration::zero() && !scheduler_.find_failed_groups(now, document_).empty()) {
@@ -110,13 +110,13 @@
 
   /// Of the callers that are sent to the group in the half second after its death, the share that is answered within
   /// the objective when all entries give the group up at `known`.
-  static double share_in_time(TimePoint death, TimePoint known) {
+  static double share_within_objective(TimePoint death, TimePoint detected_at) {
     int sent = 0;
     int in_time = 0;
-    for (TimePoint arrival = death; arrival < death + milliseconds(500); arrival += kArrivalGap) {
-      const TimePoint first_event = std::max(arrival, known) + kFirstEvent;
+    for (TimePoint arrival = death; arrival < death + milliseconds(500); arrival += kArrivalInterval) {
+      const TimePoint first_event = std::max(arrival, detected_at) + kFirstEventLatency;
       ++sent;
-      in_time += first_event - arrival <= kObjective ? 1 : 0;
+      in_time += first_event - arrival <= kLatencyObjective ? 1 : 0;
     }
     return static_cast<double>(in_time) / sent;
   }
@@ -129,28 +129,30 @@
   SlotScheduler scheduler_;
 };
 
-TEST_F(GroupDeathReplay, CallersSentToADeadGroupAreSentElsewhereWithinTheirObjective) {
+TEST_F(GroupDeathReplay, RetriesRequestsOfFailedGroupWithinLatencyObjective) {
   const TimePoint death = kStart + seconds(5);
-  const TimePoint known = play(death, death + seconds(2));
-  EXPECT_LE(known - death, milliseconds(150));
-  EXPECT_GE(share_in_time(death, known), 0.99);
-
-  TimePoint known_alone = death;
-  while (entries_[0].stalled_groups(known_alone, kStallAlone, kStallEachAlone).empty()) {
-    known_alone += milliseconds(1);
+  const TimePoint detected_at = run(death, death + seconds(2));
+  EXPECT_LE(detected_at - death, milliseconds(150));
+  EXPECT_GE(share_within_objective(death, detected_at), 0.99);
+
+  TimePoint detected_by_one_entry_at = death;
+  while (entries_[0]
+             .stalled_groups(detected_by_one_entry_at, kSingleEntryStallTimeout, kSingleEntryStallTimeoutPerStream)
+             .empty()) {
+    detected_by_one_entry_at += milliseconds(1);
   }
-  EXPECT_LE(share_in_time(death, known_alone), 0.6) << "what an entry's own evidence would give";
-  EXPECT_GT(known_alone - death, milliseconds(350));
+  EXPECT_LE(share_within_objective(death, detected_by_one_entry_at), 0.6) << "what an entry's own evidence would give";
+  EXPECT_GT(detected_by_one_entry_at - death, milliseconds(350));
 }
 
-TEST_F(GroupDeathReplay, AGroupThatWorksIsNeverFoundToStandStill) {
+TEST_F(GroupDeathReplay, NeverReportsHealthyGroupAsStalled) {
   const TimePoint end = kStart + seconds(60);
-  EXPECT_EQ(play(TimePoint::max(), end), end);
+  EXPECT_EQ(run(TimePoint::max(), end), end);
 }
 
-TEST_F(GroupDeathReplay, AZoneOfEntriesThatIsCutOffDoesNotCondemnTheGroup) {
+TEST_F(GroupDeathReplay, DoesNotReportGroupAsStalledWhenOneZoneOfEntriesIsPartitioned) {
   const TimePoint end = kStart + seconds(10);
-  EXPECT_EQ(play(TimePoint::max(), end, kEntries / 3, kStart + seconds(5)), end);
+  EXPECT_EQ(run(TimePoint::max(), end, kEntries / 3, kStart + seconds(5)), end);
 }
 
 }  // namespace
--- a/tests/unit/silence_watch_test.cc
+++ b/tests/unit/group_stall_detector_test.cc
@@ -1,4 +1,4 @@
-#include "core/fleet/silence_watch.h"
+#include "core/fleet/group_stall_detector.h"
 
 #include <gtest/gtest.h>
 
@@ -13,60 +13,60 @@
 std::string entry(int number) { return "e" + std::to_string(number); }
 
 /// A watch that knows of one stream of group g at each of `entries` entries.
-SilenceWatch watch_of(int entries) {
-  SilenceWatch watch;
+GroupStallDetector detector_with_streams(int entries) {
+  GroupStallDetector detector;
   for (int number = 0; number < entries; ++number) {
-    watch.note_streams(entry(number), "g", 1);
+    detector.note_streams(entry(number), "g", 1);
   }
-  return watch;
+  return detector;
 }
 
-TEST(SilenceWatch, AGroupStandsStillWhenMostEntriesWithStreamsThereSaySo) {
-  auto watch = watch_of(8);
+TEST(GroupStallDetector, ReportsStallWhenMostEntriesWithStreamsReportQuiet) {
+  auto detector = detector_with_streams(8);
   for (int number = 0; number < 5; ++number) {
-    watch.note_quiet(kStart, entry(number), {"g"});
+    detector.note_quiet(kStart, entry(number), {"g"});
   }
   const TimePoint later = kStart + milliseconds(200);
-  EXPECT_TRUE(watch.is_quiet(later, "g"));
-  EXPECT_FALSE(watch.stands_still(later, "g", kPass)) << "five of eight";
-  watch.note_quiet(kStart, entry(5), {"g"});
-  EXPECT_TRUE(watch.stands_still(later, "g", kPass));
-  watch.note_quiet(later, entry(0), {});
-  EXPECT_FALSE(watch.stands_still(later, "g", kPass)) << "one of them saw progress again";
+  EXPECT_TRUE(detector.is_quiet(later, "g"));
+  EXPECT_FALSE(detector.is_stalled(later, "g", kPass)) << "five of eight";
+  detector.note_quiet(kStart, entry(5), {"g"});
+  EXPECT_TRUE(detector.is_stalled(later, "g", kPass));
+  detector.note_quiet(later, entry(0), {});
+  EXPECT_FALSE(detector.is_stalled(later, "g", kPass)) << "one of them saw progress again";
   for (int number = 0; number < 8; ++number) {
-    watch.note_quiet(later, entry(number), {});
+    detector.note_quiet(later, entry(number), {});
   }
-  EXPECT_TRUE(watch.quiet_groups().empty());
+  EXPECT_TRUE(detector.quiet_groups().empty());
 }
 
-TEST(SilenceWatch, TwoEntriesAloneProveNothing) {
-  auto watch = watch_of(2);
-  watch.note_quiet(kStart, entry(0), {"g"});
-  watch.note_quiet(kStart, entry(1), {"g"});
-  EXPECT_FALSE(watch.stands_still(kStart + seconds(1), "g", kPass));
+TEST(GroupStallDetector, TwoEntriesAreNotEnoughForAStall) {
+  auto detector = detector_with_streams(2);
+  detector.note_quiet(kStart, entry(0), {"g"});
+  detector.note_quiet(kStart, entry(1), {"g"});
+  EXPECT_FALSE(detector.is_stalled(kStart + seconds(1), "g", kPass));
 }
 
-TEST(SilenceWatch, ALongPassIsWaitedFor) {
-  auto watch = watch_of(4);
+TEST(GroupStallDetector, WaitsForALongPass) {
+  auto detector = detector_with_streams(4);
   for (int number = 0; number < 4; ++number) {
-    watch.note_quiet(kStart, entry(number), {"g"});
+    detector.note_quiet(kStart, entry(number), {"g"});
   }
-  EXPECT_FALSE(watch.stands_still(kStart + milliseconds(100), "g", milliseconds(240)));
-  EXPECT_TRUE(watch.stands_still(kStart + milliseconds(350), "g", milliseconds(240)));
+  EXPECT_FALSE(detector.is_stalled(kStart + milliseconds(100), "g", milliseconds(240)));
+  EXPECT_TRUE(detector.is_stalled(kStart + milliseconds(350), "g", milliseconds(240)));
 }
 
-TEST(SilenceWatch, TheWordOfEntriesThatAreGoneOrHaveNoStreamsThereCountsNot) {
-  auto watch = watch_of(4);
+TEST(GroupStallDetector, IgnoresEntriesThatAreGoneOrHaveNoStreams) {
+  auto detector = detector_with_streams(4);
   for (int number = 0; number < 4; ++number) {
-    watch.note_quiet(kStart, entry(number), {"g"});
+    detector.note_quiet(kStart, entry(number), {"g"});
   }
-  watch.note_streams(entry(0), "g", 0);
-  watch.forget_node(entry(1));
-  EXPECT_FALSE(watch.stands_still(kStart + milliseconds(500), "g", kPass)) << "two are left";
-  EXPECT_FALSE(watch.stands_still(kStart + seconds(3), "g", kPass)) << "words not repeated are void";
+  detector.note_streams(entry(0), "g", 0);
+  detector.forget_node(entry(1));
+  EXPECT_FALSE(detector.is_stalled(kStart + milliseconds(500), "g", kPass)) << "two are left";
+  EXPECT_FALSE(detector.is_stalled(kStart + seconds(3), "g", kPass)) << "words not repeated are void";
 }
 
-TEST(TargetHealth, StreamsAreOverdueByWhatTheyUsedToPause) {
+TEST(TargetHealth, StreamsAreOverdueComparedWithTheirUsualPauses) {
   constexpr Duration kLongestPause = milliseconds(240);
   TargetHealth health;
   SendingMark mark;
@@ -90,7 +90,7 @@
   EXPECT_TRUE(health.is_overdue(now + milliseconds(241), kLongestPause));
 }
 
-TEST(TargetHealth, AStrictObjectiveBoundsWhatIsAllowed) {
+TEST(TargetHealth, StrictObjectiveLimitsAllowedPause) {
   constexpr Duration kLongestPause = milliseconds(60);
   TargetHealth health;
   SendingMark mark;
--- a/tests/unit/group_supervisor_test.cc
+++ b/tests/unit/group_supervisor_test.cc
@@ -33,7 +33,7 @@
 }
 
 /// Join orders that a supervisor sends in a second of ticks.
-size_t joins_in_a_second(GroupSupervisor& supervisor, TimePoint from, const InstanceDirectory& directory) {
+size_t count_joins_in_one_second(GroupSupervisor& supervisor, TimePoint from, const InstanceDirectory& directory) {
   const auto document = document_with_engine();
   size_t joins = 0;
   for (TimePoint now = from; now < from + seconds(1); now += milliseconds(40)) {
@@ -45,33 +45,33 @@
   return joins;
 }
 
-TEST(GroupSupervisor, AFreeServerWithWeightsOnItsHostIsOrderedToTakeThemOnce) {
+TEST(GroupSupervisor, OrdersFreeServerToLoadStagedWeightsOnlyOnce) {
   InstanceDirectory directory(seconds(3));
-  directory.heard(kStart, instance_with_staged("large"));
+  directory.handle_report(kStart, instance_with_staged("large"));
   GroupSupervisor supervisor{FleetOptions()};
   supervisor.start(kStart, 3, {});
-  EXPECT_EQ(joins_in_a_second(supervisor, kStart + milliseconds(10), directory), 1U)
+  EXPECT_EQ(count_joins_in_one_second(supervisor, kStart + milliseconds(10), directory), 1U)
       << "a second order would begin the join anew";
   auto loaded = instance_with_staged("large");
   loaded.call_number = 2;
   loaded.model = "large";
-  loaded.membership.group = holding_group_name(3, 1);
+  loaded.membership.group = spare_group_name(3, 1);
   loaded.membership.epoch = 1;
   loaded.membership.state = wire::MembershipState::READY;
-  directory.heard(kStart + seconds(2), loaded);
-  EXPECT_EQ(joins_in_a_second(supervisor, kStart + seconds(2), directory), 0U);
+  directory.handle_report(kStart + seconds(2), loaded);
+  EXPECT_EQ(count_joins_in_one_second(supervisor, kStart + seconds(2), directory), 0U);
   EXPECT_TRUE(supervisor.snapshot().empty()) << "the group of one is nobody's to dissolve";
 }
 
 // The loads of the groups formed in one plan count against each other, though they are counted only once a plan.
-TEST(GroupSupervisor, AllGroupsOfOnePlanTogetherKeepTheLimitOfLoads) {
+TEST(GroupSupervisor, AppliesLoadLimitAcrossAllGroupsOfOnePlan) {
   InstanceDirectory directory(seconds(3));
   for (int number = 0; number < 24; ++number) {
     auto free = instance_with_staged("");
     free.staged_models.clear();
     free.id = "i" + std::to_string(number);
     free.address = "a:" + std::to_string(number + 1);
-    directory.heard(kStart, free);
+    directory.handle_report(kStart, free);
   }
   auto document = document_with_engine();
   document.services["s"].engine->loads_at_once = 8;
@@ -80,15 +80,16 @@
   for (int tick = 1; tick <= 20; ++tick) {
     supervisor.tick(kStart + milliseconds(40 * tick), document, directory);
   }
-  size_t servers_loading = 0;
+  size_t joining_servers = 0;
   for (const auto& group : supervisor.snapshot()) {
-    servers_loading += group.members.size();
+    joining_servers += group.members.size();
   }
-  EXPECT_EQ(servers_loading, 8U) << "two groups of four; nobody has finished a load yet";
+  EXPECT_EQ(joining_servers, 8U) << "two groups of four; nobody has finished a load yet";
 }
 
 /// Join orders that a supervisor sends in a second of ticks while every order is answered as done.
-size_t joins_while_all_is_answered(GroupSupervisor& supervisor, TimePoint from, const InstanceDirectory& directory) {
+size_t count_joins_with_all_orders_answered(GroupSupervisor& supervisor, TimePoint from,
+                                            const InstanceDirectory& directory) {
   const auto document = document_with_engine();
   size_t joins = 0;
   for (TimePoint now = from; now < from + seconds(1); now += milliseconds(40)) {
@@ -140,26 +141,26 @@
 //   6.397 s core-1 group_changed group=g2-82 phase=OPENING members=i-04e3799ed7,...
 //   7.492 s core-2 group_changed group=g2-16 phase=DISSOLVING
 //   7.580 s core-2 order_answered operation=join instance=i-04e3799ed7 group=g3-1-single status=202
-TEST(GroupSupervisor, AHeadIsNotFencedBeforeItSaysWhichGroupItIsIn) {
+TEST(GroupSupervisor, DoesNotFenceInheritedHeadBeforeItReportsItsGroup) {
   const InheritedGroup inherited = inherited_open_group();
   InstanceDirectory directory(seconds(3));
   directory.start(kStart, inherited.instances);
   GroupSupervisor supervisor{FleetOptions()};
   supervisor.start(kStart, 3, {inherited.group});
   supervisor.note_failure(inherited.group.name);
-  EXPECT_EQ(joins_while_all_is_answered(supervisor, kStart, directory), 0U) << "the head has not spoken yet";
+  EXPECT_EQ(count_joins_with_all_orders_answered(supervisor, kStart, directory), 0U) << "the head has not spoken yet";
   auto head = inherited.instances.front();
   head.call_number = 9;
   head.membership.group = "g2-82";
   head.membership.epoch = 82;
-  directory.heard(kStart + seconds(1), head);
-  EXPECT_EQ(joins_while_all_is_answered(supervisor, kStart + seconds(1), directory), 0U)
+  directory.handle_report(kStart + seconds(1), head);
+  EXPECT_EQ(count_joins_with_all_orders_answered(supervisor, kStart + seconds(1), directory), 0U)
       << "it is open in another group, and an order to the old one cannot take effect any more";
 }
 
 // A head confirmed that it left and ended before it could be fenced against late orders. Its three living servers were
 // kept for it: nobody ever confirms the fence, and they served nothing for the rest of the leadership.
-TEST(GroupSupervisor, MembersAreReleasedWhenTheirHeadEndsBeforeItIsFenced) {
+TEST(GroupSupervisor, ReleasesMembersWhenHeadCrashesBeforeItIsFenced) {
   const InheritedGroup inherited = inherited_open_group();
   const std::string head = inherited.group.members.front();
   InstanceDirectory directory(seconds(3));
@@ -168,12 +169,12 @@
   GroupSupervisor supervisor{options};
   supervisor.start(kStart, 3, {inherited.group});
   supervisor.note_failure(inherited.group.name);
-  const TimePoint head_ends = kStart + milliseconds(100);
+  const TimePoint head_crashes_at = kStart + milliseconds(100);
   const TimePoint end = kStart + options.stall_time + seconds(4);
   for (TimePoint now = kStart; now < end; now += milliseconds(40)) {
     supervisor.tick(now, document_with_engine(), directory);
     for (const auto& order : supervisor.take_orders()) {
-      const bool is_answered = order.instance_id != head || now < head_ends;
+      const bool is_answered = order.instance_id != head || now < head_crashes_at;
       supervisor.order_result(now, {order, is_answered ? 200 : 0});
     }
   }
@@ -184,7 +185,7 @@
 // took it back, and the head, whole again, was opened by another late order. The member was given to a further group
 // while that head was open, since it had left longer than the stall time ago:
 //   TWO: i24 takes a join to g2-80-single while the head of g2-43 is open
-TEST(GroupSupervisor, AMemberThatALateOrderTookBackIsNotReleased) {
+TEST(GroupSupervisor, DoesNotReleaseMemberThatRejoinedThroughLateOrder) {
   const InheritedGroup inherited = inherited_open_group();
   InstanceDirectory directory(seconds(3));
   directory.start(kStart, inherited.instances);
@@ -192,19 +193,19 @@
   GroupSupervisor supervisor{options};
   supervisor.start(kStart, 3, {inherited.group});
   supervisor.note_failure(inherited.group.name);
-  const TimePoint taken_back = kStart + milliseconds(500);
+  const TimePoint rejoined_at = kStart + milliseconds(500);
   const TimePoint end = kStart + options.stall_time + seconds(4);
   int64_t call_number = 10;
   for (TimePoint now = kStart; now < end; now += milliseconds(40)) {
     supervisor.tick(now, document_with_engine(), directory);
     for (const auto& order : supervisor.take_orders()) {
-      const bool is_answered = order.instance_id == "i1" && now < taken_back;
+      const bool is_answered = order.instance_id == "i1" && now < rejoined_at;
       supervisor.order_result(now, {order, is_answered ? 200 : 0});
     }
-    if (now >= taken_back) {
+    if (now >= rejoined_at) {
       auto member = inherited.instances[1];
       member.call_number = ++call_number;
-      directory.heard(now, member);
+      directory.handle_report(now, member);
     }
   }
   ASSERT_NE(supervisor.owner_of("i1"), nullptr) << "its head may serve";
@@ -217,7 +218,7 @@
 //   03:12.515 c2 group_changed group=g2-2 model=large phase=RELEASED members=i5,i6,i7,i8
 //   03:13.164 c1 leadership_begun term=5
 //   03:27.274 c3 group_changed group=g2-2 model=large phase=RELEASED members=i6,i7
-TEST(GroupSupervisor, MembersOfAGroupThatThePredecessorReleasedAreFree) {
+TEST(GroupSupervisor, TreatsMembersOfGroupReleasedByPreviousLeaderAsFree) {
   const InheritedGroup inherited = inherited_open_group();
   InstanceDirectory directory(seconds(3));
   GroupSupervisor predecessor{FleetOptions()};
@@ -225,11 +226,11 @@
   for (auto instance : inherited.instances) {
     instance.call_number = 2;
     if (instance.membership.rank == 0) {
-      instance.membership.group = holding_group_name(3, 1);
+      instance.membership.group = spare_group_name(3, 1);
       instance.membership.epoch = 17;
       instance.membership.state = wire::MembershipState::READY;
     }
-    directory.heard(kStart, instance);
+    directory.handle_report(kStart, instance);
   }
   predecessor.tick(kStart, document_with_engine(), directory);
   predecessor.tick(kStart + milliseconds(40), document_with_engine(), directory);
@@ -237,7 +238,7 @@
 
   GroupSupervisor successor{FleetOptions()};
   successor.start(kStart, 4, {});
-  successor.inherit_released(predecessor.released_groups(directory));
+  successor.add_released_groups(predecessor.released_groups(directory));
   successor.tick(kStart + milliseconds(40), document_with_engine(), directory);
   const auto groups = successor.snapshot();
   ASSERT_EQ(groups.size(), 1U) << "nobody waits for a group that is known to be released";
--- a/tests/unit/incarnation_test.cc
+++ b/tests/unit/incarnation_test.cc
@@ -36,11 +36,11 @@
   return instance;
 }
 
-TEST(Incarnation, ANewerOneWinsAtOnceAndKnowsNothingOfBefore) {
+TEST(Incarnation, NewerIncarnationReplacesAllStateOfTheOlder) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, in_group(report(kBorn, 900)));
-  directory.heard(kStart, draining(in_group(report(kBorn, 901))));
-  EXPECT_TRUE(directory.heard(kStart + seconds(1), report(kBorn + 1, 1, "a:2")));
+  directory.handle_report(kStart, in_group(report(kBorn, 900)));
+  directory.handle_report(kStart, draining(in_group(report(kBorn, 901))));
+  EXPECT_TRUE(directory.handle_report(kStart + seconds(1), report(kBorn + 1, 1, "a:2")));
   const auto* row = directory.find("i1");
   EXPECT_EQ(row->state, wire::InstanceState::READY);
   EXPECT_EQ(row->call_number, 1);
@@ -50,79 +50,79 @@
   EXPECT_TRUE(row->staged_models.empty());
 }
 
-TEST(Incarnation, ANewerOneReturnsFromWhatHadGone) {
+TEST(Incarnation, NewerIncarnationIsReadyAfterOlderOneWasDeregistered) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, report(kBorn, 900));
+  directory.handle_report(kStart, report(kBorn, 900));
   directory.deregister(kStart, "i1");
-  EXPECT_FALSE(directory.heard(kStart + seconds(1), report(kBorn, 901))) << "gone is gone";
-  EXPECT_TRUE(directory.heard(kStart + seconds(2), report(kBorn + 1, 1)));
+  EXPECT_FALSE(directory.handle_report(kStart + seconds(1), report(kBorn, 901))) << "gone is gone";
+  EXPECT_TRUE(directory.handle_report(kStart + seconds(2), report(kBorn + 1, 1)));
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::READY);
 }
 
-TEST(Incarnation, AnEarlierOneThatArrivesLateChangesNothing) {
+TEST(Incarnation, LateReportOfOlderIncarnationIsIgnored) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, report(kBorn + 1, 3));
-  EXPECT_FALSE(directory.heard(kStart + milliseconds(10), draining(report(kBorn, 900))));
-  EXPECT_FALSE(directory.heard(kStart + milliseconds(20), draining(report(kBorn, 901))));
+  directory.handle_report(kStart, report(kBorn + 1, 3));
+  EXPECT_FALSE(directory.handle_report(kStart + milliseconds(10), draining(report(kBorn, 900))));
+  EXPECT_FALSE(directory.handle_report(kStart + milliseconds(20), draining(report(kBorn, 901))));
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::READY);
   EXPECT_EQ(directory.find("i1")->born_ms, kBorn + 1);
 }
 
-TEST(Incarnation, AClockThatWasSetBackIsBelievedOnceTheStartIsHeardAgainAndAgain) {
+TEST(Incarnation, EarlierBirthIsAcceptedAfterRepeatedReports) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, report(kBorn, 900));
+  directory.handle_report(kStart, report(kBorn, 900));
   bool taken = false;
   for (int call = 1; call <= 4; ++call) {
-    taken = directory.heard(kStart + milliseconds(1200 * call), report(kBorn - 60'000, call)) || taken;
+    taken = directory.handle_report(kStart + milliseconds(1200 * call), report(kBorn - 60'000, call)) || taken;
   }
   EXPECT_TRUE(taken);
   EXPECT_EQ(directory.find("i1")->born_ms, kBorn - 60'000);
 }
 
-TEST(Incarnation, AClockThatWasSetBackIsNotBelievedBesideALivingOne) {
+TEST(Incarnation, EarlierBirthIsRejectedWhileCurrentIncarnationReports) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, report(kBorn, 900));
+  directory.handle_report(kStart, report(kBorn, 900));
   for (int call = 1; call <= 6; ++call) {
     const TimePoint now = kStart + milliseconds(1200 * call);
-    directory.heard(now, report(kBorn, 900 + call));
-    EXPECT_FALSE(directory.heard(now + milliseconds(100), report(kBorn - 60'000, call)));
+    directory.handle_report(now, report(kBorn, 900 + call));
+    EXPECT_FALSE(directory.handle_report(now + milliseconds(100), report(kBorn - 60'000, call)));
   }
   EXPECT_EQ(directory.find("i1")->born_ms, kBorn);
 }
 
-TEST(Incarnation, WithoutAWordOnItsBirthACountThatStartsAnewIsANewStartOnceItIsHeardAgainAndAgain) {
+TEST(Incarnation, RestartedCallNumbersWithoutBirthAreAcceptedAfterRepeatedReports) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, in_group(report(0, 900)));
-  EXPECT_FALSE(directory.heard(kStart + seconds(2), report(0, 1))) << "perhaps a late one";
+  directory.handle_report(kStart, in_group(report(0, 900)));
+  EXPECT_FALSE(directory.handle_report(kStart + seconds(2), report(0, 1))) << "perhaps a late one";
   bool taken = false;
   for (int call = 2; call <= 5; ++call) {
-    taken = directory.heard(kStart + seconds(2) + milliseconds(1200 * call), report(0, call)) || taken;
+    taken = directory.handle_report(kStart + seconds(2) + milliseconds(1200 * call), report(0, call)) || taken;
   }
   EXPECT_TRUE(taken);
   EXPECT_EQ(directory.find("i1")->call_number, 5);
   EXPECT_TRUE(directory.find("i1")->membership.group.empty());
 }
 
-TEST(Incarnation, LateReportsOfAnInstanceThatLeftDoNotBringItBack) {
+TEST(Incarnation, LateReportsDoNotRestoreDeregisteredInstance) {
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, report(0, 900));
+  directory.handle_report(kStart, report(0, 900));
   directory.deregister(kStart, "i1");
   for (int call = 896; call <= 899; ++call) {
-    directory.heard(kStart + milliseconds(300 * (call - 895)), report(0, call));
+    directory.handle_report(kStart + milliseconds(300 * (call - 895)), report(0, call));
   }
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::GONE);
 }
 
-TEST(Incarnation, ACopyOfAnEarlierOneDoesNotReplaceALaterOne) {
+TEST(Incarnation, InheritedOlderIncarnationDoesNotReplaceNewer) {
   InstanceDirectory directory{seconds(3)};
   directory.start(kStart, {draining(report(kBorn, 900))});
-  EXPECT_TRUE(directory.heard(kStart, report(kBorn + 1, 1)));
+  EXPECT_TRUE(directory.handle_report(kStart, report(kBorn + 1, 1)));
   directory.merge(kStart, {draining(report(kBorn, 950))});
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::READY);
   EXPECT_EQ(directory.find("i1")->born_ms, kBorn + 1);
 }
 
-TEST(Incarnation, ACopyOfALaterOneReplacesAnEarlierOne) {
+TEST(Incarnation, InheritedNewerIncarnationReplacesOlder) {
   InstanceDirectory directory{seconds(3)};
   directory.start(kStart, {draining(report(kBorn, 900))});
   directory.merge(kStart, {report(kBorn + 1, 3)});
@@ -130,16 +130,18 @@
   EXPECT_EQ(directory.find("i1")->call_number, 3);
 }
 
-TEST(Incarnation, AReportFromBeforeTheLeadershipNamesANewerOne) {
+TEST(Incarnation, StaleReportIntroducesNewerIncarnation) {
   InstanceDirectory directory{seconds(3)};
   directory.start(kStart, {draining(report(kBorn, 900))});
-  EXPECT_TRUE(directory.heard_before(kStart, report(kBorn + 1, 2)));
+  EXPECT_TRUE(directory.handle_stale_report(kStart, report(kBorn + 1, 2)));
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::READY);
 }
 
-TEST(Incarnation, SubscribersAreToldOfANewOne) { EXPECT_FALSE(says_the_same(report(kBorn, 1), report(kBorn + 1, 1))); }
+TEST(Incarnation, ReportsOfDifferentIncarnationsDiffer) {
+  EXPECT_FALSE(reports_equal(report(kBorn, 1), report(kBorn + 1, 1)));
+}
 
-TEST(Incarnation, TheRelayForwardsANewOneThatCountsLower) {
+TEST(Incarnation, RelayForwardsNewIncarnationWithLowerCallNumber) {
   RegistrationRelay relay(seconds(3));
   relay.note(kStart, report(kBorn, 900));
   ASSERT_TRUE(relay.next_batch(kStart, "leader", 2));
@@ -151,7 +153,7 @@
 
 // A member that started again joins by an order that arrives late, and reports itself ready under the group's name: it
 // is not the member that was seen ready when the group was opened.
-TEST(Incarnation, AMemberThatStartedAgainIsALostMemberOfItsGroup) {
+TEST(Incarnation, RestartedMemberDissolvesItsGroup) {
   const auto member = [](const std::string& id, int64_t born_ms, int rank) {
     wire::Instance result = report(born_ms, 5, id + ":1");
     result.id = id;
@@ -171,14 +173,14 @@
   group.member_born_ms = {kBorn, kBorn};
   group.phase = wire::GroupPhase::OPEN;
   InstanceDirectory directory{seconds(3)};
-  directory.heard(kStart, member("i1", kBorn, 0));
-  directory.heard(kStart, member("i2", kBorn, 1));
+  directory.handle_report(kStart, member("i1", kBorn, 0));
+  directory.handle_report(kStart, member("i2", kBorn, 1));
   GroupSupervisor supervisor{FleetOptions()};
   supervisor.start(kStart, 3, {group});
   const document::ConfigurationDocument document;
   supervisor.tick(kStart, document, directory);
   EXPECT_EQ(supervisor.snapshot().front().phase, wire::GroupPhase::OPEN);
-  directory.heard(kStart + seconds(1), member("i2", kBorn + 1, 1));
+  directory.handle_report(kStart + seconds(1), member("i2", kBorn + 1, 1));
   supervisor.tick(kStart + seconds(1), document, directory);
   EXPECT_EQ(supervisor.snapshot().front().phase, wire::GroupPhase::DISSOLVING);
 }
--- a/tests/unit/registration_age_test.cc
+++ b/tests/unit/registration_age_test.cc
@@ -34,14 +34,14 @@
   ASSERT_TRUE(batch);
   leader.registrations(began + milliseconds(51), *batch);
   ASSERT_TRUE(leader.instances().rows().contains("i0"));
-  EXPECT_FALSE(leader.instances().rows().at("i0").is_settled());
+  EXPECT_FALSE(leader.instances().rows().at("i0").is_confirmed());
 
   report.call_number = 8;
   relay.note(began + milliseconds(200), report);
   const auto next = relay.next_batch(began + milliseconds(250), "10.0.0.1:7000", 3);
   ASSERT_TRUE(next);
   leader.registrations(began + milliseconds(251), *next);
-  EXPECT_TRUE(leader.instances().rows().at("i0").is_settled());
+  EXPECT_TRUE(leader.instances().rows().at("i0").is_confirmed());
 }
 
 }  // namespace
--- a/tests/unit/server_rates_test.cc
+++ b/tests/unit/server_rates_test.cc
@@ -354,21 +354,21 @@
 TEST(InstanceDirectory, ALimitOutlastsReportsAndBelongsToOneStart) {
   InstanceDirectory directory{seconds(3)};
   auto report = plain_instance("i1", 5);
-  directory.heard(kStart, report);
-  EXPECT_FALSE(directory.set_limit("i1@4", 2.4)) << "an earlier start";
-  EXPECT_TRUE(directory.set_limit("i1@5", 2.4));
-  EXPECT_FALSE(directory.set_limit("i1@5", 2.4)) << "no news";
+  directory.handle_report(kStart, report);
+  EXPECT_FALSE(directory.set_rate_limit("i1@4", 2.4)) << "an earlier start";
+  EXPECT_TRUE(directory.set_rate_limit("i1@5", 2.4));
+  EXPECT_FALSE(directory.set_rate_limit("i1@5", 2.4)) << "no news";
   ++report.call_number;
-  EXPECT_FALSE(directory.heard(kStart + seconds(1), report));
-  EXPECT_EQ(limit_of(*directory.find("i1")), 2.4);
+  EXPECT_FALSE(directory.handle_report(kStart + seconds(1), report));
+  EXPECT_EQ(rate_limit_of(*directory.find("i1")), 2.4);
   InstanceDirectory successor{seconds(3)};
   successor.start(kStart + seconds(2), directory.snapshot());
-  EXPECT_EQ(limit_of(*successor.find("i1")), 2.4) << "a new leader takes it over";
+  EXPECT_EQ(rate_limit_of(*successor.find("i1")), 2.4) << "a new leader takes it over";
   report.born_ms = 9;
-  directory.heard(kStart + seconds(3), report);
-  EXPECT_FALSE(limit_of(*directory.find("i1")));
-  EXPECT_TRUE(successor.set_limit("i1@5", std::nullopt));
-  EXPECT_FALSE(limit_of(*successor.find("i1")));
+  directory.handle_report(kStart + seconds(3), report);
+  EXPECT_FALSE(rate_limit_of(*directory.find("i1")));
+  EXPECT_TRUE(successor.set_rate_limit("i1@5", std::nullopt));
+  EXPECT_FALSE(rate_limit_of(*successor.find("i1")));
 }
 
 /// An entry that knows of two plain servers, the first of which is limited.
--- a/tests/unit/spare_servers_test.cc
+++ b/tests/unit/spare_servers_test.cc
@@ -16,9 +16,9 @@
 constexpr int kGroupSize = 4;
 
 /// Servers of one domain that carry out what a supervisor orders, and report it at once.
-class Servers {
+class SimulatedServers {
  public:
-  explicit Servers(int count) {
+  explicit SimulatedServers(int count) {
     document::ServiceSpec service;
     service.name = "engines";
     auto& engine = service.engine.emplace();
@@ -49,11 +49,11 @@
     for (; now < end; now += kTick) {
       for (auto& [id, server] : servers_) {
         server.advance(now);
-        directory_.heard(now, server.report());
+        directory_.handle_report(now, server.report());
       }
       supervisor.tick(now, document_, directory_);
       for (const auto& order : supervisor.take_orders()) {
-        joins_ += order.kind == OrderKind::kJoin ? 1 : 0;
+        join_orders_ += order.kind == OrderKind::kJoin ? 1 : 0;
         const auto server = servers_.find(order.instance_id);
         const int status = server == servers_.end() ? 0 : server->second.carry_out(now, order, kWarmJoin);
         supervisor.order_result(now, {order, status});
@@ -62,18 +62,18 @@
     return now;
   }
   /// Join orders since the last call.
-  int take_joins() { return std::exchange(joins_, 0); }
+  int take_join_orders() { return std::exchange(join_orders_, 0); }
   /// A new leader starts with what its predecessor published.
-  void change_leader(TimePoint now) { directory_.start(now, directory_.snapshot()); }
+  void restart_directory_from_snapshot(TimePoint now) { directory_.start(now, directory_.snapshot()); }
 
  private:
   document::ConfigurationDocument document_;
   InstanceDirectory directory_{seconds(3)};
   std::map<std::string, simulation::SimulatedInstance> servers_;
-  int joins_ = 0;
+  int join_orders_ = 0;
 };
 
-size_t open_groups(const GroupSupervisor& supervisor) {
+size_t count_open_groups(const GroupSupervisor& supervisor) {
   const auto groups = supervisor.snapshot();
   return static_cast<size_t>(std::count_if(groups.begin(), groups.end(),
                                            [](const auto& group) { return group.phase == wire::GroupPhase::OPEN; }));
@@ -83,44 +83,44 @@
 // of its own as the way to load them, one of a dissolved group kept that group's name or none. After three servers had
 // ended and come back, one server that never ended was in no group for the rest of the run:
 //   23 of 24 servers in groups after they came back
-TEST(SpareServers, AreHeldInGroupsOfTheirOwnWhenTheirGroupIsDissolved) {
-  Servers servers(kGroupSize);
+TEST(SpareServers, JoinSpareGroupsWhenTheirGroupIsDissolved) {
+  SimulatedServers servers(kGroupSize);
   GroupSupervisor supervisor{FleetOptions()};
   supervisor.start(kStart, 3, {});
   TimePoint now = servers.run(supervisor, kStart, seconds(4));
-  ASSERT_EQ(open_groups(supervisor), 1U);
+  ASSERT_EQ(count_open_groups(supervisor), 1U);
   servers.remove(now, "i3");
   now = servers.run(supervisor, now, seconds(8));
   for (const std::string id : {"i0", "i1", "i2"}) {
-    EXPECT_TRUE(is_holding_group(servers.at(id).membership().group))
+    EXPECT_TRUE(is_spare_group(servers.at(id).membership().group))
         << id << " is in '" << servers.at(id).membership().group << "'";
     EXPECT_EQ(servers.at(id).model(), "large");
   }
-  servers.take_joins();
+  servers.take_join_orders();
   servers.run(supervisor, now, seconds(4));
-  EXPECT_EQ(servers.take_joins(), 0) << "a spare that is held needs no further order";
+  EXPECT_EQ(servers.take_join_orders(), 0) << "a spare that is held needs no further order";
 }
 
 // A new leader knew nothing of a dissolved group whose name its former members still reported. It took them for members
 // of a group that is in use, and the repair that needed them waited until that group was adopted and dissolved again.
-TEST(SpareServers, AreUsedAtOnceByANewLeader) {
-  Servers servers(kGroupSize);
+TEST(SpareServers, AreUsedImmediatelyByANewLeader) {
+  SimulatedServers servers(kGroupSize);
   GroupSupervisor first{FleetOptions()};
   first.start(kStart, 3, {});
   TimePoint now = servers.run(first, kStart, seconds(4));
   servers.remove(now, "i3");
   now = servers.run(first, now, seconds(8));
-  servers.change_leader(now);
+  servers.restart_directory_from_snapshot(now);
   servers.add("i4");
   GroupSupervisor second{FleetOptions()};
   second.start(now, 4, first.snapshot());
   servers.run(second, now, seconds(1));
-  EXPECT_EQ(open_groups(second), 1U);
+  EXPECT_EQ(count_open_groups(second), 1U);
 }
 
 // An order to join that is carried out late, after its group was dissolved, took a spare back into that group.
-TEST(SpareServers, RefuseLateOrdersOfTheGroupTheyWereIn) {
-  Servers servers(kGroupSize);
+TEST(SpareServers, RejectLateOrdersOfTheirPreviousGroup) {
+  SimulatedServers servers(kGroupSize);
   GroupSupervisor supervisor{FleetOptions()};
   supervisor.start(kStart, 3, {});
   TimePoint now = servers.run(supervisor, kStart, seconds(4));
--- a/tests/unit/zone_evacuations_test.cc
+++ b/tests/unit/zone_evacuations_test.cc
@@ -217,7 +217,7 @@
     for (; now_ < end; now_ += milliseconds(40)) {
       for (auto& [id, instance] : servers_) {
         ++instance.call_number;
-        directory_.heard(now_, instance);
+        directory_.handle_report(now_, instance);
       }
       supervisor_.tick(now_, document_, directory_);
       for (const auto& order : supervisor_.take_orders()) {
