--- a/src/core/fleet/instance_directory.cc
+++ b/src/core/fleet/instance_directory.cc
@@ -39,7 +39,7 @@
   return instance.__isset.limit_per_second ? std::optional(instance.limit_per_second) : std::nullopt;
 }
 
-bool reports_equal(const wire::Instance& left, const wire::Instance& right) {
+bool has_same_content(const wire::Instance& left, const wire::Instance& right) {
   const auto fields = [](const wire::Instance& instance) {
     return std::tie(instance.id, instance.service_name, instance.address, instance.zone, instance.domain,
                     instance.state, instance.slots, instance.staged_models, instance.membership, instance.silent,
@@ -228,7 +228,7 @@
   if (next.model.empty()) {
     next.model = row.instance.model;
   }
-  const bool changed = !reports_equal(row.instance, next);
+  const bool changed = !has_same_content(row.instance, next);
   row.instance = std::move(next);
   return changed;
 }
--- a/src/core/fleet/instance_directory.h
+++ b/src/core/fleet/instance_directory.h
@@ -11,7 +11,7 @@
 namespace larchlever::fleet {
 
 /// Whether two reports of an instance say the same; the call number alone is no news.
-bool reports_equal(const wire::Instance& left, const wire::Instance& right);
+bool has_same_content(const wire::Instance& left, const wire::Instance& right);
 
 /// Whether two reports under one id stem from different starts of the server; not known, hence false, where either does
 /// not tell its birth.
--- a/src/core/fleet/state_history.cc
+++ b/src/core/fleet/state_history.cc
@@ -21,11 +21,11 @@
 std::string_view view_of(const std::string& key) { return key; }
 int64_t view_of(int64_t key) { return key; }
 
-using fleet::reports_equal;
+using fleet::has_same_content;
 
-bool reports_equal(const wire::EngineGroup& left, const wire::EngineGroup& right) { return left == right; }
-bool reports_equal(const wire::BlockedRequest& left, const wire::BlockedRequest& right) { return left == right; }
-bool reports_equal(const std::string& left, const std::string& right) { return left == right; }
+bool has_same_content(const wire::EngineGroup& left, const wire::EngineGroup& right) { return left == right; }
+bool has_same_content(const wire::BlockedRequest& left, const wire::BlockedRequest& right) { return left == right; }
+bool has_same_content(const std::string& left, const std::string& right) { return left == right; }
 
 /// True when any row differs from what was recorded before.
 template <typename Row, typename Key, typename Versioned>
@@ -36,7 +36,7 @@
   for (const auto& row : rows) {
     present.insert(view_of(key_of(row)));
     const auto found = known.find(key_of(row));
-    if (found != known.end() && reports_equal(found->second.row, row)) {
+    if (found != known.end() && has_same_content(found->second.row, row)) {
       continue;
     }
     removed.erase(key_of(row));
--- a/tests/unit/incarnation_test.cc
+++ b/tests/unit/incarnation_test.cc
@@ -138,7 +138,7 @@
 }
 
 TEST(Incarnation, ReportsOfDifferentIncarnationsDiffer) {
-  EXPECT_FALSE(reports_equal(report(kBorn, 1), report(kBorn + 1, 1)));
+  EXPECT_FALSE(has_same_content(report(kBorn, 1), report(kBorn + 1, 1)));
 }
 
 TEST(Incarnation, RelayForwardsNewIncarnationWithLowerCallNumber) {
