--- a/src/core/fleet/crash_detector.cc
+++ b/src/core/fleet/crash_detector.cc
@@ -7,19 +7,19 @@
 
 namespace {
 
-/// Looks at a server, counted from the loss: close together at first, since the next copy of a harmful request comes
-/// within tenths of a second, and long enough for a port that something holds while its server starts again.
+/// Times of the probes, relative to the lost response. Frequent at first, since the next copy of a harmful request
+/// arrives within tenths of a second; long enough in total for a port that a proxy holds while its server restarts.
 constexpr std::array<Duration, 7> kProbeDelays{milliseconds(0),   milliseconds(20),  milliseconds(60),
                                                milliseconds(150), milliseconds(400), milliseconds(1000),
                                                milliseconds(2000)};
-/// What was in buffers and on the way when a server ended has arrived by then.
+/// Data that was in buffers or in transit when a server crashed arrives within this time.
 constexpr Duration kResponseTransitTime = milliseconds(100);
-/// A listener that stands this long after the loss will not close by itself: a process closes all of its sockets within
-/// milliseconds.
+/// A port that is open this long after the loss does not close because of a crash: the sockets of a crashed process
+/// close within milliseconds.
 constexpr Duration kPortCloseTime = milliseconds(60);
-/// A server that closes connections because it has too many takes some in between.
+/// Probes must fail for this long. A server that closes connections because it has too many accepts some in between.
 constexpr Duration kCrashConfirmationTime = milliseconds(100);
-/// Longer than a server takes to start again.
+/// Longer than a server takes to restart.
 constexpr Duration kSuspicionRetention = seconds(10);
 
 }  // namespace
--- a/src/core/fleet/crash_detector.h
+++ b/src/core/fleet/crash_detector.h
@@ -11,54 +11,60 @@
 
 namespace larchlever::fleet {
 
-/// What a connection to a server's address shows, whoever stands behind it.
+/// Result of a probe connection to a server's address. A proxy may answer in place of the server.
 enum class ProbeResult {
-  kRefused,   ///< Nobody listens there.
-  kClosed,    ///< It is taken, and closed before anything was sent.
-  kOpen,      ///< It is taken and stays open.
-  kTimedOut,  ///< No word comes back in time; the way there may be cut.
+  kRefused,   ///< The connection was refused.
+  kClosed,    ///< Accepted, then closed before anything was sent.
+  kOpen,      ///< Accepted and kept open.
+  kTimedOut,  ///< No reply in time; the network may be partitioned.
 };
 
-/// A server that ended, and the requests that ran there at that moment.
+/// A server that crashed, and the requests that ran there at that time.
 struct CrashedServer {
   TimePoint at{};
   CrashCertainty certainty = CrashCertainty::kConfirmed;
   std::vector<requests::RequestFingerprint> requests;
 };
 
-/// Answers that were lost, until something shows whether their server ended or only a connection did.
+/// Decides, after responses of a server were lost, whether the server crashed or only connections failed.
 ///
-/// Load pattern: a request ends the servers that run it. A port closes some milliseconds after the connections of its
-/// process, or is held by something in front of it and never refuses, or the whole machine falls silent; so one look at
-/// the moment of the loss misses most ends. Beside it, answers are lost where no server ends: connections are reset,
-/// bytes are spoilt, heads cut the streams of a member.
-/// Evidence, the first that comes decides. The server ended: it refuses a connection; it is reported to have started
-/// again; it closes, or leaves without a word, connection after connection for `kCrashConfirmationTime`, which is
-/// likely and no proof. It lives: it makes progress with another request later than what was on the way when the answer
-/// was lost. A connection that it keeps open shows neither, since a proxy in front of a dead server keeps it open as
-/// well: the end is then likely until the server is heard. Limits: seven looks in two seconds at a server that seems to
-/// be gone, three at one that listens. Losses that come later than the first by more than the time of the buffers
-/// accuse nobody: the server was gone when they arrived. Single-threaded, deterministic.
+/// Load pattern: a request crashes the servers that run it. A server's port closes some milliseconds after the
+/// connections of its process, or is held by a proxy and never refuses, or the whole machine stops responding. A single
+/// probe at the time of the loss therefore misses most crashes. Responses are also lost without a crash: connections
+/// are reset, bytes are corrupted, heads cut the streams of a member.
+///
+/// The first evidence decides:
+/// - Crash confirmed: the server refuses a connection, or a later incarnation is reported.
+/// - Crash likely: all connections are closed or time out for `kCrashConfirmationTime`.
+/// - No crash: the server makes progress with another request, later than data that was in transit when the response
+/// was
+///   lost.
+/// - A connection that stays open proves nothing, since a proxy in front of a crashed server keeps it open as well. The
+///   crash is then likely until the server's next report.
+///
+/// Limits: seven probes within two seconds of a server that seems to be down, three of one that listens. Requests whose
+/// responses are lost later than the first one by more than the transit time are not blamed: the server was already
+/// down when they arrived. Single-threaded, deterministic.
 class CrashDetector {
  public:
-  /// The answer of the request was lost at that incarnation of a server. True when it must be looked at from now on, as
-  /// `next_probe_time` says.
+  /// The response to the request was lost at this incarnation of a server. True when the caller must start to probe the
+  /// server at the times of `next_probe_time`.
   bool note_lost_response(TimePoint now, const std::string& incarnation, requests::RequestFingerprint request);
   /// The server made progress with a request.
   void note_progress(TimePoint now, const std::string& incarnation);
   std::optional<CrashedServer> note_probe(TimePoint now, const std::string& incarnation, ProbeResult result);
-  /// A later incarnation was reported in place of this one.
+  /// A later incarnation of the server was reported.
   std::optional<CrashedServer> note_restart(const std::string& incarnation);
-  /// Once, when the looks at the server are over because it keeps connections open, and it made no progress since: it
-  /// likely ended, and its own next report shows whether it did.
+  /// Returns a likely crash, once, when probing stopped because the server keeps connections open and the server made
+  /// no progress since. Its next report shows whether it crashed.
   std::optional<CrashedServer> take_suspected_crash(const std::string& incarnation);
-  /// Answers were lost there, and nothing shows that the server lives.
+  /// Responses were lost there, and no evidence shows that the server is alive.
   bool is_suspected(const std::string& incarnation) const { return suspicions_.contains(incarnation); }
-  /// The server was not looked at yet.
+  /// The server was not probed yet.
   bool awaits_first_probe(const std::string& incarnation) const;
-  /// The last look showed no server, and it is not settled yet whether it ended.
+  /// The last probe failed, and it is not decided yet whether the server crashed.
   bool seems_down(const std::string& incarnation) const;
-  /// When to look at the server again; nothing once that is not needed.
+  /// Time of the next probe; nullopt when no more probes are needed.
   std::optional<TimePoint> next_probe_time(const std::string& incarnation) const;
 
  private:
@@ -66,9 +72,9 @@
     TimePoint lost_at{};
     std::vector<requests::RequestFingerprint> requests;
     size_t probes = 0;
-    /// Since when every look has shown no server.
+    /// Start of the current series of failed probes.
     std::optional<TimePoint> down_since;
-    /// It keeps connections open, later than a process that ends would.
+    /// The server accepted a connection later than a crashed process could have.
     bool port_stays_open = false;
     bool is_decided = false;
   };
--- a/src/core/fleet/demand_tracker.cc
+++ b/src/core/fleet/demand_tracker.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Long enough that a burst of a second does not move groups, short enough to follow a shift of traffic.
+/// Long enough that a burst of one second does not move groups, short enough to follow a shift of traffic.
 constexpr Duration kWindow = seconds(5);
-/// Demand watched for less than this is not acted on.
+/// Demand that was observed for less than this time is not used.
 constexpr Duration kMinObservationTime = seconds(3);
-/// Fewer requests than this in the window say nothing about shares.
+/// With fewer requests in the window, the shares of the models are not significant.
 constexpr double kMinRequests = 30;
 
 }  // namespace
@@ -28,7 +28,7 @@
     const ModelKey key(total.service_name, total.model);
     const auto [previous, is_new] = known.try_emplace(key, total);
     if (is_first) {
-      continue;  // Requests of unknown age, from before this leadership.
+      continue;  // The first totals include requests of unknown age, from before this leadership.
     }
     const wire::ModelDemand before = is_new ? wire::ModelDemand() : previous->second;
     previous->second = total;
--- a/src/core/fleet/demand_tracker.h
+++ b/src/core/fleet/demand_tracker.h
@@ -12,29 +12,30 @@
 
 namespace larchlever::fleet {
 
-/// Requests for one model over the recent past, from all nodes together.
+/// Recent request rate of one model, over all nodes.
 struct ModelDemandRate {
   double requests_per_second = 0;
   engine::RequestSizes sizes;
-  /// Time to the first event that the requests' routes aim at; the shortest seen.
+  /// Target latency of the first event, from the requests' routes; the shortest one reported.
   Duration target_latency{};
 };
 
-/// Turns the nodes' running totals of requests into rates per model, over a sliding window.
+/// Computes request rates per model over a sliding window from the running totals that nodes report.
 ///
-/// Totals rather than differences are reported, so that a lost heartbeat loses nothing. Single-threaded, deterministic.
+/// Nodes report totals rather than increments, so that a lost heartbeat loses no counts. Single-threaded,
+/// deterministic.
 class DemandTracker {
  public:
   using ModelKey = std::pair<std::string, std::string>;  ///< Service and model.
 
   void start();
-  /// Takes one node's totals since its start.
+  /// Records the totals of one node since its start.
   void note_totals(TimePoint now, const std::string& node, const std::vector<wire::ModelDemand>& totals);
-  /// The node started anew: its totals begin at zero.
+  /// The node restarted: its totals begin at zero again.
   void forget_node(const std::string& node) { totals_.erase(node); }
-  /// Whether demand was watched for long enough, and enough of it was seen, to act on.
+  /// Whether demand was observed for long enough, and enough requests were seen, to base decisions on it.
   bool has_enough_data(TimePoint now, const std::string& service);
-  /// Zero rate when no request for the model was seen in the window.
+  /// The rate is zero when no request for the model was seen in the window.
   ModelDemandRate rate(TimePoint now, const std::string& service, const std::string& model);
 
  private:
--- a/src/core/fleet/group_planner.cc
+++ b/src/core/fleet/group_planner.cc
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// Keeps the pressure of a model without groups finite, and in order of need.
+/// Divisor for models without groups: keeps their pressure finite and ordered by need.
 constexpr double kMinPressureDivisor = 1e-3;
-/// Giving up a group must lower the highest pressure at least to this share of it: its servers are out for a drain and
-/// a warm join, some seconds, and the demand is known within some percent.
+/// A preemption must reduce the highest pressure at least to this fraction of it: the servers are unavailable for a
+/// drain and a warm join, some seconds, and the demand is only known to within some percent.
 constexpr double kMaxPressureRatioAfterPreemption = 0.9;
-/// A model whose groups are filled to less than this part by its demand needs no more servers.
+/// A model under lower pressure than this needs no more servers.
 constexpr double kMinPressureForPreemption = 0.85;
-/// Weighs weights that a free server holds on its host above any difference of needs.
+/// Makes a model whose weights are staged on the host preferable to any model that needs a load.
 constexpr double kStagedWeightsBonus = 1e9;
-/// A group may exceed its model's part of the servers by this share of its size.
+/// A new group may exceed its model's target number of servers by this fraction of the group size.
 constexpr double kMaxOvershootInGroups = 0.5;
 
 }  // namespace
@@ -82,8 +82,9 @@
 std::optional<GroupPlan> GroupPlanner::cheapest_plan(const document::ModelSpec& model) const {
   const auto size = static_cast<size_t>(model.size);
   std::optional<GroupPlan> best;
-  // Fewest loads; then fewest places taken from the largest model; then the domain that serves the model least, so that
-  // the loss of a domain costs each model little; then the emptiest domain.
+  // Prefers the fewest loads; then the fewest possible groups of the largest model lost; then the domain with the
+  // fewest servers of this model, so that the loss of a domain affects each model little; then the domain with the
+  // fewest servers in use.
   std::tuple<size_t, size_t, size_t, size_t> best_cost;
   for (const auto& [domain, indexes] : servers_by_domain_) {
     const auto reserved = input_.reserved_domains.find(domain);
@@ -271,7 +272,7 @@
   for (const auto& need : input_.needs) {
     const auto held = spares.find({server.domain, need.model->name});
     const int count = held == spares.end() ? 0 : held->second;
-    // Weights on the host already need no load.
+    // Weights that are staged on the host need no load.
     const double need_per_spare = need.groups_needed * need.model->size / (1 + count) +
                                   (server.has_staged(need.model->name) ? kStagedWeightsBonus : 0);
     if (need_per_spare > highest_need) {
@@ -321,7 +322,7 @@
     const auto priority = is_larger || is_free ? LoadPriority::kStandby : LoadPriority::kPrecaution;
     plans[priority].push_back({server.id, standby->name, priority, false});
   }
-  // First where the fewest are lacking for a group.
+  // Begin in the domains where the fewest servers are missing for a group.
   auto& repairs = plans[LoadPriority::kRepair];
   std::stable_sort(repairs.begin(), repairs.end(), [this](const auto& left, const auto& right) {
     return count_warm_free_servers(domain_by_server_.at(left.server), left.model) >
--- a/src/core/fleet/group_planner.h
+++ b/src/core/fleet/group_planner.h
@@ -8,25 +8,25 @@
 
 #include "core/document/configuration_document.h"
 
-/// Decides which servers of an engine service should form which groups. Pure: state in, decisions out.
+/// Decides which servers of an engine service should form which groups. Has no side effects.
 namespace larchlever::fleet {
 
-/// One usable server of the service, as the planner sees it.
+/// One usable server of the service, as input to the planner.
 struct PlannedServer {
   std::string id;
-  /// Servers of a group must share it.
+  /// Fabric domain. All servers of a group must be in the same domain.
   std::string domain;
-  /// The model of the server's last group, whose weights are in its accelerators; empty for none.
+  /// Model whose weights are in the server's accelerators (the model of its last group); empty for none.
   std::string loaded_model;
-  /// Models whose weights lie on the server's host.
+  /// Models whose weights are staged on the server's host.
   std::vector<std::string> staged_models;
-  /// The group it belongs to; empty when it is free.
+  /// The group that the server belongs to; empty when it is free.
   std::string group;
-  /// It reports a holding group.
+  /// The server reports that it is in a spare group (see spare_group_name in group_supervisor.h).
   bool in_spare_group = false;
 
   bool has_staged(const std::string& model) const;
-  /// Joining a group of `model` needs no load from the weight store.
+  /// The server can join a group of `model` without a load from the weight store.
   bool is_warm_for(const std::string& model) const { return loaded_model == model || has_staged(model); }
 };
 
@@ -34,28 +34,29 @@
 struct PlannedGroup {
   std::string name;
   std::string model;
-  /// It serves, so it may be given up for another. False while it forms or is being dissolved.
+  /// The group serves, so it may be preempted. False while it is being formed or dissolved.
   bool is_open = false;
-  /// It serves or will; false while it is drained or dissolved.
+  /// The group serves or will serve. False while it is being drained or dissolved.
   bool counts_as_capacity = true;
-  /// It was given up for another model, and its servers are not free yet.
+  /// The group was preempted for another model, and its servers are not free yet.
   bool is_preempted = false;
 };
 
-/// How many groups of a model the present demand fills to the limit of its latency objective; may be fractional.
+/// How many groups a model needs to serve its current demand within its latency objective; may be fractional.
 struct ModelNeed {
   const document::ModelSpec* model = nullptr;
   double groups_needed = 0;
 };
 
-/// Everything that a plan depends on.
+/// The complete input of a plan.
 struct PlannerInput {
   std::vector<PlannedServer> servers;
   std::vector<PlannedGroup> groups;
   std::vector<ModelNeed> needs;
-  /// Domains whose free servers are kept for one model.
+  /// Domains whose free servers are reserved for one model: domain -> model.
   std::map<std::string, std::string> reserved_domains;
-  /// Groups may be formed of servers that must load weights first. Otherwise they are staged before they join.
+  /// Whether groups may include servers that must load weights first. Otherwise weights are staged before a server
+  /// joins.
   bool cold_groups_allowed = true;
 };
 
@@ -63,84 +64,87 @@
 struct GroupPlan {
   const document::ModelSpec* model = nullptr;
   std::vector<std::string> members;
-  /// Members that must load the weights from the store.
+  /// Number of members that must load the weights from the store.
   size_t weight_loads = 0;
 };
 
-/// Open groups whose servers should go to a model that needs them more, all in one domain.
+/// Open groups, all in one domain, whose servers should be given to a model that needs them more.
 struct PreemptionPlan {
   std::vector<std::string> groups;
   std::string domain;
-  /// The model that gets the servers.
+  /// The model that receives the servers.
   std::string model;
 };
 
-/// How much a load of weights is worth while loads are dear.
+/// Priority of a weight load while loads are limited.
 enum class LoadPriority {
-  kRepair,     ///< A free server holds nothing: no group can use it without a load.
-  kStandby,    ///< A server serves a small model, and its weights would not help a larger one.
-  kPrecaution  ///< A group's survivors find other use as well.
+  kRepair,     ///< A free server holds no weights: no group can use it without a load.
+  kStandby,    ///< A server of a small model could not help a larger model without a load.
+  kPrecaution  ///< The surviving servers of a failed group can be used without this load as well.
 };
 
-/// Weights that a server should hold besides the work it does now.
+/// Weights that a server should load in addition to its current work.
 struct StagingPlan {
   std::string server;
   std::string model;
   LoadPriority priority = LoadPriority::kPrecaution;
-  /// Into a free server's accelerators, so that it joins a group at once; otherwise onto its host.
+  /// Load into the accelerators of a free server, so that it can join a group at once; otherwise onto its host.
   bool into_accelerators = false;
 };
 
 /// Plans for one engine service.
 ///
-/// Models are spread over the fabric domains, and servers hold the weights of another model than the one they serve on
-/// their hosts: a group that lost a member is completed within a warm join out of its own domain, by a free server or
-/// by giving up a group of a model that can spare it. The free servers of a domain hold the models in their
-/// accelerators by need, each another one on its host: whichever model's group loses a member, a spare joins at once.
+/// Models are spread over the fabric domains, and the host of each server stages the weights of a model other than the
+/// one that the server runs. A group that lost a member is therefore formed again in its own domain within the time of
+/// a warm join, with a free server or by preempting a group of a model that needs it less. The free servers of a domain
+/// hold the models in their accelerators in proportion to need and a second model on their hosts, so that a spare can
+/// join at once whichever model's group loses a member.
 ///
 /// Deterministic. Not thread-safe.
 class GroupPlanner {
  public:
   explicit GroupPlanner(PlannerInput input);
 
-  /// The group to form next; nothing when no model needs one that the free servers can form.
+  /// The group to form next; nullopt when no model needs a group that the free servers can form.
   std::optional<GroupPlan> next_group() const;
-  /// Records that a plan is carried out, so that the next one is made on top of it.
+  /// Adds the group formed from a plan to the input, so that the next plan takes it into account.
   void add_formed_group(const GroupPlan& plan, const std::string& group);
-  /// Nothing while servers given up before are not free yet.
+  /// Returns nullopt while a previous preemption is in progress or its servers are still reserved.
   std::optional<PreemptionPlan> groups_to_preempt() const;
-  /// Free servers that hold weights of a model in use and are in no holding group, unless their domain is reserved:
-  /// those are used at once.
+  /// Free servers that hold weights of a model in use and are in no spare group. Omits reserved domains, whose servers
+  /// are used at once.
   std::vector<const PlannedServer*> spares_without_group() const;
-  /// Weights to stage, the most useful first.
+  /// Weights to load, by descending priority.
   std::vector<StagingPlan> staging_plans() const;
 
  private:
   using ServerIndex = std::vector<size_t>;
 
-  /// Need over supply; the model with the highest value serves its callers worst.
+  /// Groups needed divided by groups present. The model with the highest pressure is the most overloaded.
   double pressure(const ModelNeed& need, double groups) const;
   double count_groups(const std::string& model) const;
   std::vector<const ModelNeed*> needs_by_pressure() const;
-  /// Servers that the model should have when all of them are shared out by need.
+  /// Servers that the model should have if all servers are divided in proportion to need.
   double target_server_count(const ModelNeed& need) const;
   bool may_add_group(const ModelNeed& need) const;
-  /// A member would lose the weights of a model that is more pressed than the plan's: loads are dearer than idleness.
+  /// A member would lose the weights of a model under higher pressure than the plan's. While loads are limited, an idle
+  /// server is cheaper than loading those weights again.
   bool discards_needed_weights(const GroupPlan& plan) const;
-  /// Free servers of a domain that need no load for the model.
+  /// Number of free servers of a domain that need no load for the model.
   size_t count_warm_free_servers(const std::string& domain, const std::string& model) const;
   std::optional<GroupPlan> cheapest_plan(const document::ModelSpec& model) const;
-  /// Groups of the largest model that `free_servers` could still form.
+  /// Number of groups of the largest model that `free_servers` can form.
   size_t count_largest_model_groups(size_t free_servers) const;
-  /// Open groups of `donor` in one domain that would let a group of `model` form there without a load; empty if none.
+  /// Open groups of model `donor` in the domain whose preemption lets a group of `model` form there without a load;
+  /// empty if there are none.
   std::vector<std::string> donor_groups_in_domain(const std::string& domain, const document::ModelSpec& model,
                                                   const std::string& donor) const;
-  /// How many free servers of each domain hold each model in their accelerators, or are about to.
+  /// Number of free servers per (domain, model) that hold the model in their accelerators or are about to.
   using SpareCounts = std::map<std::pair<std::string, std::string>, int>;
   SpareCounts count_spares() const;
-  /// The model that a free server should hold: the one with most need for each spare of its domain.
+  /// The model that a free server should load: the one with the highest need per spare of its domain.
   const document::ModelSpec* model_for_spare(const PlannedServer& server, const SpareCounts& spares) const;
-  /// The model that a server should hold besides the one it serves.
+  /// The model to stage on the server's host in addition to the one in its accelerators.
   const document::ModelSpec* model_to_stage_on_host(const PlannedServer& server) const;
 
   PlannerInput input_;
--- a/src/core/fleet/group_stall_detector.cc
+++ b/src/core/fleet/group_stall_detector.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// An entry's word counts for this long; it says so at least once a second while it holds.
+/// A quiet report expires after this time; entries repeat it at least once a second.
 constexpr Duration kReportTimeout = milliseconds(1200);
-/// Entries whose word makes other groups better: one alone may itself be slow or badly connected.
+/// Reports needed to prefer other groups: a single entry may itself be slow or have a bad connection.
 constexpr size_t kMinQuietReports = 2;
-/// Entries, and their part of those with streams there, whose word shows that the group stands still: a zone whose
-/// links lose packets holds a third of the entries.
+/// Number of reports, and their share of the entries with streams there, needed to treat the group as stalled. The
+/// share exceeds the third of the entries that one zone with packet loss has.
 constexpr size_t kMinStallReports = 3;
 constexpr double kMinStallReportShare = 0.75;
-/// Streams of an entry are silent for about this long when it says so first.
+/// The streams of an entry have been silent for about this long when it first reports them as quiet.
 constexpr Duration kSilenceBeforeReport = milliseconds(80);
-/// A group may take this much longer for a pass than the cost model says, and events need some time on their way.
+/// Tolerance for passes that take longer than the cost model predicts, and for the transit time of events.
 constexpr int kMaxPassPercent = 140;
 constexpr Duration kPassSlack = milliseconds(50);
 
--- a/src/core/fleet/group_stall_detector.h
+++ b/src/core/fleet/group_stall_detector.h
@@ -8,26 +8,29 @@
 
 namespace larchlever::fleet {
 
-/// Tells from the entries' words whether a group's streams stand still.
+/// Detects from reports of the entries that a group has stalled.
 ///
-/// Load pattern: a member dies, and from one pass to the next all streams of its group stop, a few at each of many
-/// entries. An entry alone cannot tell that from its own link or from a long pass, and would have to wait for several
-/// passes; together they have seen all streams stop at once while every other group went on. So the word of most
-/// entries that have streams there counts as soon as the pass that the cost model expects is over. Pure;
-/// single-threaded.
+/// Load pattern: a member crashes, and all streams of its group stop from one engine pass (the step that produces the
+/// next tokens of all streams) to the next, a few streams at each of many entries. A single entry cannot distinguish
+/// this from a failure of its own link or from a long pass and would have to wait for several passes. Together, the
+/// entries see all streams of one group stop at once while other groups make progress. A group therefore counts as
+/// stalled when most entries with streams there report it as quiet and the duration of a pass by the cost model is
+/// over.
+///
+/// An entry reports a group as quiet while its streams there are overdue. Single-threaded.
 class GroupStallDetector {
  public:
-  /// How many streams `node` has at `group` now.
+  /// Sets the number of streams that entry `node` has at `group`.
   void note_streams(const std::string& node, const std::string& group, int streams);
-  /// All groups whose streams at `node` are overdue now.
+  /// Sets the groups whose streams at entry `node` are overdue.
   void note_quiet(TimePoint now, const std::string& node, const std::vector<std::string>& groups);
   void forget_node(const std::string& node);
-  /// Two entries at least say that their streams there are overdue: other groups are better.
+  /// At least two entries report the group as quiet: other groups should be preferred.
   bool is_quiet(TimePoint now, const std::string& group) const;
-  /// Most entries with streams there say so, and the group should have brought something by now; `longest_pass` is the
-  /// longest that its streams pause by the cost model.
+  /// Most entries with streams there report the group as quiet, for longer than a pass should take. `longest_pass` is
+  /// the longest pause of its streams by the cost model.
   bool is_stalled(TimePoint now, const std::string& group, Duration longest_pass) const;
-  /// Groups of which at least one entry says that they are quiet.
+  /// Groups that at least one entry reports as quiet.
   std::vector<std::string> quiet_groups() const;
 
  private:
--- a/src/core/fleet/group_supervisor.cc
+++ b/src/core/fleet/group_supervisor.cc
@@ -9,26 +9,28 @@
 
 namespace {
 
-/// A group that does not come together in this time is given up.
+/// A group that is not ready within this time is dissolved.
 constexpr Duration kJoiningTimeout = seconds(60);
-/// Longest wait for the requests in flight of a group whose member leaves as planned.
+/// Longest wait for in-flight requests of a draining group.
 constexpr Duration kDrainTimeout = seconds(9);
-/// Shortest time that a draining group is kept, so that every entry has heard of it.
+/// A group drains for at least this time, so that every entry learns of it.
 constexpr Duration kMinDrainTime = milliseconds(500);
-/// A head that did not confirm its leave in this time may be out of reach; a member is asked to leave as well.
+/// A head that does not confirm within this time that it left may be unreachable; then a member is ordered to leave
+/// too.
 constexpr Duration kHeadLeaveTimeout = milliseconds(1500);
-/// Added to the stall time: clocks drift and answers travel.
+/// Added to the stall time for clock drift and the latency of responses.
 constexpr Duration kStallMargin = milliseconds(700);
-/// After a change of leadership, groups that nobody told us of are adopted once every instance had time to report.
+/// After a change of leadership, unknown groups are adopted after this time, in which every instance can report.
 constexpr Duration kAdoptionDelay = seconds(3);
 
-/// A member of a group that failed is not given to another group before it was heard again; by then it is silent.
+/// A member of a failed group is not assigned to another group until it reports again, or until this time has passed: a
+/// crashed member is marked silent by then.
 constexpr Duration kSuspicionTimeout = seconds(5);
-/// A plan costs about 2 us an instance: planned anew after this time an instance, it takes 3 % of a core.
+/// A plan costs about 2 us per instance: with this interval per instance, planning takes 3 % of a core.
 constexpr Duration kPlanningIntervalPerInstance = microseconds(60);
-/// Shorter pauses make no difference beside the interval of the leader's ticks.
+/// Shorter planning intervals are treated as zero: they do not matter beside the interval of the leader's ticks.
 constexpr Duration kMinPlanningInterval = milliseconds(40);
-/// Ends the names of groups of one.
+/// Suffix of the names of spare groups.
 constexpr std::string_view kSpareGroupSuffix = "-single";
 
 bool reports_membership(const wire::Instance& instance, const wire::EngineGroup& group) {
@@ -44,8 +46,9 @@
   return instance != nullptr && instance->state == wire::InstanceState::READY && !instance->silent;
 }
 
-/// The member of that rank as it reports itself; null when it is not known, or only another incarnation of it is: that
-/// one knows nothing of the group, and what it joins late under the group's name is not what was seen ready.
+/// Returns the member with this rank; null when it is unknown or only another incarnation of it is known. A new
+/// incarnation has no state of the group, and if it joins through a late order, it is not the member that was ready
+/// when the group was opened.
 const wire::Instance* find_member(const wire::EngineGroup& group, size_t rank, const InstanceDirectory& directory) {
   const auto* member = directory.find(group.members[rank]);
   const int64_t born_ms = rank < group.member_born_ms.size() ? group.member_born_ms[rank] : 0;
@@ -55,14 +58,14 @@
 
 bool is_success(int status) { return status >= 200 && status < 300; }
 
-/// Pause between two plans, so that planning takes a stated part of a small core whatever the fleet's size.
+/// Interval between two plans, so that planning takes a constant fraction of a core for any size of the fleet.
 Duration planning_interval(size_t instances) {
   const Duration interval = kPlanningIntervalPerInstance * static_cast<int64_t>(instances);
   return interval > kMinPlanningInterval ? interval : Duration::zero();
 }
 
-/// Another instance was heard at the address, so the process behind `id` has ended. A row that only a copy names proves
-/// nothing: the copy may be older than `id`.
+/// Another instance reports from the address of `id`, so the process of `id` has ended. Rows that come only from a
+/// state copy are no evidence: the copy may be older than `id`.
 bool is_replaced(const std::string& id, const InstanceDirectory& directory) {
   const auto* instance = directory.find(id);
   if (instance == nullptr) {
@@ -140,10 +143,10 @@
     record.since = now;
     record.is_inherited = true;
     record.may_be_open = true;
-    record.unanswered_head_orders = 1;  // What the predecessor sent is not known.
+    record.unanswered_head_orders = 1;  // The orders of the previous leader are unknown.
     if (group.phase == wire::GroupPhase::JOINING) {
-      // The predecessor may have given these members to another group, by orders that are still under way: opened
-      // under its old epoch, the group could lose a member to them. Formed anew, it has an epoch above theirs.
+      // The previous leader may have assigned these members to another group by orders that are still in transit. If
+      // the group were opened under its old epoch, it could lose a member to them. A new group has a higher epoch.
       record.group.phase = wire::GroupPhase::DISSOLVING;
     }
     add_record(std::move(record));
@@ -187,11 +190,11 @@
   if (may_open_head && to_head && result.status != 0) {
     --record.unanswered_head_orders;
   }
-  // Conflict: the instance is in no such group. Failed precondition: it has seen a higher epoch or fence.
+  // Conflict: the instance is not in this group. Precondition failed: it has seen a higher epoch or fencing token.
   const bool left = is_success(result.status) || result.status == http_status::kConflict ||
                     result.status == http_status::kPreconditionFailed;
   if (result.order.kind != OrderKind::kLeave || !left) {
-    return;  // Joins and opens are confirmed by what the instances report, never by an answer.
+    return;  // Joins and opens are confirmed only by reports of the instances, not by responses.
   }
   if (to_head) {
     record.head_leave_confirmed = true;
@@ -285,7 +288,7 @@
   }
   if (lost) {
     record.head_leave_confirmed =
-        record.head_leave_confirmed || !record.may_be_open;  // Never opened: its members are free at once.
+        record.head_leave_confirmed || !record.may_be_open;  // Never opened: the members are free at once.
     set_phase(now, record, wire::GroupPhase::DISSOLVING, GroupChangeReason::kFormationFailed);
     return true;
   }
@@ -395,7 +398,7 @@
 void GroupSupervisor::send_leave_orders(TimePoint now, const GroupRecord& record, const InstanceDirectory& directory) {
   const auto& members = record.group.members;
   if (record.failure_reported) {
-    // One of them is dead: who answers is not, and the head stands still without any of them.
+    // One member has crashed. A member that confirms its leave has not, and the head stalls without any one of them.
     for (const auto& member : members) {
       if (can_take_work(directory.find(member))) {
         send(now, group_order(OrderKind::kLeave, record, member), directory);
@@ -411,7 +414,7 @@
     return;
   }
   if (!record.member_leave_times.empty()) {
-    return;  // One is enough: the head stands still without it.
+    return;  // One member is enough: the head stalls without it.
   }
   for (size_t rank = 1; rank < members.size(); ++rank) {
     if (can_take_work(directory.find(members[rank]))) {
@@ -447,8 +450,8 @@
   if (membership.state == wire::MembershipState::BROKEN && reports_membership(head->second.instance, record.group)) {
     return true;
   }
-  // A head that only reports itself ready may still carry out an order to open that is under way; one that reports
-  // another epoch above ours can no longer.
+  // A head that only reports itself ready may still execute an order to open that is in transit. A head that reports an
+  // epoch above the group's cannot.
   return membership.epoch > record.group.epoch ||
          (!reports_membership(head->second.instance, record.group) && record.unanswered_head_orders <= 0);
 }
@@ -471,7 +474,8 @@
       if (record.head_leave_confirmed) {
         fence_head(now, record, directory);
       }
-      // A head that left may end before it is fenced: its members leave then as they would with an unreachable one.
+      // A head that left may crash before it is fenced. Its members are then ordered to leave, as with an unreachable
+      // head.
       if (!record.head_leave_confirmed || now - record.since > kHeadLeaveTimeout) {
         send_leave_orders(now, record, directory);
       }
@@ -534,7 +538,7 @@
     const bool known = membership.group.empty() || membership.state == wire::MembershipState::NONE ||
                        is_spare_group(membership.group) || records_.contains(membership.group) ||
                        released_group_names_.contains(membership.group);
-    // One that a group of ours owns has only not carried out our order yet.
+    // An instance that belongs to a known group has only not executed its order yet.
     const bool is_owned = owner_of(id) != nullptr;
     if (known || is_owned || !row.reported_this_term || row.instance.state == wire::InstanceState::GONE) {
       continue;
--- a/src/core/fleet/group_supervisor.h
+++ b/src/core/fleet/group_supervisor.h
@@ -20,8 +20,8 @@
 
 enum class OrderKind { kJoin, kOpen, kLeave, kStage };
 
-/// One order to one instance. Epoch and fence rise with every leadership, so that an order of an earlier leader that is
-/// carried out late is refused or touches only a group that exists no more.
+/// One order to one instance. Epochs and fencing tokens increase with every leadership, so an order of an earlier
+/// leader that is executed late is either rejected or affects only a group that no longer exists.
 struct InstanceOrder {
   OrderKind kind = OrderKind::kJoin;
   std::string instance_id;
@@ -33,7 +33,8 @@
   std::vector<std::string> members;
 };
 
-/// What came of an order; `status` is 0 when no answer arrived, in which case it may still be carried out, also late.
+/// Outcome of an order. `status` is the HTTP status, or 0 when no response arrived; the order may then still be
+/// executed later.
 struct InstanceOrderResult {
   InstanceOrder order;
   int status = 0;
@@ -41,100 +42,107 @@
 
 /// Why a group entered its phase.
 enum class GroupChangeReason {
-  kPlanned,                 ///< The planner asked for it.
+  kPlanned,                 ///< The planner requested the group.
   kAllReady,                ///< Every member reported that it is ready.
   kHeadOpen,                ///< The head reported that it is open.
-  kFormationFailed,         ///< A member was lost, or did not get ready in time.
-  kEntriesReportedFailure,  ///< Entries saw its head fail or stand still.
-  kMemberLost,              ///< A member is gone, replaced, silent, or reports another group.
-  kMemberLeaving,           ///< A member is about to stop.
-  kPreempted,               ///< Its servers are wanted for another model.
-  kDrained,                 ///< Nothing is in flight any more, or for too long.
-  kReleased                 ///< Its members are free.
+  kFormationFailed,         ///< A member was lost or did not become ready in time.
+  kEntriesReportedFailure,  ///< Entries reported that the head failed or stalled.
+  kMemberLost,              ///< A member is gone, replaced or silent, or reports another group.
+  kMemberLeaving,           ///< A member is shutting down.
+  kPreempted,               ///< The servers are needed for another model.
+  kDrained,                 ///< No requests are in flight, or the drain timed out.
+  kReleased                 ///< The members are free.
 };
 const char* to_string(GroupChangeReason reason);
 
-/// One change of a group, to be logged.
+/// One state change of a group, for the log.
 struct GroupDecision {
   wire::EngineGroup group;
   GroupChangeReason reason = GroupChangeReason::kPlanned;
 };
 
-/// Epochs carry the leader's term above this bit, so that every leadership's epochs exceed those of the ones before.
+/// Epochs hold the leader's term above this bit and a sequence number below it, so that the epochs of each leadership
+/// exceed those of all earlier ones.
 constexpr int kEpochTermShift = 20;
 constexpr int64_t kEpochSequenceMask = (int64_t{1} << kEpochTermShift) - 1;
 
-/// Groups of one instance that are never opened. Every spare is in one: it loads or keeps weights there, it refuses
-/// late orders of the groups it was in before, and a new leader knows it for free by the group's name alone.
+/// Name of a spare group: a group of one spare instance that is never opened. Each spare is in one, where it loads or
+/// keeps weights. The group's epoch makes the spare reject late orders of its previous groups, and the group's name
+/// tells a new leader that the instance is free.
 std::string spare_group_name(int64_t term, int64_t epoch);
 bool is_spare_group(const std::string& name);
 
-/// True when `instance` (may be null) says that it is ready as a member of `group`.
+/// True when `instance` (may be null) reports that it is ready as a member of `group`.
 bool reports_ready(const wire::Instance* instance, const wire::EngineGroup& group);
 
-/// Forms groups of instances for the models of the engine services as GroupPlanner plans them, opens them, and
-/// dissolves those that lost a member.
+/// Forms groups of instances according to the plans of GroupPlanner, opens them, and dissolves those that lost a
+/// member.
 ///
-/// Guarantees, whatever is lost or carried out late:
-/// - a group is opened only after every member reported that it is ready under the group's name and epoch;
-/// - an instance is given to another group only after its old head confirmed that it left (and, where orders to it are
-///   unanswered, that it saw a higher epoch, so that they can no longer open it), or reported itself broken, or is
-///   replaced at its address, or one of its members confirmed that it left longer than the stall time ago (a head that
-///   misses a member stands still and is broken by then).
+/// Guarantees, even if orders are lost or executed late:
+/// - A group is opened only after every member reported that it is ready under the group's name and epoch.
+/// - An instance is assigned to another group only after one of these events:
+///   - the head of its old group confirmed that it left; if orders to the head are unanswered, it must also have
+///   reported
+///     a higher epoch, so that those orders can no longer open the old group;
+///   - the head reported itself broken, or was replaced at its address;
+///   - another member confirmed longer than the stall time ago that it left. A head that lost a member makes no
+///   progress
+///     and is broken by then.
 ///
-/// Single-threaded, deterministic; holds soft state of one leadership.
+/// Single-threaded, deterministic. Holds soft state of one leadership.
 class GroupSupervisor {
  public:
   explicit GroupSupervisor(const FleetOptions& options) : options_(options), limiter_(options.load_window) {}
 
-  /// A leadership begins in `term` with the previous leader's groups. Their loads may have started just now.
+  /// Starts a leadership in `term` with the groups of the previous leader. Assumes that their weight loads may have
+  /// just begun.
   void start(TimePoint now, int64_t term, const std::vector<wire::EngineGroup>& inherited);
-  /// Takes the groups of a newer copy instead of those it started with. Only before the first `tick`.
+  /// Replaces the inherited groups by those of a newer state copy. Only valid before the first `tick`.
   void inherit(TimePoint now, const std::vector<wire::EngineGroup>& inherited);
-  /// Groups that an earlier leadership released: who still reports one of them is free. Holds of copies of any age,
-  /// since a group that was released never comes back.
+  /// Adds groups that earlier leaders released; instances that still report one of them are free. Names from state
+  /// copies of any age are valid, since a released group never exists again.
   void add_released_groups(const std::vector<std::string>& names);
-  /// An entry saw a group's head fail or stand still.
+  /// An entry reported that the group's head failed or stalled.
   void note_failure(const std::string& group);
-  /// Requests in flight per group, over all entries.
+  /// Sets the number of in-flight requests per group, over all entries.
   void note_loads(std::map<std::string, int> in_flight) { in_flight_ = std::move(in_flight); }
-  /// Before the first request, loads are not rationed by their rate.
+  /// Enables the rate limit on weight loads, which does not apply before the first request.
   void note_traffic() { limiter_.note_traffic(); }
-  /// Groups with members in evacuated zones are kept as they are, so that they serve at once when the zone is restored;
-  /// until then they count for nothing, and no server there joins another.
+  /// Groups with members in evacuated zones are kept, so that they can serve as soon as the zone is restored. Until
+  /// then they do not count as capacity, and no server of the zone joins another group.
   void set_evacuations(const wire::ZoneEvacuations& evacuations) { evacuations_ = evacuations; }
-  /// The demand that groups are shared out by.
+  /// Measured demand, by which servers are divided among models.
   DemandTracker& demand() { return demand_; }
   void order_result(TimePoint now, const InstanceOrderResult& result);
-  /// Advances every group; true when subscribers must learn of it.
+  /// Advances the state of every group. Returns true when subscribers must be notified of a change.
   bool tick(TimePoint now, const document::ConfigurationDocument& document, const InstanceDirectory& directory);
 
   std::vector<InstanceOrder> take_orders();
-  /// What was decided about groups since the last call, in order.
+  /// Returns the group changes since the last call, in order.
   std::vector<GroupDecision> take_decisions() { return std::exchange(decisions_, {}); }
   std::vector<wire::EngineGroup> snapshot() const;
-  /// Names of released groups that instances still report, for the next leadership.
+  /// Names of released groups that instances still report, for the next leader.
   std::vector<std::string> released_groups(const InstanceDirectory& directory) const;
-  /// The group that owns an instance; null when it is free.
+  /// The group that owns the instance; null when it is free.
   const wire::EngineGroup* owner_of(const std::string& instance_id) const;
 
  private:
   struct GroupRecord {
     wire::EngineGroup group;
     TimePoint since{};
-    /// An order to open may have been sent, so the head may be open whatever it last reported.
+    /// An order to open may have been sent, so the head may be open even if its last report says otherwise.
     bool may_be_open = false;
     bool failure_reported = false;
-    /// An earlier leadership formed it, and may since have given its head to a group that nobody told us of.
+    /// Formed by an earlier leader, which may since have assigned the head to a group unknown to this leader.
     bool is_inherited = false;
-    /// Drained so that another model gets its servers.
+    /// Drained so that another model can use the servers.
     bool is_preempted = false;
-    /// Members other than the head that confirmed that they left, and when.
+    /// When members other than the head confirmed that they left.
     std::map<std::string, TimePoint> member_leave_times;
     bool head_leave_confirmed = false;
-    /// Orders to join or open that the head may still carry out: sent, and not answered.
+    /// Orders to join or open that were sent to the head and not answered: it may still execute them.
     int unanswered_head_orders = 0;
-    /// Epoch of the group of its own that the head was given after it left, to fence those orders; 0 for none.
+    /// Epoch of the spare group that the head is ordered into after it left, which fences those orders; 0 for none.
     int64_t fence_epoch = 0;
     bool head_fenced = false;
   };
@@ -149,31 +157,33 @@
   bool advance_opening(TimePoint now, GroupRecord& record, const InstanceDirectory& directory);
   bool advance_open(TimePoint now, GroupRecord& record, const InstanceDirectory& directory);
   bool advance_draining(TimePoint now, GroupRecord& record);
-  /// The group failed: until a member is heard again, it may be the one that died.
+  /// Marks all members of a failed group as suspected: each may be the crashed one until it reports again.
   void suspect_members(TimePoint now, const GroupRecord& record);
   void clear_suspected_members(TimePoint now, const InstanceDirectory& directory);
-  /// No entry has anything in flight there.
+  /// No entry has requests in flight at the group.
   bool is_idle(const GroupRecord& record) const;
-  /// An order to join that was carried out late took a member back that had left: the head may lack nobody.
+  /// Removes members from `member_leave_times` that rejoined through an order executed late: the head may be complete
+  /// again.
   static void remove_rejoined_members(GroupRecord& record, const InstanceDirectory& directory);
   void send_leave_orders(TimePoint now, const GroupRecord& record, const InstanceDirectory& directory);
-  /// The head's own word under this leadership that it is not in the group.
+  /// The head reported to this leader that it is not in the group.
   static bool head_reports_leaving(const GroupRecord& record, const InstanceDirectory& directory);
-  /// Gives a head that left an epoch above its old group's, so that late orders cannot open that group again. The head
-  /// of an inherited group is left alone until it has said where it is: it may lead another group by now, which an
-  /// order to join breaks off.
+  /// Orders a head that left into a spare group with a higher epoch, so that late orders cannot open its old group
+  /// again. The head of an inherited group is fenced only after it reported its group: it may lead another group by
+  /// now, which an order to join would break up.
   void fence_head(TimePoint now, GroupRecord& record, const InstanceDirectory& directory);
   int64_t next_epoch() { return (term_ << kEpochTermShift) + next_epoch_sequence_++; }
   bool is_dissolved(TimePoint now, const GroupRecord& record, const InstanceDirectory& directory) const;
   void set_phase(TimePoint now, GroupRecord& record, wire::GroupPhase::type phase, GroupChangeReason reason);
-  /// Takes over groups that instances report and no predecessor told of, as after the loss of all control replicas.
+  /// Adopts groups that instances report but no previous leader published, as after the loss of all control replicas.
   bool adopt_unknown_groups(TimePoint now, const document::ConfigurationDocument& document,
                             const InstanceDirectory& directory);
-  /// The group is formed of its members as they are now.
+  /// Records the current incarnations and zones of the group's members.
   static void fill_member_details(wire::EngineGroup& group, const InstanceDirectory& directory);
-  /// A record of the group that `instance` reports, with every member found; the head is empty when it is not known.
+  /// Builds the record of the group that `instance` reports from all instances that report it. The head's id is empty
+  /// when no instance reports rank 0.
   GroupRecord build_reported_group(const wire::Instance& instance, const InstanceDirectory& directory) const;
-  /// All members of the group are known and its head is open: nothing but the memory of it was lost.
+  /// All members of the group are known and its head is open: the group still works, only its record was lost.
   static bool is_intact(const wire::EngineGroup& group, const document::ConfigurationDocument& document,
                         const InstanceDirectory& directory);
   void add_record(GroupRecord record);
@@ -184,12 +194,12 @@
   bool preempt_groups(TimePoint now, const GroupPlanner& planner);
   PlannerInput planner_input(TimePoint now, const std::string& service, const document::EngineSpec& engine,
                              const InstanceDirectory& directory);
-  /// By measured demand; by the configured fractions until enough of it was seen.
+  /// Needs by measured demand, or by the configured fractions until enough demand was measured.
   std::vector<ModelNeed> model_needs(TimePoint now, const std::string& service, const document::EngineSpec& engine,
                                      size_t servers);
   std::string form_group(TimePoint now, const std::string& service, const GroupPlan& plan,
                          const InstanceDirectory& directory);
-  /// Puts spares that keep their weights into holding groups.
+  /// Orders spares that keep their weights into spare groups.
   void assign_spares_to_spare_groups(TimePoint now, const std::vector<const PlannedServer*>& spares,
                                      const InstanceDirectory& directory);
   void stage_weights(TimePoint now, const document::EngineSpec& engine, const std::vector<StagingPlan>& plans,
@@ -198,11 +208,12 @@
   bool may_start_load(const StagingPlan& plan, const document::EngineSpec& engine,
                       const WeightLoadCounts& counts) const;
   void remove_finished_stagings(TimePoint now, const document::EngineSpec& engine, const InstanceDirectory& directory);
-  /// Counts that the limits of loads depend on. Taken once for many plans: they cost a look at every instance.
+  /// Counts the loads that the load limits depend on. Iterates over all instances, so the result is reused for many
+  /// plans.
   WeightLoadCounts count_loads(const InstanceDirectory& directory) const;
   size_t count_loads_in_progress(const InstanceDirectory& directory) const;
   void send(TimePoint now, const InstanceOrder& order, const InstanceDirectory& directory);
-  /// An order to join a holding group, with weights that the instance has or is to load.
+  /// An order to join a spare group of `model`, whose weights the instance holds or is to load.
   InstanceOrder spare_group_order(const std::string& instance_id, const std::string& model, int64_t epoch) const;
   InstanceOrder group_order(OrderKind kind, const GroupRecord& record, const std::string& instance_id) const;
 
@@ -214,31 +225,31 @@
   LoadLimiter limiter_;
   DemandTracker demand_;
   std::map<std::string, GroupRecord> records_;
-  /// The group that each instance belongs to.
+  /// Name of the group that each instance belongs to.
   std::map<std::string, std::string> owning_group_names_;
-  /// Groups known to be dissolved whose names instances may still report.
+  /// Names of released groups, which instances may still report.
   std::set<std::string> released_group_names_;
   std::map<std::string, int> in_flight_;
   wire::ZoneEvacuations evacuations_;
   std::map<std::string, TimePoint> order_sent_at_;
-  /// Members of groups that failed, and when.
+  /// Members of failed groups, with the time of the failure.
   std::map<std::string, TimePoint> suspected_members_;
-  /// Domains where servers were given up for a model, so that no other takes them in the meantime.
+  /// Domains where groups were preempted for a model: no other model may take the servers meanwhile.
   struct DomainReservation {
     std::string model;
     TimePoint until{};
   };
   std::map<std::string, DomainReservation> reservations_;
-  /// Weights that instances were ordered to load onto their hosts and did not report yet.
+  /// A weight load that an instance was ordered to make and has not reported yet.
   struct PendingStaging {
     std::string model;
     TimePoint since{};
     bool into_accelerators = false;
-    /// Birth of the incarnation that was ordered; 0 when it does not tell.
+    /// Birth of the incarnation that received the order; 0 when it is unknown.
     int64_t born_ms = 0;
   };
   std::map<std::string, PendingStaging> pending_stagings_;
-  /// Epochs of the holding groups that spares were ordered into and do not report yet.
+  /// Epochs of the spare groups that spares were ordered into and do not report yet.
   std::map<std::string, int64_t> spare_group_epochs_;
   std::vector<InstanceOrder> orders_;
   std::vector<GroupDecision> decisions_;
--- a/src/core/fleet/group_supervisor_planning.cc
+++ b/src/core/fleet/group_supervisor_planning.cc
@@ -1,5 +1,4 @@
-// The part of GroupSupervisor that carries out the planner's decisions: groups to form and to give up, weights to
-// stage.
+// The part of GroupSupervisor that executes the planner's decisions: groups to form and to preempt, weights to stage.
 
 #include <algorithm>
 
@@ -10,15 +9,15 @@
 
 namespace {
 
-/// What a model needs while nobody asks for it, in groups.
+/// Groups needed by a model without demand.
 constexpr double kIdleModelGroups = 0.25;
-/// How long servers that were given up are kept for the model that wants them, once the last of them is free.
+/// How long the servers of preempted groups stay reserved for the receiving model after the last of them became free.
 constexpr Duration kReservationTimeout = milliseconds(400);
-/// Parts of the loads that the store bears at once that may be taken by what no group waits for; the rest is kept for
-/// repairs, which a load under way would slow down.
+/// Loads that no group waits for may use this fraction (1/divisor) of the concurrent loads of the weight store. The
+/// rest is reserved for repairs, which concurrent loads would slow down.
 constexpr int kStandbyLoadDivisor = 2;
 constexpr int kPrecautionLoadDivisor = 3;
-/// A staging that was not reported within this many load times is ordered again.
+/// A staging that is not reported within this multiple of the model's load time is ordered again.
 constexpr int kStagingTimeoutInLoadTimes = 2;
 
 bool has_staged(const wire::Instance& instance, const std::string& model) {
@@ -160,8 +159,8 @@
     const auto* model = engine.find_model(item.second.model);
     const bool is_other_incarnation = instance != nullptr && instance->born_ms != item.second.born_ms;
     const bool gone = instance == nullptr || instance->state == wire::InstanceState::GONE || model == nullptr ||
-                      is_other_incarnation;  // That one knows nothing of the order.
-    // Weights that lay on the host before say nothing about those that go into the accelerators.
+                      is_other_incarnation;  // The new incarnation never received the order.
+    // Weights that were already on the host do not show that the load into the accelerators is finished.
     const bool is_done = !gone && (instance->model == item.second.model ||
                                    (!item.second.into_accelerators && has_staged(*instance, item.second.model)));
     return gone || is_done || now - item.second.since > kStagingTimeoutInLoadTimes * model->load_time;
@@ -243,8 +242,8 @@
                                    const InstanceDirectory& directory) {
   GroupPlanner planner(planner_input(now, service, engine, directory));
   bool changed = false;
-  // Counted once: for each group anew, a leader of 3,000 servers stood still for 0.3 to 0.45 s while it formed them,
-  // lost its leadership four times before the first requests, and its successors began the groups anew.
+  // Counted once per plan. Counting again for each group blocked the leader of 3,000 servers for 0.3 to 0.45 s while it
+  // formed the groups; leadership was lost four times before the first requests, and each new leader started over.
   WeightLoadCounts counts = count_loads(directory);
   while (const auto plan = planner.next_group()) {
     if (!limiter_.may_begin(now, engine, plan->weight_loads, counts.in_progress, counts.finished)) {
@@ -261,7 +260,7 @@
   const bool is_forming_groups = std::any_of(records_.begin(), records_.end(), [](const auto& item) {
     return item.second.group.phase == wire::GroupPhase::JOINING;
   });
-  // First all groups, then the weights that they may need later.
+  // Form all groups before staging weights that they may need later.
   if (engine.staged_per_host > 0 && (limiter_.traffic_seen() || !is_forming_groups)) {
     stage_weights(now, engine, planner.staging_plans(), directory);
   }
--- a/src/core/fleet/instance_directory.cc
+++ b/src/core/fleet/instance_directory.cc
@@ -7,22 +7,23 @@
 
 namespace {
 
-/// Stands between the id and the birth in the name of an incarnation.
+/// Separates the id and the birth in the name of an incarnation.
 constexpr char kBirthSeparator = '@';
-/// How long a gone instance is remembered, so that its late reports do not bring it back.
+/// How long a gone instance is kept, so that its late reports do not register it again.
 constexpr Duration kGoneRetention = seconds(120);
-/// Who is heard at another's address for this long, while that one is not, has replaced it. Late heartbeats come in a
-/// burst when a cut heals; a living instance reports again and again.
+/// An instance that reports another's address for this long, while the other does not report, has replaced it. Late
+/// heartbeats arrive in a burst when a partition heals; a live instance reports continuously.
 constexpr Duration kAddressTakeoverTime = milliseconds(700);
 
-/// A start that tells no birth, or an earlier one, is believed when it was heard this often over this time while the
-/// one before was silent. Without a birth only the count tells it from reports that were delayed, by seconds at times.
+/// An incarnation without a birth, or with an earlier one, is accepted after this many reports over this time while the
+/// known one did not report. Without a birth, only the call numbers distinguish it from delayed reports; delays can be
+/// seconds, so the time is longer.
 constexpr int kMinCandidateReports = 3;
 constexpr Duration kCandidateTime = kAddressTakeoverTime;
 constexpr Duration kCandidateTimeWithoutBirth = seconds(3);
-/// Reports are batched and forwarded: one that arrives now may have been written this long ago.
+/// Reports are batched and forwarded: one that arrives now may be this old.
 constexpr Duration kReportTransitTime = milliseconds(300);
-/// Longest time for which an instance counts as cold without its own word; several reports fall into it.
+/// How long an instance of a restored zone is assumed cold without its own report. Several reports fall into this time.
 constexpr Duration kAssumedColdTime = seconds(5);
 
 }  // namespace
@@ -166,7 +167,7 @@
   }
   row.candidate.reset();
   if (!row.reported_this_term && is_address_held_by_another(report)) {
-    row.address_contended_since = now;  // The copy may name an earlier holder of the address, or a later one.
+    row.address_contended_since = now;  // The state copy may hold an earlier or a later owner of the address.
   }
   const bool was_settled = row.is_confirmed();
   row.last_report_at = now;
@@ -218,7 +219,7 @@
 bool InstanceDirectory::apply_report(TimePoint now, InstanceRow& row, const wire::Instance& report) {
   wire::Instance next = report;
   next.cold = apply_cold_state(now, row, report);
-  next.address = row.instance.address;  // An instance stays where it started, and of the service that it started as.
+  next.address = row.instance.address;  // An instance never changes its address or service.
   next.service_name = row.instance.service_name;
   next.born_ms = std::max(row.instance.born_ms, report.born_ms);
   next.state = std::max(row.instance.state, report.state);
@@ -255,7 +256,7 @@
     return false;
   }
   if (found == rows_.end()) {
-    // Unknown here, yet its late heartbeats must not register it.
+    // Unknown here, but its late heartbeats must not register it.
     wire::Instance instance;
     instance.id = id;
     instance.born_ms = born_ms;
@@ -295,7 +296,7 @@
       changed = true;
     }
     if (overdue(row) && row.address_contended_since) {
-      row.instance.state = wire::InstanceState::GONE;  // A late heartbeat, and nothing after it.
+      row.instance.state = wire::InstanceState::GONE;  // It was a late heartbeat with no later reports.
       row.address_contended_since.reset();
       changed = true;
     } else if (overdue(row) && !row.instance.silent && !is_leader_isolated) {
--- a/src/core/fleet/instance_directory.h
+++ b/src/core/fleet/instance_directory.h
@@ -10,21 +10,20 @@
 
 namespace larchlever::fleet {
 
-/// Whether two reports of an instance say the same; the call number alone is no news.
+/// Whether two reports of an instance have the same content, apart from the call number.
 bool has_same_content(const wire::Instance& left, const wire::Instance& right);
 
-/// Whether two reports under one id stem from different starts of the server; not known, hence false, where either does
-/// not tell its birth.
+/// Whether two reports with one id come from different starts of the server. False when either report has no birth.
 bool is_other_incarnation(const wire::Instance& left, const wire::Instance& right);
 
-/// The name of a server's start: its id, and its birth where it tells one.
+/// Name of a server's incarnation: its id, and its birth if it reports one.
 std::string incarnation_name(const wire::Instance& instance);
 
-/// Requests a second that the instance takes from all entries together; nothing while it names no limit.
+/// Requests per second that the instance accepts from all entries together; nullopt when it has no limit.
 std::optional<double> rate_limit_of(const wire::Instance& instance);
 
-/// A start of a server that speaks under the id of a row as if it came before: a late report, or a new start whose
-/// clock was set back or that does not tell its birth.
+/// An incarnation whose reports seem older than the incarnation in the row. They are either late reports of an earlier
+/// start, or reports of a new start whose clock was set back or that does not report its birth.
 struct CandidateIncarnation {
   int64_t born_ms = 0;
   int64_t call_number = 0;
@@ -35,57 +34,64 @@
 struct InstanceRow {
   wire::Instance instance;
   TimePoint last_report_at{};
-  /// False while nothing is known but what the instance said before this leadership.
+  /// The instance reported to this leader. False while only state from earlier leaders is known.
   bool reported_this_term = false;
-  /// Since when the instance is heard at an address that another one holds; nothing once that is settled. Until then it
-  /// may be a late heartbeat of an instance that ended long ago.
+  /// Since when the instance reports an address that another instance holds; nullopt once the conflict is resolved.
+  /// Until then its report may be a late heartbeat of an instance that stopped long ago.
   std::optional<TimePoint> address_contended_since = std::nullopt;
-  /// Heard since the row's own incarnation was last heard.
+  /// Set when such reports arrived after the last report of the row's incarnation.
   std::optional<CandidateIncarnation> candidate = std::nullopt;
-  /// Until when it bears few requests, as far as is known.
+  /// Until when the instance is cold, that is, should receive few requests.
   TimePoint cold_until = TimePoint::min();
-  /// What was reported before says nothing of whether it is cold.
+  /// Reports from before this time do not show whether the instance is cold.
   TimePoint cold_reports_valid_from = TimePoint::min();
 
-  /// Heard by this leader, and alone at its address: what the row says is the instance's own word.
+  /// The row holds the instance's own report to this leader, and no other instance contends for its address.
   bool is_confirmed() const { return reported_this_term && !address_contended_since; }
 };
 
-/// The leader's table of registered instances. A server may start again under its id: (id, birth) is an incarnation,
-/// and a row tells of the newest one alone.
+/// The leader's table of registered instances. A server may restart with the same id: (id, birth) identifies an
+/// incarnation, and a row holds only the newest one.
 ///
-/// Guarantees: an incarnation's state never goes back (ready, draining, gone), whatever arrives late; its reports take
-/// effect in the order of their call numbers; one that was born later replaces an earlier one at once, with all that
-/// was known of that, and an earlier one changes nothing, whatever its call number. An incarnation that seems to come
-/// before, since its clock was set back or it tells no birth, is believed once it is heard again and again while the
-/// other is not. An address belongs to the instance that goes on reporting
-/// from it, so a heartbeat that arrives after its sender was replaced displaces nobody. Single-threaded, deterministic.
+/// Guarantees, even if reports arrive late:
+/// - The state of an incarnation only advances: ready, draining, gone. Its reports take effect in the order of their
+/// call
+///   numbers.
+/// - An incarnation with a later birth replaces an earlier one at once, including all its state. Reports of an earlier
+///   incarnation change nothing, whatever their call numbers.
+/// - An incarnation that seems older, because its clock was set back or it reports no birth, is accepted once it
+/// reports
+///   repeatedly while the other one does not.
+/// - An address belongs to the instance that keeps reporting from it. A heartbeat that arrives after its sender was
+///   replaced displaces no instance.
+///
+/// Single-threaded, deterministic.
 class InstanceDirectory {
  public:
   explicit InstanceDirectory(Duration silence) : silence_timeout_(silence) {}
 
-  /// A leadership begins with the copy of the previous leader's state. Nobody counts as silent at first.
+  /// Starts a leadership with a copy of the previous leader's state. No instance counts as silent at first.
   void start(TimePoint now, const std::vector<wire::Instance>& inherited);
-  /// Adds rows of a copy that arrived later; rows that are known already only move forward.
+  /// Merges a state copy that arrived later: adds unknown instances; the state of known ones only advances.
   void merge(TimePoint now, const std::vector<wire::Instance>& inherited);
-  /// Notes a heartbeat. True when it changed something that subscribers must know.
+  /// Handles a heartbeat. Returns true when subscribers must be notified of a change.
   bool handle_report(TimePoint now, const wire::Instance& report);
-  /// Notes a heartbeat that may be older than this leadership: news, but not the instance's word on what it does now.
-  /// True when it changed something that subscribers must know.
+  /// Handles a heartbeat that may be older than this leadership: it updates the row, but is not taken as the instance's
+  /// current state. Returns true when subscribers must be notified of a change.
   bool handle_stale_report(TimePoint now, const wire::Instance& report);
-  /// The incarnation names this limit in its answers, or none any more. True when that is news.
+  /// Sets the rate limit that the incarnation sends in its responses; nullopt when it has none. Returns true on a
+  /// change.
   bool set_rate_limit(const std::string& incarnation, std::optional<double> per_second);
-  /// The instance said that it leaves for good; `born_ms` is 0 where it does not tell its birth. True when that is
-  /// news.
+  /// The instance shuts down; `born_ms` is 0 when it does not report its birth. Returns true on a change.
   bool deregister(TimePoint now, const std::string& id, int64_t born_ms = 0);
-  /// The instances of a zone may have turned cold without a word: they count as cold until they report that they are
-  /// not. True when that is news.
+  /// Treats all instances of a zone as cold, which they may be without having reported it, until they report otherwise.
+  /// Returns true on a change.
   bool mark_zone_cold(TimePoint now, const std::string& zone);
-  /// Marks instances silent or heard again, and forgets those long gone. True when something changed. When more than
-  /// half of all ready instances are silent at once, it is we who are cut off: nothing is marked.
+  /// Marks overdue instances as silent and removes those long gone. Returns true on a change. Marks none when more than
+  /// half of all ready instances are overdue: then the leader itself is isolated.
   bool tick(TimePoint now);
 
-  /// This process stood still for `pause` until now: no instance's silence in that time counts.
+  /// This process was suspended for `pause` until now: that time does not count towards the silence of instances.
   void note_own_pause(TimePoint now, Duration pause);
 
   const std::map<std::string, InstanceRow>& rows() const { return rows_; }
@@ -93,33 +99,34 @@
   std::vector<wire::Instance> snapshot() const;
 
  private:
-  /// Calls `action` with every other row that stands at the address and is not gone.
+  /// Calls `action` with every other row that has the instance's address and is not gone.
   template <typename Action>
   void for_each_other_at_address(const wire::Instance& instance, const Action& action);
   bool is_address_held_by_another(const wire::Instance& instance);
-  /// Notes that an instance was heard again: who contends for its address must begin anew, and it may itself win.
+  /// Updates address conflicts after a report of the row's instance: if it holds the address, contenders must start
+  /// over; if it is a contender, it may take the address over.
   void resolve_address_conflict(TimePoint now, InstanceRow& row);
 
   enum class ReportClass {
-    kNewIncarnation,          ///< Of a later start than the row tells of.
-    kCurrent,                 ///< Of the row's start, and not overtaken.
-    kPossiblyNewIncarnation,  ///< Counts lower or was born earlier; a late one, unless it is heard again and again.
+    kNewIncarnation,          ///< From a later incarnation than the row's.
+    kCurrent,                 ///< From the row's incarnation, in order.
+    kPossiblyNewIncarnation,  ///< Lower call number or earlier birth: late, unless it is repeated.
     kStale
   };
   static ReportClass classify_report(const wire::Instance& known, const wire::Instance& report);
-  /// Notes a report that seems to come before. True when its incarnation is to be believed.
+  /// Records a report that seems older. Returns true when its incarnation is to be accepted.
   static bool update_candidate(TimePoint now, InstanceRow& row, const wire::Instance& report);
-  /// The row tells of another incarnation from now on.
+  /// Replaces the row's incarnation by that of the report.
   void replace_incarnation(TimePoint now, InstanceRow& row, const wire::Instance& report, bool reported_this_term);
   InstanceRow& add_row(InstanceRow row);
-  /// Takes what a newer report says; state only moves forward. True when it changed something.
+  /// Applies a newer report; the state only advances. Returns true on a change.
   static bool apply_report(TimePoint now, InstanceRow& row, const wire::Instance& report);
-  /// Takes what a report says of being cold. True when the instance is cold now.
+  /// Applies the cold time of a report. Returns true when the instance is cold now.
   static bool apply_cold_state(TimePoint now, InstanceRow& row, const wire::Instance& report);
 
   Duration silence_timeout_;
   std::map<std::string, InstanceRow> rows_;
-  /// The rows that name each address, gone ones included.
+  /// The rows with each address, including gone ones.
   std::map<std::string, std::vector<InstanceRow*>> rows_by_address_;
 };
 
--- a/src/core/fleet/server_crash_history.cc
+++ b/src/core/fleet/server_crash_history.cc
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// Two reports of one instance's end within this time are of the same one: a server takes some seconds to start again,
-/// and entries notice an end within milliseconds of one another.
+/// Two reports of a crash of one instance within this time refer to the same crash: a server takes some seconds to
+/// restart, and entries notice a crash within milliseconds of one another.
 constexpr Duration kSameCrashWindow = seconds(2);
-/// A caller that sends its request again does so within minutes.
+/// A caller that repeats its request does so within minutes.
 constexpr Duration kRetentionTime = std::chrono::minutes(10);
-/// At some 250 bytes each, about a megabyte.
+/// About a megabyte at some 250 bytes each.
 constexpr size_t kMaxSuspects = 4096;
-/// Ends that are known to be caused by another request; each such request has a handful.
+/// Limit of recorded crashes that are attributed to a harmful request; each such request has a handful.
 constexpr size_t kMaxExplainedCrashes = 1024;
 
 bool is_same_crash(const ServerCrash& left, const ServerCrash& right) {
@@ -21,7 +21,7 @@
   return left.instance_id == right.instance_id && apart < kSameCrashWindow;
 }
 
-/// A report that was on the way when its sender ended arrives within this time.
+/// A report that was in transit when its sender crashed arrives within this time.
 constexpr Duration kReportTransitTime = milliseconds(300);
 
 bool contains_crash(const std::vector<ServerCrash>& crashes, const ServerCrash& end) {
--- a/src/core/fleet/server_crash_history.h
+++ b/src/core/fleet/server_crash_history.h
@@ -12,49 +12,49 @@
 
 namespace larchlever::fleet {
 
-/// How sure it is that a server ended.
+/// How certain it is that a server crashed.
 enum class CrashCertainty {
   kConfirmed,
-  /// It answers nothing, whoever takes connections at its address. Its own later report shows the contrary.
+  /// The server does not respond, even if connections to its address are accepted. A later report of the same
+  /// incarnation refutes the crash.
   kLikely
 };
 
-/// A server ended while it ran a request.
+/// A server crashed while it ran a request.
 struct ServerCrash {
   requests::RequestFingerprint request;
-  /// The incarnation that ended: an id, and the birth where the server tells one.
+  /// The crashed incarnation: id, and birth if known (see incarnation_name).
   std::string instance_id;
   TimePoint at{};
   CrashCertainty certainty = CrashCertainty::kConfirmed;
 };
 
-/// Which servers ended under which requests: everything that ran at a server when it ended is noted, so that the one
-/// request that was there each time stands out.
+/// Records which servers crashed while they ran which requests. Every request that ran on a crashed server is recorded,
+/// so that the one that was present at each crash can be identified.
 ///
-/// Load pattern: one request ends every server that runs it and comes again at any entry, beside many that run there by
-/// chance. Chance is told from cause in two ways: who was answered by a server has survived and is forgotten, and an
-/// end that is explained by a request that is known to end servers does not count against others.
-/// Limits: `kMaxSuspects` requests are remembered, those seen last, so that thousands of different ones cost at most
-/// about a megabyte. Single-threaded, deterministic.
+/// Load pattern: one request crashes every server that runs it and is repeated at any entry, while many other requests
+/// run on the same servers by chance. Two rules separate cause from chance: a request that a server answered is
+/// removed, and a crash that is attributed to a known harmful request does not count against others. Limits: keeps the
+/// `kMaxSuspects` requests with the latest crashes, about a megabyte at most. Single-threaded, deterministic.
 class ServerCrashHistory {
  public:
-  /// Notes an end, once per server. Returns how many now count against the request.
+  /// Records a crash, once per server. Returns the number of crashes that now count against the request.
   size_t note(const ServerCrash& end);
-  /// How many ends count against the request.
+  /// Number of crashes that count against the request.
   size_t count(requests::RequestFingerprint request) const;
   bool is_suspect(requests::RequestFingerprint request) const { return suspects_.contains(request); }
-  /// When a server last ended under the request; `TimePoint::min()` for never.
+  /// Time of the last crash of a server that ran the request; `TimePoint::min()` if there was none.
   TimePoint last_crash(requests::RequestFingerprint request) const;
-  /// The incarnation was heard at `heard`: it did not end before, where that was only likely. Returns the requests that
-  /// have one end less.
+  /// The incarnation sent a report that arrived at `reported_at`: removes its likely crashes from before. Returns the
+  /// requests that lost a crash.
   std::vector<requests::RequestFingerprint> retract(const std::string& incarnation, TimePoint reported_at);
-  /// The request did not end the server that ran it.
+  /// The request did not crash the server that ran it.
   void forget(requests::RequestFingerprint request) { erase(request); }
-  /// The request is known to end servers: its ends are not counted against others, earlier or later ones.
+  /// The request is known to crash servers: its recorded crashes no longer count against other requests, now or later.
   void mark_as_cause(requests::RequestFingerprint request);
-  /// Forgets what is older than ten minutes.
+  /// Removes crashes older than ten minutes.
   void forget_old(TimePoint now);
-  /// The newest ends, at most `most`.
+  /// The most recent crashes, at most `max_crashes`.
   std::vector<ServerCrash> newest_crashes(size_t max_crashes) const;
   size_t size() const { return suspects_.size(); }
 
@@ -68,7 +68,7 @@
   bool is_explained(const ServerCrash& end) const;
 
   std::map<requests::RequestFingerprint, SuspectRequest> suspects_;
-  /// The suspects by their last end, the longest ago first.
+  /// The suspects by the time of their last crash, oldest first.
   std::set<std::pair<TimePoint, requests::RequestFingerprint>> by_last_crash_;
   std::vector<ServerCrash> explained_crashes_;
 };
