--- a/tests/unit/crash_detector_test.cc
+++ b/tests/unit/crash_detector_test.cc
@@ -18,11 +18,11 @@
   return TimePoint(Duration(static_cast<int64_t>(seconds_from_start * 1e6) + 1'000'000'000));
 }
 
-/// Answers of both requests were lost at one server.
+/// A detector that recorded lost responses of both requests at one server.
 CrashDetector detector_with_two_lost_responses() {
   CrashDetector detector;
   EXPECT_TRUE(detector.note_lost_response(at(1), kServer, kFirst));
-  EXPECT_FALSE(detector.note_lost_response(at(1.05), kServer, kSecond)) << "it is looked at already";
+  EXPECT_FALSE(detector.note_lost_response(at(1.05), kServer, kSecond)) << "probing has already started";
   return detector;
 }
 
@@ -52,14 +52,15 @@
   EXPECT_FALSE(detector.note_probe(at(1), kServer, ProbeResult::kClosed));
   EXPECT_FALSE(detector.note_probe(at(1.02), kServer, ProbeResult::kClosed));
   EXPECT_FALSE(detector.note_probe(at(1.06), kServer, ProbeResult::kOpen));
-  EXPECT_FALSE(detector.next_probe_time(kServer)) << "it listens";
+  EXPECT_FALSE(detector.next_probe_time(kServer)) << "the server listens";
 }
 
-// A proxy in front of a dead server keeps connections open, and its server was taken for one that lives.
+// A proxy in front of a crashed server keeps connections open, so the server was considered alive.
 TEST(CrashDetector, PortThatStaysOpenMakesCrashLikelyOnce) {
   auto detector = detector_with_two_lost_responses();
   EXPECT_FALSE(detector.note_probe(at(1.02), kServer, ProbeResult::kOpen));
-  EXPECT_FALSE(detector.take_suspected_crash(kServer)) << "the port of a process closes later than its connections";
+  EXPECT_FALSE(detector.take_suspected_crash(kServer))
+      << "the port of a crashed process closes later than its connections";
   EXPECT_FALSE(detector.note_probe(at(1.06), kServer, ProbeResult::kOpen));
   const auto crashed = detector.take_suspected_crash(kServer);
   ASSERT_TRUE(crashed);
@@ -81,7 +82,8 @@
   EXPECT_TRUE(detector.next_probe_time(kServer));
   detector.note_progress(at(1.2), kServer);
   EXPECT_FALSE(detector.next_probe_time(kServer));
-  EXPECT_FALSE(detector.note_probe(at(1.3), kServer, ProbeResult::kRefused)) << "nothing was lost there any more";
+  EXPECT_FALSE(detector.note_probe(at(1.3), kServer, ProbeResult::kRefused))
+      << "progress discarded the recorded losses";
 }
 
 TEST(CrashDetector, RestartConfirmsCrash) {
@@ -115,22 +117,22 @@
   return {request, incarnation, at(time), CrashCertainty::kLikely};
 }
 
-// A cut between one entry and many servers looks like their end to that entry; the servers go on reporting.
+// To one entry, a partition from many servers looks like their crash, while the servers keep reporting to the leader.
 TEST(RequestBlocker, UnblocksRequestWhenLikelyCrashedServersReportAgain) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
   blocker.note_end(likely_crash(kFirst, "i1@5", 1));
   blocker.note_end(likely_crash(kFirst, "i2@5", 1));
   EXPECT_TRUE(blocker.note_end(likely_crash(kFirst, "i3@5", 1)));
-  EXPECT_FALSE(blocker.note_heard(at(1.1), "i1@5")) << "that report was on the way";
-  EXPECT_FALSE(blocker.note_heard(at(2), "i1@9")) << "another start of the server";
+  EXPECT_FALSE(blocker.note_heard(at(1.1), "i1@5")) << "that report was in transit";
+  EXPECT_FALSE(blocker.note_heard(at(2), "i1@9")) << "another incarnation of the server";
   EXPECT_EQ(blocker.rows().size(), 1U);
   EXPECT_TRUE(blocker.note_heard(at(2), "i1@5"));
   EXPECT_TRUE(blocker.rows().empty());
 }
 
-// A new leader holds the block and none of the ends that it rests on. One likely end that it heard of itself, and that
-// was taken back, freed the request without a trial.
+// A new leader inherits the block but not the crashes that caused it. When one likely crash was reported to it and then
+// refuted, it unblocked the request without a trial.
 TEST(RequestBlocker, KeepsBlockBasedOnCrashesCountedByPreviousLeader) {
   RequestBlocker before;
   before.start(at(0), {});
@@ -158,12 +160,12 @@
   RequestBlocker blocker;
   blocker.start(at(0), {});
   EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst));
-  EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst)) << "no server ended under it";
+  EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst)) << "no server crashed while it ran";
   blocker.note_end({kFirst, "i1@5", at(1)});
   EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst));
   EXPECT_FALSE(blocker.grant_repeat(at(1.1), kFirst));
   EXPECT_TRUE(blocker.grant_repeat(at(1.1), kSecond));
-  EXPECT_TRUE(blocker.grant_repeat(at(2.1), kFirst)) << "the first one harmed nobody";
+  EXPECT_TRUE(blocker.grant_repeat(at(2.1), kFirst)) << "the first repeat crashed no server";
   blocker.note_answered(kFirst);
   EXPECT_TRUE(blocker.grant_repeat(at(2.2), kFirst));
   blocker.note_end({kFirst, "i2@5", at(3)});
--- a/tests/unit/group_death_replay_test.cc
+++ b/tests/unit/group_death_replay_test.cc
@@ -9,20 +9,20 @@
 namespace larchlever::fleet {
 namespace {
 
-// Replays, in virtual time, the second in which a member of a busy group dies: streams of eighteen entries stop from
-// one pass to the next, and callers go on arriving. The entries' words and the leader's judgement are those of the
-// product; engines, links and callers are played.
+// Replays the crash of a member of a busy group in virtual time: the streams of eighteen entries stop from one pass to
+// the next while new requests arrive. The entries' reports and the leader's decision are made by the product code;
+// engines, links and callers are simulated.
 
 const TimePoint kStart = TimePoint(seconds(100));
 constexpr int kEntries = 18;
 constexpr Duration kEntryTick = milliseconds(25);
 constexpr Duration kLeaderTick = milliseconds(5);
-/// From sending to the first event at a group that works, and the callers' objective for it.
+/// Time from dispatch to the first event at a healthy group, and the callers' latency objective for it.
 constexpr Duration kFirstEventLatency = milliseconds(150);
 constexpr Duration kLatencyObjective = milliseconds(300);
-/// Arrivals at the group, one after the other.
+/// Time between requests that arrive at the group.
 constexpr Duration kArrivalInterval = milliseconds(45);
-/// The time that an entry alone lets a group stand still before it gives up what it has there.
+/// How long a single entry waits for a stalled group before it abandons its requests there, in total and per stream.
 constexpr Duration kSingleEntryStallTimeout = milliseconds(900);
 constexpr Duration kSingleEntryStallTimeoutPerStream = milliseconds(100);
 
@@ -80,8 +80,8 @@
 
   static std::string entry_name(int number) { return "e" + std::to_string(number); }
 
-  /// Plays the group's passes until `end`; those that would end after `death` bring nothing. Entries numbered below
-  /// `cut_off` see nothing from `cut` on. Returns when the leader finds that the group stands still, or `end`.
+  /// Runs the group's passes until `end`; passes that would end after `death` make no progress. Entries with numbers
+  /// below `cut_off` see no progress from `cut` on. Returns the time when the leader detects a stall, or `end`.
   TimePoint run(TimePoint death, TimePoint end, int cut_off = 0, TimePoint cut = TimePoint::max()) {
     std::mt19937 random(7);
     TimePoint pass_ends_at = kStart;
@@ -92,7 +92,7 @@
             entries_[number].note_progress(now, target_);
           }
         }
-        // One pass in three reads a prompt beside its writing.
+        // One pass in three is longer because it also processes a prompt.
         pass_ends_at += random() % 3 == 0 ? milliseconds(70) : milliseconds(42);
       }
       const auto age = now - kStart;
@@ -108,8 +108,8 @@
     return end;
   }
 
-  /// Of the callers that are sent to the group in the half second after its death, the share that is answered within
-  /// the objective when all entries give the group up at `known`.
+  /// Share of the requests sent to the group in the half second after the crash that are answered within the objective
+  /// if all entries abandon the group at `detected_at`.
   static double share_within_objective(TimePoint death, TimePoint detected_at) {
     int sent = 0;
     int in_time = 0;
@@ -141,7 +141,8 @@
              .empty()) {
     detected_by_one_entry_at += milliseconds(1);
   }
-  EXPECT_LE(share_within_objective(death, detected_by_one_entry_at), 0.6) << "what an entry's own evidence would give";
+  EXPECT_LE(share_within_objective(death, detected_by_one_entry_at), 0.6)
+      << "the result with the evidence of a single entry";
   EXPECT_GT(detected_by_one_entry_at - death, milliseconds(350));
 }
 
--- a/tests/unit/group_planner_test.cc
+++ b/tests/unit/group_planner_test.cc
@@ -12,7 +12,7 @@
 
 const TimePoint kStart = TimePoint(seconds(100));
 
-/// A large model of four servers and a small one of two.
+/// A large model with groups of four servers and a small one with groups of two.
 struct LargeAndSmallModel {
   document::ModelSpec large{"large", 4, 0.67, 1.0, seconds(16), seconds(2)};
   document::ModelSpec small{"small", 2, 0.33, 0.6, seconds(12), seconds(1)};
@@ -31,7 +31,7 @@
   return result;
 }
 
-/// `domains` domains of eight servers that hold nothing yet.
+/// `domains` domains of eight servers without weights.
 std::vector<PlannedServer> servers_without_weights(int domains) {
   std::vector<PlannedServer> result;
   for (int domain = 0; domain < domains; ++domain) {
@@ -57,7 +57,7 @@
   }
   EXPECT_EQ(groups["large"], 8);
   EXPECT_EQ(groups["small"], 8);
-  EXPECT_EQ(domains["large"].size(), 6U) << "the loss of a domain costs every model something, none of them all";
+  EXPECT_EQ(domains["large"].size(), 6U) << "the loss of one domain must not remove all groups of a model";
 }
 
 TEST(GroupPlanner, FormsGroupsOnlyOfWarmServersWhenColdGroupsAreNotAllowed) {
@@ -70,16 +70,18 @@
   EXPECT_FALSE(GroupPlanner(input).next_group());
   const auto staging_plans = GroupPlanner(input).staging_plans();
   ASSERT_FALSE(staging_plans.empty());
-  EXPECT_EQ(staging_plans.front().server, "i3") << "the one that lacks the weights gets them first";
+  EXPECT_EQ(staging_plans.front().server, "i3") << "the server without the weights is staged first";
   EXPECT_EQ(staging_plans.front().model, "large");
   input.servers[3].staged_models = {"large"};
   const auto plan = GroupPlanner(input).next_group();
   ASSERT_TRUE(plan);
   EXPECT_EQ(plan->weight_loads, 0U);
-  EXPECT_EQ(plan->members.front(), "i0") << "weights in the accelerators come before staged ones";
+  EXPECT_EQ(plan->members.front(), "i0")
+      << "servers with weights in the accelerators come before those with staged weights";
 }
 
-/// Three servers of a large group that lost its fourth, beside two small groups whose hosts hold the large weights.
+/// The three remaining servers of a large group that lost a member, and two small groups whose hosts hold the weights
+/// of the large model.
 PlannerInput input_with_incomplete_large_group(const LargeAndSmallModel& models) {
   PlannerInput input;
   for (int number = 0; number < 3; ++number) {
@@ -102,7 +104,7 @@
   const LargeAndSmallModel models;
   const auto plan = GroupPlanner(input_with_incomplete_large_group(models)).groups_to_preempt();
   ASSERT_TRUE(plan);
-  EXPECT_EQ(plan->groups.size(), 1U) << "one of its servers is enough";
+  EXPECT_EQ(plan->groups.size(), 1U) << "one server of one small group is missing";
   EXPECT_EQ(plan->domain, "d0");
   EXPECT_EQ(plan->model, "large");
 }
@@ -120,7 +122,7 @@
   EXPECT_FALSE(GroupPlanner(input).groups_to_preempt());
   input = input_with_incomplete_large_group(models);
   input.reserved_domains["d0"] = "large";
-  EXPECT_FALSE(GroupPlanner(input).groups_to_preempt()) << "the servers given up before are not taken yet";
+  EXPECT_FALSE(GroupPlanner(input).groups_to_preempt()) << "the servers of the previous preemption are not in use yet";
 }
 
 TEST(GroupPlanner, ReservesPreemptedServersForTheReceivingModel) {
@@ -146,16 +148,17 @@
     input.servers.push_back(server("s" + std::to_string(number), "d2", "small", "large", "s0"));
   }
   input.cold_groups_allowed = false;
-  EXPECT_FALSE(GroupPlanner(input).next_group()) << "two of the four that a large group takes";
+  EXPECT_FALSE(GroupPlanner(input).next_group())
+      << "would discard the weights on two of the four servers that a large group needs";
   input.needs[1].groups_needed = 3;
-  ASSERT_TRUE(GroupPlanner(input).next_group()) << "the small model is worse off";
+  ASSERT_TRUE(GroupPlanner(input).next_group()) << "the small model is under higher pressure";
   input.needs[1].groups_needed = 1.5;
   EXPECT_FALSE(GroupPlanner(input).next_group());
   input.servers[0] = server("i0", "d0", "small", "large");
   input.servers[1] = server("i1", "d0", "small", "large");
   input.servers.push_back(server("i3", "d1"));
   input.servers.push_back(server("i4", "d1"));
-  EXPECT_TRUE(GroupPlanner(input).next_group()) << "nothing is lost: the hosts keep the large weights";
+  EXPECT_TRUE(GroupPlanner(input).next_group()) << "no weights are discarded: the hosts keep those of the large model";
 }
 
 TEST(GroupPlanner, StagesFirstInDomainMissingFewestServers) {
@@ -181,7 +184,8 @@
   EXPECT_EQ(staging_plans[0].model, "large");
   EXPECT_EQ(staging_plans[0].priority, LoadPriority::kStandby);
   EXPECT_EQ(staging_plans[1].server, "i1");
-  EXPECT_EQ(staging_plans[1].priority, LoadPriority::kPrecaution) << "a large group's survivors find use without it";
+  EXPECT_EQ(staging_plans[1].priority, LoadPriority::kPrecaution)
+      << "the survivors of a large group can be used without it";
 }
 
 TEST(GroupPlanner, LoadsNeediestModelOnFreeServersAndStagesAnotherOnTheirHosts) {
@@ -196,7 +200,7 @@
   EXPECT_EQ(staging_plans[0].model, "large");
   EXPECT_TRUE(staging_plans[0].into_accelerators);
   EXPECT_EQ(staging_plans[1].server, "i2");
-  EXPECT_EQ(staging_plans[1].model, "small") << "no load is needed for it";
+  EXPECT_EQ(staging_plans[1].model, "small") << "these weights need no load";
   EXPECT_TRUE(staging_plans[1].into_accelerators);
   EXPECT_EQ(staging_plans[2].server, "i0");
   EXPECT_EQ(staging_plans[2].model, "small");
@@ -226,8 +230,8 @@
       ++held[plan.model];
     }
   }
-  // As many servers work for each model.
-  EXPECT_EQ(held["large"], 2) << "beside the one that holds it already";
+  // Both models need the same number of servers.
+  EXPECT_EQ(held["large"], 2) << "in addition to the server that already holds it";
   EXPECT_EQ(held["small"], 2);
 }
 
@@ -236,12 +240,12 @@
   limiter.start(kStart, false);
   limiter.note_traffic();
   EXPECT_TRUE(limiter.may_begin(kStart, engine_with_load_limits(), 1, 2, 0));
-  EXPECT_FALSE(limiter.may_begin(kStart, engine_with_load_limits(), 1, 3, 0)) << "three go on already";
+  EXPECT_FALSE(limiter.may_begin(kStart, engine_with_load_limits(), 1, 3, 0)) << "three loads are already in progress";
   limiter.note_begun(kStart, 5);
   EXPECT_FALSE(limiter.may_begin(kStart + seconds(4), engine_with_load_limits(), 1, 0, 0))
-      << "five begun in the window";
+      << "five loads began in the window";
   EXPECT_TRUE(limiter.may_begin(kStart + seconds(6), engine_with_load_limits(), 1, 0, 0));
-  EXPECT_TRUE(limiter.may_begin(kStart, engine_with_load_limits(), 0, 3, 0)) << "no load at all";
+  EXPECT_TRUE(limiter.may_begin(kStart, engine_with_load_limits(), 0, 3, 0)) << "no load is needed";
 }
 
 TEST(LoadLimiter, ReservesCapacityForLoadsOfPreviousLeader) {
@@ -268,7 +272,8 @@
   DemandTracker tracker;
   tracker.start();
   tracker.note_totals(kStart, "n", totals(1000));
-  EXPECT_FALSE(tracker.has_enough_data(kStart + seconds(10), "s")) << "how old the first thousand are is not known";
+  EXPECT_FALSE(tracker.has_enough_data(kStart + seconds(10), "s"))
+      << "the age of the first thousand requests is unknown";
   for (int step = 1; step <= 50; ++step) {
     tracker.note_totals(kStart + milliseconds(100) * step, "n", totals(1000 + 2 * step));
   }
@@ -279,9 +284,9 @@
   EXPECT_DOUBLE_EQ(rate.sizes.prompt, 100);
   EXPECT_EQ(rate.target_latency, milliseconds(300));
   tracker.note_totals(now, "n", totals(3));
-  EXPECT_NEAR(tracker.rate(now, "s", "m").requests_per_second, 20, 1) << "a restarted node takes nothing back";
+  EXPECT_NEAR(tracker.rate(now, "s", "m").requests_per_second, 20, 1) << "a node restart subtracts nothing";
   EXPECT_EQ(tracker.rate(now, "s", "other").requests_per_second, 0);
-  EXPECT_FALSE(tracker.has_enough_data(now + seconds(20), "s")) << "nothing was seen of late";
+  EXPECT_FALSE(tracker.has_enough_data(now + seconds(20), "s")) << "no recent requests";
 }
 
 }  // namespace
--- a/tests/unit/group_stall_detector_test.cc
+++ b/tests/unit/group_stall_detector_test.cc
@@ -12,7 +12,7 @@
 
 std::string entry(int number) { return "e" + std::to_string(number); }
 
-/// A watch that knows of one stream of group g at each of `entries` entries.
+/// A detector with one stream of group g at each of `entries` entries.
 GroupStallDetector detector_with_streams(int entries) {
   GroupStallDetector detector;
   for (int number = 0; number < entries; ++number) {
@@ -28,11 +28,11 @@
   }
   const TimePoint later = kStart + milliseconds(200);
   EXPECT_TRUE(detector.is_quiet(later, "g"));
-  EXPECT_FALSE(detector.is_stalled(later, "g", kPass)) << "five of eight";
+  EXPECT_FALSE(detector.is_stalled(later, "g", kPass)) << "only five of eight entries report it";
   detector.note_quiet(kStart, entry(5), {"g"});
   EXPECT_TRUE(detector.is_stalled(later, "g", kPass));
   detector.note_quiet(later, entry(0), {});
-  EXPECT_FALSE(detector.is_stalled(later, "g", kPass)) << "one of them saw progress again";
+  EXPECT_FALSE(detector.is_stalled(later, "g", kPass)) << "one entry saw progress again";
   for (int number = 0; number < 8; ++number) {
     detector.note_quiet(later, entry(number), {});
   }
@@ -62,8 +62,8 @@
   }
   detector.note_streams(entry(0), "g", 0);
   detector.forget_node(entry(1));
-  EXPECT_FALSE(detector.is_stalled(kStart + milliseconds(500), "g", kPass)) << "two are left";
-  EXPECT_FALSE(detector.is_stalled(kStart + seconds(3), "g", kPass)) << "words not repeated are void";
+  EXPECT_FALSE(detector.is_stalled(kStart + milliseconds(500), "g", kPass)) << "two entries are left";
+  EXPECT_FALSE(detector.is_stalled(kStart + seconds(3), "g", kPass)) << "reports that are not repeated expire";
 }
 
 TEST(TargetHealth, StreamsAreOverdueComparedWithTheirUsualPauses) {
@@ -73,7 +73,7 @@
   health.begin(kStart, mark);
   health.note_first_event(kStart, mark);
   health.note_progress(kStart);
-  EXPECT_FALSE(health.is_overdue(kStart + kLongestPause, kLongestPause)) << "nothing is measured yet";
+  EXPECT_FALSE(health.is_overdue(kStart + kLongestPause, kLongestPause)) << "no pauses were measured yet";
   TimePoint now = kStart;
   for (int event = 0; event < 100; ++event) {
     now += milliseconds(event % 2 == 0 ? 40 : 50);
@@ -86,7 +86,7 @@
     now += milliseconds(event % 2 == 0 ? 60 : 180);
     health.note_progress(now);
   }
-  EXPECT_FALSE(health.is_overdue(now + milliseconds(235), kLongestPause)) << "this one's passes differ much";
+  EXPECT_FALSE(health.is_overdue(now + milliseconds(235), kLongestPause)) << "the pauses of this group vary widely";
   EXPECT_TRUE(health.is_overdue(now + milliseconds(241), kLongestPause));
 }
 
--- a/tests/unit/group_supervisor_test.cc
+++ b/tests/unit/group_supervisor_test.cc
@@ -32,7 +32,7 @@
   return result;
 }
 
-/// Join orders that a supervisor sends in a second of ticks.
+/// Counts the join orders that a supervisor sends during one second of ticks.
 size_t count_joins_in_one_second(GroupSupervisor& supervisor, TimePoint from, const InstanceDirectory& directory) {
   const auto document = document_with_engine();
   size_t joins = 0;
@@ -51,7 +51,7 @@
   GroupSupervisor supervisor{FleetOptions()};
   supervisor.start(kStart, 3, {});
   EXPECT_EQ(count_joins_in_one_second(supervisor, kStart + milliseconds(10), directory), 1U)
-      << "a second order would begin the join anew";
+      << "a second order would restart the join";
   auto loaded = instance_with_staged("large");
   loaded.call_number = 2;
   loaded.model = "large";
@@ -60,10 +60,10 @@
   loaded.membership.state = wire::MembershipState::READY;
   directory.handle_report(kStart + seconds(2), loaded);
   EXPECT_EQ(count_joins_in_one_second(supervisor, kStart + seconds(2), directory), 0U);
-  EXPECT_TRUE(supervisor.snapshot().empty()) << "the group of one is nobody's to dissolve";
+  EXPECT_TRUE(supervisor.snapshot().empty()) << "spare groups are not part of the published state";
 }
 
-// The loads of the groups formed in one plan count against each other, though they are counted only once a plan.
+// The load limit applies to all groups of one plan together, although existing loads are counted only once per plan.
 TEST(GroupSupervisor, AppliesLoadLimitAcrossAllGroupsOfOnePlan) {
   InstanceDirectory directory(seconds(3));
   for (int number = 0; number < 24; ++number) {
@@ -84,10 +84,10 @@
   for (const auto& group : supervisor.snapshot()) {
     joining_servers += group.members.size();
   }
-  EXPECT_EQ(joining_servers, 8U) << "two groups of four; nobody has finished a load yet";
+  EXPECT_EQ(joining_servers, 8U) << "two groups of four; no server has finished a load yet";
 }
 
-/// Join orders that a supervisor sends in a second of ticks while every order is answered as done.
+/// Counts the join orders that a supervisor sends during one second of ticks while every order gets a success response.
 size_t count_joins_with_all_orders_answered(GroupSupervisor& supervisor, TimePoint from,
                                             const InstanceDirectory& directory) {
   const auto document = document_with_engine();
@@ -110,7 +110,7 @@
   std::vector<wire::Instance> instances;
 };
 
-/// An open group of four, as a new leader finds it in the copy of its predecessor's state.
+/// An open group of four, as a new leader finds it in the state copy of the previous leader.
 InheritedGroup inherited_open_group() {
   InheritedGroup result;
   auto& group = result.group;
@@ -134,10 +134,10 @@
   return result;
 }
 
-// A deposed leader had dissolved a group and formed another one around its head, which nobody else learned of. Its
-// successor still held the first group, dissolved it, got its leave answered (it names a group that the head is no
-// longer in, so nothing happens), and to fence late orders joined the head to a group of its own, while the other one
-// was open:
+// A leader dissolved a group and formed another one with the same head, but lost its leadership before it published
+// this. The new leader still had the first group and dissolved it. The head answered the leave order, which had no
+// effect since it was no longer in that group. To fence late orders, the leader then ordered the head into a spare
+// group, which broke up the open second group:
 //   6.397 s core-1 group_changed group=g2-82 phase=OPENING members=i-04e3799ed7,...
 //   7.492 s core-2 group_changed group=g2-16 phase=DISSOLVING
 //   7.580 s core-2 order_answered operation=join instance=i-04e3799ed7 group=g3-1-single status=202
@@ -148,18 +148,18 @@
   GroupSupervisor supervisor{FleetOptions()};
   supervisor.start(kStart, 3, {inherited.group});
   supervisor.note_failure(inherited.group.name);
-  EXPECT_EQ(count_joins_with_all_orders_answered(supervisor, kStart, directory), 0U) << "the head has not spoken yet";
+  EXPECT_EQ(count_joins_with_all_orders_answered(supervisor, kStart, directory), 0U) << "the head has not reported yet";
   auto head = inherited.instances.front();
   head.call_number = 9;
   head.membership.group = "g2-82";
   head.membership.epoch = 82;
   directory.handle_report(kStart + seconds(1), head);
   EXPECT_EQ(count_joins_with_all_orders_answered(supervisor, kStart + seconds(1), directory), 0U)
-      << "it is open in another group, and an order to the old one cannot take effect any more";
+      << "it is open in another group, so orders to the old one have no effect any more";
 }
 
-// A head confirmed that it left and ended before it could be fenced against late orders. Its three living servers were
-// kept for it: nobody ever confirms the fence, and they served nothing for the rest of the leadership.
+// A head confirmed that it left and crashed before it was fenced against late orders. The fence was never confirmed, so
+// its three live members stayed unused for the rest of the leadership.
 TEST(GroupSupervisor, ReleasesMembersWhenHeadCrashesBeforeItIsFenced) {
   const InheritedGroup inherited = inherited_open_group();
   const std::string head = inherited.group.members.front();
@@ -178,12 +178,12 @@
       supervisor.order_result(now, {order, is_answered ? 200 : 0});
     }
   }
-  EXPECT_EQ(supervisor.owner_of("i1"), nullptr) << "the head cannot serve without it: it stands still by now";
+  EXPECT_EQ(supervisor.owner_of("i1"), nullptr) << "the head cannot serve without this member: it has stalled by now";
 }
 
-// A member of a group whose head was out of reach confirmed that it left; an order to join that was carried out late
-// took it back, and the head, whole again, was opened by another late order. The member was given to a further group
-// while that head was open, since it had left longer than the stall time ago:
+// A member of a group with an unreachable head confirmed that it left. A join order that was executed late made it
+// rejoin, and another late order opened the head, which was complete again. Since the member had left longer than the
+// stall time ago, it was assigned to another group while that head was open:
 //   TWO: i24 takes a join to g2-80-single while the head of g2-43 is open
 TEST(GroupSupervisor, DoesNotReleaseMemberThatRejoinedThroughLateOrder) {
   const InheritedGroup inherited = inherited_open_group();
@@ -208,13 +208,13 @@
       directory.handle_report(now, member);
     }
   }
-  ASSERT_NE(supervisor.owner_of("i1"), nullptr) << "its head may serve";
+  ASSERT_NE(supervisor.owner_of("i1"), nullptr) << "the head may be serving";
   EXPECT_EQ(supervisor.owner_of("i1")->name, inherited.group.name);
 }
 
-// A leader had released a group of four and was lost before its members had another one. Its successor took the two
-// that still reported the old group for a group of which the head was out of sight, which may serve, and kept them
-// for 8.7 s; the next leader began that wait anew. The model was not served for 15 s:
+// A leader released a group of four and crashed before it assigned the members to another group. The new leader took
+// the two members that still reported the old group for a group with an unknown head that might serve, and reserved
+// them for 8.7 s; the next leader started that wait over. The model was not served for 15 s:
 //   03:12.515 c2 group_changed group=g2-2 model=large phase=RELEASED members=i5,i6,i7,i8
 //   03:13.164 c1 leadership_begun term=5
 //   03:27.274 c3 group_changed group=g2-2 model=large phase=RELEASED members=i6,i7
@@ -241,7 +241,7 @@
   successor.add_released_groups(predecessor.released_groups(directory));
   successor.tick(kStart + milliseconds(40), document_with_engine(), directory);
   const auto groups = successor.snapshot();
-  ASSERT_EQ(groups.size(), 1U) << "nobody waits for a group that is known to be released";
+  ASSERT_EQ(groups.size(), 1U) << "members of a released group are available at once";
   EXPECT_EQ(groups.front().members.size(), 4U);
 }
 
--- a/tests/unit/incarnation_test.cc
+++ b/tests/unit/incarnation_test.cc
@@ -4,7 +4,7 @@
 #include "core/fleet/instance_directory.h"
 #include "core/fleet/registration_relay.h"
 
-// A server may start again under the id that it had: (id, born) tells one incarnation from another.
+// A server may restart with the same id: (id, birth) identifies an incarnation.
 
 namespace larchlever::fleet {
 namespace {
@@ -54,7 +54,7 @@
   InstanceDirectory directory{seconds(3)};
   directory.handle_report(kStart, report(kBorn, 900));
   directory.deregister(kStart, "i1");
-  EXPECT_FALSE(directory.handle_report(kStart + seconds(1), report(kBorn, 901))) << "gone is gone";
+  EXPECT_FALSE(directory.handle_report(kStart + seconds(1), report(kBorn, 901))) << "a gone incarnation stays gone";
   EXPECT_TRUE(directory.handle_report(kStart + seconds(2), report(kBorn + 1, 1)));
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::READY);
 }
@@ -93,7 +93,7 @@
 TEST(Incarnation, RestartedCallNumbersWithoutBirthAreAcceptedAfterRepeatedReports) {
   InstanceDirectory directory{seconds(3)};
   directory.handle_report(kStart, in_group(report(0, 900)));
-  EXPECT_FALSE(directory.handle_report(kStart + seconds(2), report(0, 1))) << "perhaps a late one";
+  EXPECT_FALSE(directory.handle_report(kStart + seconds(2), report(0, 1))) << "may be a late report";
   bool taken = false;
   for (int call = 2; call <= 5; ++call) {
     taken = directory.handle_report(kStart + seconds(2) + milliseconds(1200 * call), report(0, call)) || taken;
@@ -151,8 +151,8 @@
   EXPECT_EQ(batch->reports.front().instance.born_ms, kBorn + 1);
 }
 
-// A member that started again joins by an order that arrives late, and reports itself ready under the group's name: it
-// is not the member that was seen ready when the group was opened.
+// A restarted member can join through a late order and report that it is ready in the group, but it is not the
+// incarnation that was ready when the group was opened.
 TEST(Incarnation, RestartedMemberDissolvesItsGroup) {
   const auto member = [](const std::string& id, int64_t born_ms, int rank) {
     wire::Instance result = report(born_ms, 5, id + ":1");
--- a/tests/unit/server_crash_replay_test.cc
+++ b/tests/unit/server_crash_replay_test.cc
@@ -27,45 +27,47 @@
 constexpr Duration kDownTime = seconds(3);
 constexpr Duration kPortClosesAfter = milliseconds(5);
 constexpr Duration kHeartbeat = milliseconds(1200);
-/// From the leader's decision until every entry knows.
+/// Time from the leader's decision until every entry applies it.
 constexpr Duration kPublicationDelay = milliseconds(60);
-/// Copies of the harmful request in all of the fleet, and of one that is popular: dozens of it run at any time.
+/// Intervals between copies of a harmful request in the whole fleet, and of a popular one, of which dozens run at any
+/// time.
 constexpr Duration kHarmfulInterval = milliseconds(285);
 constexpr Duration kPopularInterval = milliseconds(5);
-/// Requests that are all different, each this often.
+/// Interval between requests that are all different.
 constexpr Duration kOtherInterval = milliseconds(10);
 
 const RequestFingerprint kRepeated(1);
 
-/// What happens beside the traffic.
+/// Faults and traffic of one replay.
 struct FaultScenario {
-  /// The repeated request ends the servers that run it.
+  /// The repeated request crashes the servers that run it.
   bool is_harmful = false;
-  /// Connections to a server that is down are taken and closed, instead of refused.
+  /// Connections to a crashed server are accepted and closed instead of refused.
   bool holds_port = false;
-  /// A proxy in front of a server that is down takes connections and keeps them until a request was read.
+  /// A proxy in front of a crashed server accepts connections and keeps them open until it has read a request.
   bool is_proxied = false;
-  /// The repeated request comes as seldom as a harmful one, though it harms nobody.
+  /// The repeated request arrives as rarely as a harmful one but crashes no server.
   bool is_infrequent = false;
-  /// Part of the answers that is lost although their servers live.
+  /// Share of the responses that are lost although the server is alive.
   double lost_response_share = 0;
-  /// From the second second on, the first entry reaches no server for so long.
+  /// How long the first entry reaches no server, beginning two seconds after the start.
   Duration cut{};
-  /// Servers that crash of themselves in the second second.
+  /// Number of servers that crash without cause two seconds after the start.
   int crashes = 0;
 };
 
-/// What became of it.
+/// Outcome of one replay.
 struct ReplayResult {
   int crashes_under_request = 0;
-  /// Of those, how many came later than a second after the third.
+  /// Those of them that happened later than one second after the third crash.
   int late_crashes = 0;
-  /// How long the repeated request was blocked at some entry.
+  /// How long the repeated request was blocked at any entry.
   Duration blocked{};
   int other_requests_blocked = 0;
 };
 
-/// A fleet in virtual time: entries with the decisions of the product, servers that run requests, end and come back.
+/// A fleet in virtual time: entries that use the product's decision code, and servers that run requests, crash and
+/// restart.
 class Replay {
  public:
   Replay(const FaultScenario& scenario, uint64_t seed) : scenario_(scenario), random_(seed) {
@@ -97,7 +99,7 @@
   struct Entry {
     BlockedRequests blocked;
     CrashDetector lost_responses;
-    /// Incarnations that are looked at, and their server.
+    /// Incarnations that are being probed, with the index of their server.
     std::map<std::string, size_t> probed;
   };
 
@@ -293,7 +295,7 @@
   ReplayResult result_;
 };
 
-/// Sums over seeds; what is longest and most over them.
+/// Sums and maxima over all seeds.
 struct Totals {
   int max_crashes = 0;
   int late_crashes = 0;
@@ -312,14 +314,14 @@
     totals.max_blocked_time = std::max(totals.max_blocked_time, result.blocked);
     totals.other_requests_blocked += result.other_requests_blocked;
   }
-  std::cout << "most ends " << totals.max_crashes << ", late ends " << totals.late_crashes << ", blocked in "
+  std::cout << "most crashes " << totals.max_crashes << ", late crashes " << totals.late_crashes << ", blocked in "
             << totals.blocked_replays << " of " << kSeeds << " replays, at most "
-            << totals.max_blocked_time / milliseconds(1) << " ms, others blocked " << totals.other_requests_blocked
-            << "\n";
+            << totals.max_blocked_time / milliseconds(1) << " ms, other requests blocked "
+            << totals.other_requests_blocked << "\n";
   return totals;
 }
 
-// Copies of a request that ends who runs it, 35 in ten seconds at nine entries.
+// A request that crashes every server that runs it arrives 35 times in ten seconds at nine entries.
 TEST(ServerCrashReplay, HarmfulRequestCrashesFewServersWithDelayedPortClose) {
   const auto totals = replay({.is_harmful = true});
   EXPECT_EQ(totals.late_crashes, 0);
@@ -332,22 +334,22 @@
   EXPECT_EQ(totals.other_requests_blocked, 0);
 }
 
-// The port stays open, so that no look tells the server that ended from one that lives.
+// The port stays open, so probes cannot distinguish a crashed server from a live one.
 TEST(ServerCrashReplay, HarmfulRequestCrashesFewServersBehindProxies) {
   const auto totals = replay({.is_harmful = true, .is_proxied = true});
   EXPECT_EQ(totals.late_crashes, 0);
   EXPECT_EQ(totals.other_requests_blocked, 0);
 }
 
-// Good requests: what blocks them must be over after one heartbeat, and what is lost singly must block nothing.
+// Harmless requests: isolated lost responses must not block any of them, and other blocks must end after one heartbeat.
 TEST(ServerCrashReplay, IsolatedLostResponsesBlockNoRequest) {
   const auto totals = replay({.lost_response_share = 0.03});
   EXPECT_EQ(totals.blocked_replays, 0);
   EXPECT_EQ(totals.other_requests_blocked, 0);
 }
 
-// A caller that sends one good request again and again while links lose a third of all answers: a block that rests on
-// nothing but lost answers is over when one of the servers reports.
+// A caller repeats one harmless request while links lose a third of all responses. A block that is based only on lost
+// responses must end when one of the servers reports.
 TEST(ServerCrashReplay, LostResponsesBlockInfrequentRequestForAtMostOneHeartbeat) {
   const auto totals = replay({.is_infrequent = true, .lost_response_share = 0.3});
   EXPECT_LE(totals.max_blocked_time, kHeartbeat + kPublicationDelay);
--- a/tests/unit/spare_servers_test.cc
+++ b/tests/unit/spare_servers_test.cc
@@ -15,7 +15,7 @@
 constexpr Duration kWarmJoin = milliseconds(200);
 constexpr int kGroupSize = 4;
 
-/// Servers of one domain that carry out what a supervisor orders, and report it at once.
+/// Servers of one domain that execute the orders of a supervisor and report the result at once.
 class SimulatedServers {
  public:
   explicit SimulatedServers(int count) {
@@ -43,7 +43,7 @@
   }
   simulation::SimulatedInstance& at(const std::string& id) { return servers_.at(id); }
 
-  /// Runs the supervisor for `time` from `now`; returns the time after it.
+  /// Runs the supervisor from `now` for `time`; returns the end time.
   TimePoint run(GroupSupervisor& supervisor, TimePoint now, Duration time) {
     const TimePoint end = now + time;
     for (; now < end; now += kTick) {
@@ -63,7 +63,7 @@
   }
   /// Join orders since the last call.
   int take_join_orders() { return std::exchange(join_orders_, 0); }
-  /// A new leader starts with what its predecessor published.
+  /// Restarts the directory as a new leader does, with the state that the previous leader published.
   void restart_directory_from_snapshot(TimePoint now) { directory_.start(now, directory_.snapshot()); }
 
  private:
@@ -79,9 +79,9 @@
                                            [](const auto& group) { return group.phase == wire::GroupPhase::OPEN; }));
 }
 
-// Whether a spare was a member of a group, and of which, depended on its history: one that lost its weights got a group
-// of its own as the way to load them, one of a dissolved group kept that group's name or none. After three servers had
-// ended and come back, one server that never ended was in no group for the rest of the run:
+// The group that a spare reported depended on its history: a spare without weights was in a spare group to load them,
+// but a member of a dissolved group kept the name of that group or had none. After three servers had crashed and
+// restarted, one server that never crashed was in no group for the rest of the run:
 //   23 of 24 servers in groups after they came back
 TEST(SpareServers, JoinSpareGroupsWhenTheirGroupIsDissolved) {
   SimulatedServers servers(kGroupSize);
@@ -98,11 +98,11 @@
   }
   servers.take_join_orders();
   servers.run(supervisor, now, seconds(4));
-  EXPECT_EQ(servers.take_join_orders(), 0) << "a spare that is held needs no further order";
+  EXPECT_EQ(servers.take_join_orders(), 0) << "a spare in a spare group needs no further orders";
 }
 
-// A new leader knew nothing of a dissolved group whose name its former members still reported. It took them for members
-// of a group that is in use, and the repair that needed them waited until that group was adopted and dissolved again.
+// A new leader did not know of a dissolved group that its former members still reported. It treated them as members of
+// a group in use, and the repair that needed them waited until that group was adopted and dissolved again.
 TEST(SpareServers, AreUsedImmediatelyByANewLeader) {
   SimulatedServers servers(kGroupSize);
   GroupSupervisor first{FleetOptions()};
@@ -118,7 +118,7 @@
   EXPECT_EQ(count_open_groups(second), 1U);
 }
 
-// An order to join that is carried out late, after its group was dissolved, took a spare back into that group.
+// A join order that was executed late, after its group was dissolved, made a spare rejoin that group.
 TEST(SpareServers, RejectLateOrdersOfTheirPreviousGroup) {
   SimulatedServers servers(kGroupSize);
   GroupSupervisor supervisor{FleetOptions()};
