--- a/src/core/fleet/group_stall_detector.cc
+++ b/src/core/fleet/group_stall_detector.cc
@@ -50,8 +50,8 @@
   forget_empty_groups();
   for (const auto& name : groups) {
     OverdueReport& report = groups_[name].quiet.try_emplace(node, OverdueReport{now, now}).first->second;
-    report.first = now - report.last > kReportTimeout ? now : report.first;
-    report.last = now;
+    report.first_at = now - report.last_at > kReportTimeout ? now : report.first_at;
+    report.last_at = now;
   }
 }
 
@@ -70,7 +70,7 @@
   }
   const auto& quiet = found->second.quiet;
   const auto reporting_entries = std::count_if(
-      quiet.begin(), quiet.end(), [now](const auto& item) { return now - item.second.last < kReportTimeout; });
+      quiet.begin(), quiet.end(), [now](const auto& item) { return now - item.second.last_at < kReportTimeout; });
   return static_cast<size_t>(reporting_entries) >= kMinQuietReports;
 }
 
@@ -84,7 +84,7 @@
   size_t reporting_entries = 0;
   for (const auto& [node, report] : quiet) {
     const bool counts =
-        streams.contains(node) && now - report.last < kReportTimeout && now - report.first >= min_report_age;
+        streams.contains(node) && now - report.last_at < kReportTimeout && now - report.first_at >= min_report_age;
     reporting_entries += counts ? 1 : 0;
   }
   return reporting_entries >= kMinStallReports &&
--- a/src/core/fleet/group_stall_detector.h
+++ b/src/core/fleet/group_stall_detector.h
@@ -35,8 +35,8 @@
 
  private:
   struct OverdueReport {
-    TimePoint first{};
-    TimePoint last{};
+    TimePoint first_at{};
+    TimePoint last_at{};
   };
   struct Group {
     std::map<std::string, int> streams;
--- a/src/core/fleet/group_supervisor.cc
+++ b/src/core/fleet/group_supervisor.cc
@@ -280,13 +280,13 @@
 
 bool GroupSupervisor::advance_joining(TimePoint now, GroupRecord& record, const InstanceDirectory& directory) {
   size_t ready = 0;
-  bool lost = now - record.since > kJoiningTimeout || record.failure_reported;
+  bool formation_failed = now - record.since > kJoiningTimeout || record.failure_reported;
   for (size_t rank = 0; rank < record.group.members.size(); ++rank) {
     const auto* member = find_member(record.group, rank, directory);
-    lost = lost || !can_take_work(member);
+    formation_failed = formation_failed || !can_take_work(member);
     ready += reports_ready(member, record.group) ? 1 : 0;
   }
-  if (lost) {
+  if (formation_failed) {
     record.head_leave_confirmed =
         record.head_leave_confirmed || !record.may_be_open;  // Never opened: the members are free at once.
     set_phase(now, record, wire::GroupPhase::DISSOLVING, GroupChangeReason::kFormationFailed);
@@ -382,8 +382,8 @@
 void GroupSupervisor::clear_suspected_members(TimePoint now, const InstanceDirectory& directory) {
   std::erase_if(suspected_members_, [&](const auto& item) {
     const auto row = directory.rows().find(item.first);
-    const bool heard = row != directory.rows().end() && row->second.last_report_at > item.second;
-    return heard || now - item.second > kSuspicionTimeout;
+    const bool reported_again = row != directory.rows().end() && row->second.last_report_at > item.second;
+    return reported_again || now - item.second > kSuspicionTimeout;
   });
 }
 
--- a/src/core/fleet/server_crash_history.cc
+++ b/src/core/fleet/server_crash_history.cc
@@ -24,27 +24,27 @@
 /// A report that was in transit when its sender crashed arrives within this time.
 constexpr Duration kReportTransitTime = milliseconds(300);
 
-bool contains_crash(const std::vector<ServerCrash>& crashes, const ServerCrash& end) {
+bool contains_crash(const std::vector<ServerCrash>& crashes, const ServerCrash& crash) {
   return std::any_of(crashes.begin(), crashes.end(),
-                     [&end](const ServerCrash& known) { return is_same_crash(known, end); });
+                     [&crash](const ServerCrash& known) { return is_same_crash(known, crash); });
 }
 
 }  // namespace
 
-size_t ServerCrashHistory::note(const ServerCrash& end) {
-  if (is_explained(end)) {
-    return count(end.request);
+size_t ServerCrashHistory::note(const ServerCrash& crash) {
+  if (is_explained(crash)) {
+    return count(crash.request);
   }
-  if (!suspects_.contains(end.request) && suspects_.size() >= kMaxSuspects) {
+  if (!suspects_.contains(crash.request) && suspects_.size() >= kMaxSuspects) {
     erase(by_last_crash_.begin()->second);
   }
-  SuspectRequest& suspect = suspects_[end.request];
-  if (!contains_crash(suspect.crashes, end)) {
-    suspect.crashes.push_back(end);
+  SuspectRequest& suspect = suspects_[crash.request];
+  if (!contains_crash(suspect.crashes, crash)) {
+    suspect.crashes.push_back(crash);
   }
-  by_last_crash_.erase({suspect.last_crash_at, end.request});
-  suspect.last_crash_at = std::max(suspect.last_crash_at, end.at);
-  by_last_crash_.insert({suspect.last_crash_at, end.request});
+  by_last_crash_.erase({suspect.last_crash_at, crash.request});
+  suspect.last_crash_at = std::max(suspect.last_crash_at, crash.at);
+  by_last_crash_.insert({suspect.last_crash_at, crash.request});
   return suspect.crashes.size();
 }
 
@@ -60,9 +60,9 @@
 
 std::vector<requests::RequestFingerprint> ServerCrashHistory::retract(const std::string& incarnation,
                                                                       TimePoint reported_at) {
-  const auto is_refuted = [&](const ServerCrash& end) {
-    return end.instance_id == incarnation && end.certainty == CrashCertainty::kLikely &&
-           end.at + kReportTransitTime < reported_at;
+  const auto is_refuted = [&](const ServerCrash& crash) {
+    return crash.instance_id == incarnation && crash.certainty == CrashCertainty::kLikely &&
+           crash.at + kReportTransitTime < reported_at;
   };
   std::vector<requests::RequestFingerprint> affected;
   std::vector<requests::RequestFingerprint> cleared;
@@ -88,9 +88,9 @@
   }
 }
 
-bool ServerCrashHistory::is_explained(const ServerCrash& end) const {
-  return std::any_of(explained_crashes_.begin(), explained_crashes_.end(), [&end](const ServerCrash& known) {
-    return known.request != end.request && is_same_crash(known, end);
+bool ServerCrashHistory::is_explained(const ServerCrash& crash) const {
+  return std::any_of(explained_crashes_.begin(), explained_crashes_.end(), [&crash](const ServerCrash& known) {
+    return known.request != crash.request && is_same_crash(known, crash);
   });
 }
 
@@ -100,9 +100,9 @@
     return;
   }
   const auto crashes = found->second.crashes;
-  for (const auto& end : crashes) {
-    if (!contains_crash(explained_crashes_, end)) {
-      explained_crashes_.push_back(end);
+  for (const auto& crash : crashes) {
+    if (!contains_crash(explained_crashes_, crash)) {
+      explained_crashes_.push_back(crash);
     }
   }
   if (explained_crashes_.size() > kMaxExplainedCrashes) {
@@ -113,7 +113,7 @@
     if (other == request) {
       continue;
     }
-    std::erase_if(suspect.crashes, [&crashes](const ServerCrash& end) { return contains_crash(crashes, end); });
+    std::erase_if(suspect.crashes, [&crashes](const ServerCrash& crash) { return contains_crash(crashes, crash); });
     if (suspect.crashes.empty()) {
       cleared.push_back(other);
     }
@@ -127,7 +127,7 @@
   while (!by_last_crash_.empty() && now - by_last_crash_.begin()->first > kRetentionTime) {
     erase(by_last_crash_.begin()->second);
   }
-  std::erase_if(explained_crashes_, [now](const ServerCrash& end) { return now - end.at > kRetentionTime; });
+  std::erase_if(explained_crashes_, [now](const ServerCrash& crash) { return now - crash.at > kRetentionTime; });
 }
 
 std::vector<ServerCrash> ServerCrashHistory::newest_crashes(size_t max_crashes) const {
--- a/src/core/fleet/server_crash_history.h
+++ b/src/core/fleet/server_crash_history.h
@@ -39,7 +39,7 @@
 class ServerCrashHistory {
  public:
   /// Records a crash, once per server. Returns the number of crashes that now count against the request.
-  size_t note(const ServerCrash& end);
+  size_t note(const ServerCrash& crash);
   /// Number of crashes that count against the request.
   size_t count(requests::RequestFingerprint request) const;
   bool is_suspect(requests::RequestFingerprint request) const { return suspects_.contains(request); }
@@ -65,7 +65,7 @@
   };
 
   void erase(requests::RequestFingerprint request);
-  bool is_explained(const ServerCrash& end) const;
+  bool is_explained(const ServerCrash& crash) const;
 
   std::map<requests::RequestFingerprint, SuspectRequest> suspects_;
   /// The suspects by the time of their last crash, oldest first.
--- a/tests/unit/crash_detector_test.cc
+++ b/tests/unit/crash_detector_test.cc
@@ -105,12 +105,12 @@
 
 TEST(CrashDetector, NumberOfProbesIsBounded) {
   auto detector = detector_with_two_lost_responses();
-  int looks = 0;
+  int probes = 0;
   while (const auto next = detector.next_probe_time(kServer)) {
-    ++looks;
-    detector.note_probe(*next, kServer, looks % 2 == 0 ? ProbeResult::kTimedOut : ProbeResult::kOpen);
+    ++probes;
+    detector.note_probe(*next, kServer, probes % 2 == 0 ? ProbeResult::kTimedOut : ProbeResult::kOpen);
   }
-  EXPECT_LE(looks, 7);
+  EXPECT_LE(probes, 7);
 }
 
 ServerCrash likely_crash(RequestFingerprint request, const std::string& incarnation, double time) {
@@ -134,16 +134,16 @@
 // A new leader inherits the block but not the crashes that caused it. When one likely crash was reported to it and then
 // refuted, it unblocked the request without a trial.
 TEST(RequestBlocker, KeepsBlockBasedOnCrashesCountedByPreviousLeader) {
-  RequestBlocker before;
-  before.start(at(0), {});
+  RequestBlocker previous_leader;
+  previous_leader.start(at(0), {});
   for (const char* incarnation : {"i1@5", "i2@5", "i3@5"}) {
-    before.note_end({kFirst, incarnation, at(1)});
+    previous_leader.note_end({kFirst, incarnation, at(1)});
   }
-  RequestBlocker after;
-  after.start(at(2), before.rows());
-  after.note_end(likely_crash(kFirst, "i4@5", 2));
-  EXPECT_FALSE(after.note_heard(at(3), "i4@5"));
-  EXPECT_EQ(after.rows().size(), 1U);
+  RequestBlocker new_leader;
+  new_leader.start(at(2), previous_leader.rows());
+  new_leader.note_end(likely_crash(kFirst, "i4@5", 2));
+  EXPECT_FALSE(new_leader.note_heard(at(3), "i4@5"));
+  EXPECT_EQ(new_leader.rows().size(), 1U);
 }
 
 TEST(RequestBlocker, KeepsRequestBlockedForConfirmedCrashes) {
--- a/tests/unit/group_death_replay_test.cc
+++ b/tests/unit/group_crash_replay_test.cc
@@ -24,7 +24,7 @@
 constexpr Duration kArrivalInterval = milliseconds(45);
 /// How long a single entry waits for a stalled group before it abandons its requests there, in total and per stream.
 constexpr Duration kSingleEntryStallTimeout = milliseconds(900);
-constexpr Duration kSingleEntryStallTimeoutPerStream = milliseconds(100);
+constexpr Duration kSingleEntryStallTimeoutPerRequest = milliseconds(100);
 
 document::ConfigurationDocument engine_document() {
   document::ServiceSpec service;
@@ -41,9 +41,9 @@
   return document;
 }
 
-class GroupDeathReplay : public testing::Test {
+class GroupCrashReplay : public testing::Test {
  protected:
-  GroupDeathReplay() {
+  GroupCrashReplay() {
     wire::Instance instance;
     instance.id = "i0";
     instance.service_name = "s";
@@ -81,14 +81,16 @@
   static std::string entry_name(int number) { return "e" + std::to_string(number); }
 
   /// Runs the group's passes until `end`; passes that would end after `death` make no progress. Entries with numbers
-  /// below `cut_off` see no progress from `cut` on. Returns the time when the leader detects a stall, or `end`.
-  TimePoint run(TimePoint death, TimePoint end, int cut_off = 0, TimePoint cut = TimePoint::max()) {
+  /// below `partitioned_entries` see no progress from `cut` on. Returns the time when the leader detects a stall, or
+  /// `end`.
+  TimePoint run(TimePoint crash_at, TimePoint end, int partitioned_entries = 0,
+                TimePoint partition_begins_at = TimePoint::max()) {
     std::mt19937 random(7);
     TimePoint pass_ends_at = kStart;
     for (TimePoint now = kStart; now < end; now += milliseconds(1)) {
-      while (pass_ends_at <= now && pass_ends_at < death) {
+      while (pass_ends_at <= now && pass_ends_at < crash_at) {
         for (int number = 0; number < kEntries; ++number) {
-          if (number >= cut_off || now < cut) {
+          if (number >= partitioned_entries || now < partition_begins_at) {
             entries_[number].note_progress(now, target_);
           }
         }
@@ -110,10 +112,10 @@
 
   /// Share of the requests sent to the group in the half second after the crash that are answered within the objective
   /// if all entries abandon the group at `detected_at`.
-  static double share_within_objective(TimePoint death, TimePoint detected_at) {
+  static double share_within_objective(TimePoint crash_at, TimePoint detected_at) {
     int sent = 0;
     int in_time = 0;
-    for (TimePoint arrival = death; arrival < death + milliseconds(500); arrival += kArrivalInterval) {
+    for (TimePoint arrival = crash_at; arrival < crash_at + milliseconds(500); arrival += kArrivalInterval) {
       const TimePoint first_event = std::max(arrival, detected_at) + kFirstEventLatency;
       ++sent;
       in_time += first_event - arrival <= kLatencyObjective ? 1 : 0;
@@ -129,29 +131,29 @@
   SlotScheduler scheduler_;
 };
 
-TEST_F(GroupDeathReplay, RetriesRequestsOfFailedGroupWithinLatencyObjective) {
-  const TimePoint death = kStart + seconds(5);
-  const TimePoint detected_at = run(death, death + seconds(2));
-  EXPECT_LE(detected_at - death, milliseconds(150));
-  EXPECT_GE(share_within_objective(death, detected_at), 0.99);
+TEST_F(GroupCrashReplay, RetriesRequestsOfFailedGroupWithinLatencyObjective) {
+  const TimePoint crash_at = kStart + seconds(5);
+  const TimePoint detected_at = run(crash_at, crash_at + seconds(2));
+  EXPECT_LE(detected_at - crash_at, milliseconds(150));
+  EXPECT_GE(share_within_objective(crash_at, detected_at), 0.99);
 
-  TimePoint detected_by_one_entry_at = death;
+  TimePoint detected_by_one_entry_at = crash_at;
   while (entries_[0]
-             .stalled_groups(detected_by_one_entry_at, kSingleEntryStallTimeout, kSingleEntryStallTimeoutPerStream)
+             .stalled_groups(detected_by_one_entry_at, kSingleEntryStallTimeout, kSingleEntryStallTimeoutPerRequest)
              .empty()) {
     detected_by_one_entry_at += milliseconds(1);
   }
-  EXPECT_LE(share_within_objective(death, detected_by_one_entry_at), 0.6)
+  EXPECT_LE(share_within_objective(crash_at, detected_by_one_entry_at), 0.6)
       << "the result with the evidence of a single entry";
-  EXPECT_GT(detected_by_one_entry_at - death, milliseconds(350));
+  EXPECT_GT(detected_by_one_entry_at - crash_at, milliseconds(350));
 }
 
-TEST_F(GroupDeathReplay, NeverReportsHealthyGroupAsStalled) {
+TEST_F(GroupCrashReplay, NeverReportsHealthyGroupAsStalled) {
   const TimePoint end = kStart + seconds(60);
   EXPECT_EQ(run(TimePoint::max(), end), end);
 }
 
-TEST_F(GroupDeathReplay, DoesNotReportGroupAsStalledWhenOneZoneOfEntriesIsPartitioned) {
+TEST_F(GroupCrashReplay, DoesNotReportGroupAsStalledWhenOneZoneOfEntriesIsPartitioned) {
   const TimePoint end = kStart + seconds(10);
   EXPECT_EQ(run(TimePoint::max(), end, kEntries / 3, kStart + seconds(5)), end);
 }
--- a/tests/unit/server_crash_replay_test.cc
+++ b/tests/unit/server_crash_replay_test.cc
@@ -51,7 +51,7 @@
   /// Share of the responses that are lost although the server is alive.
   double lost_response_share = 0;
   /// How long the first entry reaches no server, beginning two seconds after the start.
-  Duration cut{};
+  Duration partition_time{};
   /// Number of servers that crash without cause two seconds after the start.
   int crashes = 0;
 };
@@ -108,9 +108,9 @@
   std::string incarnation(size_t server) const {
     return "i" + std::to_string(server) + "@" + std::to_string(servers_.at(server).incarnation_number);
   }
-  bool is_cut(size_t entry) const {
+  bool is_partitioned(size_t entry) const {
     const TimePoint begin = start_ + seconds(2);
-    return entry == 0 && now_ >= begin && now_ < begin + scenario_.cut;
+    return entry == 0 && now_ >= begin && now_ < begin + scenario_.partition_time;
   }
 
   void step() {
@@ -158,7 +158,7 @@
       result_.other_requests_blocked += request == kRepeated ? 0 : 1;
       return;
     }
-    if (is_up(server) && !is_cut(entry)) {
+    if (is_up(server) && !is_partitioned(entry)) {
       attempts_.push_back({entry, server, request, now_ + kServiceTime});
     }
   }
@@ -166,7 +166,7 @@
   void finish_attempts() {
     for (size_t index = 0; index < attempts_.size();) {
       const Attempt attempt = attempts_[index];
-      if (is_cut(attempt.entry)) {
+      if (is_partitioned(attempt.entry)) {
         attempts_.erase(attempts_.begin() + static_cast<std::ptrdiff_t>(index));
         lose_response(attempt);
         continue;
@@ -219,7 +219,7 @@
   }
 
   ProbeResult probe(size_t entry, const std::string& probed, size_t server) const {
-    if (is_cut(entry)) {
+    if (is_partitioned(entry)) {
       return ProbeResult::kTimedOut;
     }
     const bool has_port = now_ - servers_.at(server).down_since < kPortClosesAfter;
@@ -357,7 +357,7 @@
 }
 
 TEST(ServerCrashReplay, PartitionOfOneEntryBlocksRequestForAtMostOneHeartbeat) {
-  const auto totals = replay({.cut = seconds(4)});
+  const auto totals = replay({.partition_time = seconds(4)});
   EXPECT_LE(totals.max_blocked_time, kHeartbeat + kPublicationDelay);
   EXPECT_EQ(totals.other_requests_blocked, 0);
 }
