--- a/src/core/fleet/crash_detector.h
+++ b/src/core/fleet/crash_detector.h
@@ -36,15 +36,16 @@
 /// The first evidence decides:
 /// - Crash confirmed: the server refuses a connection, or a later incarnation is reported.
 /// - Crash likely: all connections are closed or time out for `kCrashConfirmationTime`.
-/// - No crash: the server makes progress with another request, later than data that was in transit when the response
-/// was
-///   lost.
+/// - No crash: the server makes progress with another request, later than data that was in transit at the time of the
+///   loss.
 /// - A connection that stays open proves nothing, since a proxy in front of a crashed server keeps it open as well. The
 ///   crash is then likely until the server's next report.
 ///
 /// Limits: seven probes within two seconds of a server that seems to be down, three of one that listens. Requests whose
 /// responses are lost later than the first one by more than the transit time are not blamed: the server was already
-/// down when they arrived. Single-threaded, deterministic.
+/// down when they arrived.
+///
+/// Single-threaded, deterministic.
 class CrashDetector {
  public:
   /// The response to the request was lost at this incarnation of a server. True when the caller must start to probe the
@@ -52,6 +53,7 @@
   bool note_lost_response(TimePoint now, const std::string& incarnation, requests::RequestFingerprint request);
   /// The server made progress with a request.
   void note_progress(TimePoint now, const std::string& incarnation);
+  /// Records the result of a probe. Returns the crash when the probe decides that the server crashed.
   std::optional<CrashedServer> note_probe(TimePoint now, const std::string& incarnation, ProbeResult result);
   /// A later incarnation of the server was reported.
   std::optional<CrashedServer> note_restart(const std::string& incarnation);
--- a/src/core/fleet/group_supervisor.h
+++ b/src/core/fleet/group_supervisor.h
@@ -81,13 +81,11 @@
 /// Guarantees, even if orders are lost or executed late:
 /// - A group is opened only after every member reported that it is ready under the group's name and epoch.
 /// - An instance is assigned to another group only after one of these events:
-///   - the head of its old group confirmed that it left; if orders to the head are unanswered, it must also have
-///   reported
-///     a higher epoch, so that those orders can no longer open the old group;
-///   - the head reported itself broken, or was replaced at its address;
-///   - another member confirmed longer than the stall time ago that it left. A head that lost a member makes no
-///   progress
-///     and is broken by then.
+///   - The head of its old group confirmed that it left. If orders to the head are unanswered, it must also report a
+///     higher epoch, so that those orders can no longer open the old group.
+///   - The head reported itself broken, or another instance replaced it at its address.
+///   - Another member confirmed longer than the stall time ago that it left. A head that lost a member makes no
+///     progress and is broken by then.
 ///
 /// Single-threaded, deterministic. Holds soft state of one leadership.
 class GroupSupervisor {
@@ -113,6 +111,7 @@
   void set_evacuations(const wire::ZoneEvacuations& evacuations) { evacuations_ = evacuations; }
   /// Measured demand, by which servers are divided among models.
   DemandTracker& demand() { return demand_; }
+  /// Handles the outcome of an order.
   void order_result(TimePoint now, const InstanceOrderResult& result);
   /// Advances the state of every group. Returns true when subscribers must be notified of a change.
   bool tick(TimePoint now, const document::ConfigurationDocument& document, const InstanceDirectory& directory);
@@ -129,6 +128,7 @@
  private:
   struct GroupRecord {
     wire::EngineGroup group;
+    /// When the group entered its phase.
     TimePoint since{};
     /// An order to open may have been sent, so the head may be open even if its last report says otherwise.
     bool may_be_open = false;
--- a/src/core/fleet/instance_directory.h
+++ b/src/core/fleet/instance_directory.h
@@ -39,14 +39,14 @@
   /// Since when the instance reports an address that another instance holds; nullopt once the conflict is resolved.
   /// Until then its report may be a late heartbeat of an instance that stopped long ago.
   std::optional<TimePoint> address_contended_since = std::nullopt;
-  /// Set when such reports arrived after the last report of the row's incarnation.
+  /// Set when reports of a candidate arrived after the last report of the row's incarnation.
   std::optional<CandidateIncarnation> candidate = std::nullopt;
   /// Until when the instance is cold, that is, should receive few requests.
   TimePoint cold_until = TimePoint::min();
   /// Reports from before this time do not show whether the instance is cold.
   TimePoint cold_reports_valid_from = TimePoint::min();
 
-  /// The row holds the instance's own report to this leader, and no other instance contends for its address.
+  /// The instance reported to this leader and its address is not disputed: the row is its own current state.
   bool is_confirmed() const { return reported_this_term && !address_contended_since; }
 };
 
@@ -55,13 +55,11 @@
 ///
 /// Guarantees, even if reports arrive late:
 /// - The state of an incarnation only advances: ready, draining, gone. Its reports take effect in the order of their
-/// call
-///   numbers.
+///   call numbers.
 /// - An incarnation with a later birth replaces an earlier one at once, including all its state. Reports of an earlier
 ///   incarnation change nothing, whatever their call numbers.
 /// - An incarnation that seems older, because its clock was set back or it reports no birth, is accepted once it
-/// reports
-///   repeatedly while the other one does not.
+///   reports repeatedly while the other one does not.
 /// - An address belongs to the instance that keeps reporting from it. A heartbeat that arrives after its sender was
 ///   replaced displaces no instance.
 ///
--- a/src/core/fleet/server_crash_history.h
+++ b/src/core/fleet/server_crash_history.h
@@ -34,8 +34,9 @@
 ///
 /// Load pattern: one request crashes every server that runs it and is repeated at any entry, while many other requests
 /// run on the same servers by chance. Two rules separate cause from chance: a request that a server answered is
-/// removed, and a crash that is attributed to a known harmful request does not count against others. Limits: keeps the
-/// `kMaxSuspects` requests with the latest crashes, about a megabyte at most. Single-threaded, deterministic.
+/// removed, and a crash that is attributed to a known harmful request does not count against others.
+///
+/// Keeps the `kMaxSuspects` requests with the latest crashes, about a megabyte at most. Single-threaded, deterministic.
 class ServerCrashHistory {
  public:
   /// Records a crash, once per server. Returns the number of crashes that now count against the request.
--- a/tests/unit/group_crash_replay_test.cc
+++ b/tests/unit/group_crash_replay_test.cc
@@ -22,7 +22,8 @@
 constexpr Duration kLatencyObjective = milliseconds(300);
 /// Time between requests that arrive at the group.
 constexpr Duration kArrivalInterval = milliseconds(45);
-/// How long a single entry waits for a stalled group before it abandons its requests there, in total and per stream.
+/// How long a single entry waits for a stalled group before it abandons its requests there, plus the time per waiting
+/// request.
 constexpr Duration kSingleEntryStallTimeout = milliseconds(900);
 constexpr Duration kSingleEntryStallTimeoutPerRequest = milliseconds(100);
 
@@ -80,9 +81,9 @@
 
   static std::string entry_name(int number) { return "e" + std::to_string(number); }
 
-  /// Runs the group's passes until `end`; passes that would end after `death` make no progress. Entries with numbers
-  /// below `partitioned_entries` see no progress from `cut` on. Returns the time when the leader detects a stall, or
-  /// `end`.
+  /// Runs the group's passes until `end`; passes that would end after `crash_at` make no progress. Entries with numbers
+  /// below `partitioned_entries` see no progress from `partition_begins_at` on. Returns the time when the leader
+  /// detects a stall, or `end`.
   TimePoint run(TimePoint crash_at, TimePoint end, int partitioned_entries = 0,
                 TimePoint partition_begins_at = TimePoint::max()) {
     std::mt19937 random(7);
