--- a/src/core/fleet/group_supervisor_planning.cc
+++ b/src/core/fleet/group_supervisor_planning.cc
@@ -157,9 +157,9 @@
   std::erase_if(pending_stagings_, [&](const auto& item) {
     const auto* instance = directory.find(item.first);
     const auto* model = engine.find_model(item.second.model);
-    const bool is_other_incarnation = instance != nullptr && instance->born_ms != item.second.born_ms;
+    const bool is_restarted = instance != nullptr && instance->born_ms != item.second.born_ms;
     const bool gone = instance == nullptr || instance->state == wire::InstanceState::GONE || model == nullptr ||
-                      is_other_incarnation;  // The new incarnation never received the order.
+                      is_restarted;  // The new incarnation never received the order.
     // Weights that were already on the host do not show that the load into the accelerators is finished.
     const bool is_done = !gone && (instance->model == item.second.model ||
                                    (!item.second.into_accelerators && has_staged(*instance, item.second.model)));
