--- a/src/core/fleet/group_supervisor.cc
+++ b/src/core/fleet/group_supervisor.cc
@@ -256,14 +256,14 @@
   }
 }
 
-bool GroupSupervisor::head_reports_leaving(const GroupRecord& record, const InstanceDirectory& directory) {
+bool GroupSupervisor::head_reports_it_left(const GroupRecord& record, const InstanceDirectory& directory) {
   const auto head = directory.rows().find(record.group.members.front());
   return head != directory.rows().end() && head->second.is_confirmed() &&
          !reports_membership(head->second.instance, record.group);
 }
 
 void GroupSupervisor::fence_head(TimePoint now, GroupRecord& record, const InstanceDirectory& directory) {
-  if (record.is_inherited && !head_reports_leaving(record, directory)) {
+  if (record.is_inherited && !head_reports_it_left(record, directory)) {
     return;
   }
   const auto& head = record.group.members.front();
--- a/src/core/fleet/group_supervisor.h
+++ b/src/core/fleet/group_supervisor.h
@@ -167,7 +167,7 @@
   static void remove_rejoined_members(GroupRecord& record, const InstanceDirectory& directory);
   void send_leave_orders(TimePoint now, const GroupRecord& record, const InstanceDirectory& directory);
   /// The head reported to this leader that it is not in the group.
-  static bool head_reports_leaving(const GroupRecord& record, const InstanceDirectory& directory);
+  static bool head_reports_it_left(const GroupRecord& record, const InstanceDirectory& directory);
   /// Orders a head that left into a spare group with a higher epoch, so that late orders cannot open its old group
   /// again. The head of an inherited group is fenced only after it reported its group: it may lead another group by
   /// now, which an order to join would break up.
