--- a/src/core/fleet/crash_detector.h
+++ b/src/core/fleet/crash_detector.h
@@ -51,7 +51,7 @@
   /// The response to the request was lost at this incarnation of a server. True when the caller must start to probe the
   /// server at the times of `next_probe_time`.
   bool note_lost_response(TimePoint now, const std::string& incarnation, requests::RequestFingerprint request);
-  /// The server made progress with a request.
+  /// The server made progress with a request, which clears it of suspicion unless the data may have been in transit.
   void note_progress(TimePoint now, const std::string& incarnation);
   /// Records the result of a probe. Returns the crash when the probe decides that the server crashed.
   std::optional<CrashedServer> note_probe(TimePoint now, const std::string& incarnation, ProbeResult result);
--- a/src/core/fleet/group_supervisor.h
+++ b/src/core/fleet/group_supervisor.h
@@ -173,6 +173,7 @@
   /// now, which an order to join would break up.
   void fence_head(TimePoint now, GroupRecord& record, const InstanceDirectory& directory);
   int64_t next_epoch() { return (term_ << kEpochTermShift) + next_epoch_sequence_++; }
+  /// The members may be assigned to other groups, by the guarantees of the class.
   bool is_dissolved(TimePoint now, const GroupRecord& record, const InstanceDirectory& directory) const;
   void set_phase(TimePoint now, GroupRecord& record, wire::GroupPhase::type phase, GroupChangeReason reason);
   /// Adopts groups that instances report but no previous leader published, as after the loss of all control replicas.
@@ -231,6 +232,7 @@
   std::set<std::string> released_group_names_;
   std::map<std::string, int> in_flight_;
   wire::ZoneEvacuations evacuations_;
+  /// When each order was last sent, by kind, instance and group.
   std::map<std::string, TimePoint> order_sent_at_;
   /// Members of failed groups, with the time of the failure.
   std::map<std::string, TimePoint> suspected_members_;
