--- a/src/core/fleet/blocked_requests.cc
+++ b/src/core/fleet/blocked_requests.cc
@@ -9,14 +9,14 @@
 
 /// How long an entry's own sight blocks a request. The leader decides within a fraction of a second; an election takes
 /// one to two.
-constexpr Duration kOwnBlock = seconds(10);
+constexpr Duration kLocalBlockTime = seconds(10);
 /// Ends told to a new leader. Blocks stand in the state that it inherits; these are of requests that are not blocked
 /// yet.
-constexpr size_t kMostRecent = 64;
+constexpr size_t kMaxRecentEnds = 64;
 /// Unreported ends kept while nobody leads.
-constexpr size_t kMostUnreported = 1024;
+constexpr size_t kMaxUnreportedEnds = 1024;
 
-wire::RequestServerEnd report_of(TimePoint now, const ServerEnd& end) {
+wire::RequestServerEnd make_report(TimePoint now, const ServerEnd& end) {
   wire::RequestServerEnd report;
   report.fingerprint = end.request.value();
   report.instance_id = end.instance_id;
@@ -25,11 +25,11 @@
   return report;
 }
 
-std::vector<wire::RequestServerEnd> reports_of(TimePoint now, const std::vector<ServerEnd>& ends) {
+std::vector<wire::RequestServerEnd> make_reports(TimePoint now, const std::vector<ServerEnd>& ends) {
   std::vector<wire::RequestServerEnd> reports;
   reports.reserve(ends.size());
   for (const auto& end : ends) {
-    reports.push_back(report_of(now, end));
+    reports.push_back(make_report(now, end));
   }
   return reports;
 }
@@ -37,55 +37,57 @@
 }  // namespace
 
 void BlockedRequests::update(TimePoint now, const std::vector<wire::BlockedRequest>& rows) {
-  std::map<requests::RequestFingerprint, Row> next;
+  std::map<requests::RequestFingerprint, ReceivedRow> updated_rows;
   for (const auto& row : rows) {
     const requests::RequestFingerprint request(row.fingerprint);
     const auto known = rows_.find(request);
-    const bool is_same = known != rows_.end() && known->second.row == row;
-    next[request] = {row, is_same ? known->second.seen : now};
+    const bool is_unchanged = known != rows_.end() && known->second.row == row;
+    updated_rows[request] = {row, is_unchanged ? known->second.received_at : now};
     if (known == rows_.end() && recently_answered_.contains(now, request)) {
-      object(request);
+      report_answered(request);
     }
   }
   for (const auto& [request, row] : rows_) {
-    if (!next.contains(request)) {
+    if (!updated_rows.contains(request)) {
       ends_.forget(request);  // Freed: what was seen of it before is settled.
     }
   }
-  rows_ = std::move(next);
+  rows_ = std::move(updated_rows);
 }
 
-BlockedRequests::Verdict BlockedRequests::judge(TimePoint now, requests::RequestFingerprint request) const {
+BlockedRequests::Verdict BlockedRequests::verdict_for(TimePoint now, requests::RequestFingerprint request) const {
   const auto found = rows_.find(request);
   if (found != rows_.end()) {
     return found->second.row.trial_due ? Verdict::kTrialDue : Verdict::kBlocked;
   }
-  const bool blocked_here = ends_.count(request) >= kEndsThatBlock && now - ends_.last_end(request) < kOwnBlock;
-  return blocked_here ? Verdict::kBlocked : Verdict::kFree;
+  const bool is_blocked_locally =
+      ends_.count(request) >= kServerEndsToBlock && now - ends_.last_end(request) < kLocalBlockTime;
+  return is_blocked_locally ? Verdict::kBlocked : Verdict::kAllowed;
 }
 
-Duration BlockedRequests::time_left(TimePoint now, requests::RequestFingerprint request) const {
+Duration BlockedRequests::remaining_block_time(TimePoint now, requests::RequestFingerprint request) const {
   const auto found = rows_.find(request);
   if (found != rows_.end()) {
     const Duration wait = milliseconds(found->second.row.wait_ms);
-    return std::max(Duration::zero(), found->second.seen + wait - now);
+    return std::max(Duration::zero(), found->second.received_at + wait - now);
   }
-  return judge(now, request) == Verdict::kBlocked ? ends_.last_end(request) + kOwnBlock - now : Duration::zero();
+  return verdict_for(now, request) == Verdict::kBlocked ? ends_.last_end(request) + kLocalBlockTime - now
+                                                        : Duration::zero();
 }
 
-size_t BlockedRequests::note_end(const ServerEnd& end) {
+size_t BlockedRequests::note_server_end(const ServerEnd& end) {
   if (recently_answered_.contains(end.at, end.request)) {
     return 0;
   }
-  if (unreported_.size() < kMostUnreported) {
-    unreported_.push_back(end);
+  if (unreported_ends_.size() < kMaxUnreportedEnds) {
+    unreported_ends_.push_back(end);
   }
   ends_.forget_old(end.at);
   if (end.certainty == Certainty::kLikely) {
     return ends_.count(end.request);  // The leader hears the servers' reports, which may show the contrary.
   }
   const size_t count = ends_.note(end);
-  if (count >= kEndsThatBlock) {
+  if (count >= kServerEndsToBlock) {
     ends_.explain(end.request);
   }
   return count;
@@ -94,24 +96,24 @@
 void BlockedRequests::note_answered(TimePoint now, requests::RequestFingerprint request) {
   recently_answered_.note(now, request);
   if (ends_.is_suspect(request) || rows_.contains(request)) {
-    object(request);
+    report_answered(request);
   }
 }
 
-void BlockedRequests::object(requests::RequestFingerprint request) {
+void BlockedRequests::report_answered(requests::RequestFingerprint request) {
   ends_.forget(request);
-  std::erase_if(unreported_, [request](const ServerEnd& end) { return end.request == request; });
-  answered_.push_back(request.value());
+  std::erase_if(unreported_ends_, [request](const ServerEnd& end) { return end.request == request; });
+  unreported_answered_.push_back(request.value());
 }
 
-std::vector<wire::RequestServerEnd> BlockedRequests::take_ends(TimePoint now) {
-  return reports_of(now, std::exchange(unreported_, {}));
+std::vector<wire::RequestServerEnd> BlockedRequests::take_unreported_ends(TimePoint now) {
+  return make_reports(now, std::exchange(unreported_ends_, {}));
 }
 
-std::vector<int64_t> BlockedRequests::take_answered() { return std::exchange(answered_, {}); }
+std::vector<int64_t> BlockedRequests::take_answered_requests() { return std::exchange(unreported_answered_, {}); }
 
 std::vector<wire::RequestServerEnd> BlockedRequests::recent_ends(TimePoint now) const {
-  return reports_of(now, ends_.newest(kMostRecent));
+  return make_reports(now, ends_.newest(kMaxRecentEnds));
 }
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/blocked_requests.h
+++ b/src/core/fleet/blocked_requests.h
@@ -12,7 +12,7 @@
 namespace larchlever::fleet {
 
 /// A request under which this many servers ended is sent to no further one.
-constexpr size_t kEndsThatBlock = 3;
+constexpr size_t kServerEndsToBlock = 3;
 
 /// An entry's knowledge of requests that end servers: what it saw itself, to be reported to the leader, and what the
 /// leader decided from the words of all entries.
@@ -24,41 +24,41 @@
 class BlockedRequests {
  public:
   enum class Verdict {
-    kFree,      ///< To be sent as any other.
+    kAllowed,   ///< To be sent as any other.
     kTrialDue,  ///< Blocked, but the leader may grant one sending.
     kBlocked
   };
 
   /// Takes the leader's rows.
   void update(TimePoint now, const std::vector<wire::BlockedRequest>& rows);
-  Verdict judge(TimePoint now, requests::RequestFingerprint request) const;
+  Verdict verdict_for(TimePoint now, requests::RequestFingerprint request) const;
   /// How long from now the request is blocked at least; zero for one that is not.
-  Duration time_left(TimePoint now, requests::RequestFingerprint request) const;
+  Duration remaining_block_time(TimePoint now, requests::RequestFingerprint request) const;
 
   /// A server ended while this entry's request ran there. Returns how many ends count against the request here.
-  size_t note_end(const ServerEnd& end);
+  size_t note_server_end(const ServerEnd& end);
   /// A server ran the request and answered.
   void note_answered(TimePoint now, requests::RequestFingerprint request);
   /// What the leader was not told yet; called once for each report.
-  std::vector<wire::RequestServerEnd> take_ends(TimePoint now);
-  std::vector<int64_t> take_answered();
+  std::vector<wire::RequestServerEnd> take_unreported_ends(TimePoint now);
+  std::vector<int64_t> take_answered_requests();
   /// The newest ends known here, for a leader that has just begun.
   std::vector<wire::RequestServerEnd> recent_ends(TimePoint now) const;
-  bool has_news() const { return !unreported_.empty() || !answered_.empty(); }
+  bool has_unreported() const { return !unreported_ends_.empty() || !unreported_answered_.empty(); }
 
  private:
-  struct Row {
+  struct ReceivedRow {
     wire::BlockedRequest row;
-    TimePoint seen{};
+    TimePoint received_at{};
   };
 
-  void object(requests::RequestFingerprint request);
+  void report_answered(requests::RequestFingerprint request);
 
   ServerEnds ends_;
   requests::RecentlyAnswered recently_answered_;
-  std::map<requests::RequestFingerprint, Row> rows_;
-  std::vector<ServerEnd> unreported_;
-  std::vector<int64_t> answered_;
+  std::map<requests::RequestFingerprint, ReceivedRow> rows_;
+  std::vector<ServerEnd> unreported_ends_;
+  std::vector<int64_t> unreported_answered_;
 };
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/dispatcher.h
+++ b/src/core/fleet/dispatcher.h
@@ -23,7 +23,7 @@
 namespace larchlever::fleet {
 
 /// Where a request may be sent: a plain instance, or the head of an open group.
-struct Target {
+struct DispatchTarget {
   /// The group's name, or the instance's incarnation where there is no group. Load and failures are counted under it,
   /// so that nothing of an earlier start is held against a later.
   std::string key;
@@ -40,7 +40,7 @@
 };
 
 /// What a request asks of a service; model, latency and tokens are ignored for plain ones.
-struct Demand {
+struct RequestRequirements {
   std::string model;
   /// Time to the first event that its route aims at.
   Duration target_latency{};
@@ -49,24 +49,24 @@
   const std::set<std::string>* allowed_zones = nullptr;
 };
 
-enum class ChoiceFailure { kNone, kNoTarget, kAllBusy };
+enum class DispatchFailure { kNone, kNoTarget, kAllBusy };
 
 /// How long a target is avoided after it failed; the leader has decided about it by then.
-constexpr Duration kAvoidance = seconds(2);
+constexpr Duration kAvoidanceTime = seconds(2);
 
 /// Who decides whether a plain server that takes only so many requests a second gets one more.
 enum class RateAuthority {
-  kLeader,  ///< Counts for all entries; to be asked.
-  kShares,  ///< This entry, by its part of the rate, while no leader answers.
+  kLeader,      ///< Counts for all entries; to be asked.
+  kLocalShare,  ///< This entry, by its part of the rate, while no leader answers.
 };
 
-struct Choice {
-  std::optional<Target> target;
-  ChoiceFailure failure = ChoiceFailure::kNone;
+struct DispatchDecision {
+  std::optional<DispatchTarget> target;
+  DispatchFailure failure = DispatchFailure::kNone;
   /// Where the leader has to be asked: plain servers that are better than `target`, or all there are, the best first.
-  std::vector<Target> rated;
+  std::vector<DispatchTarget> rated_targets;
   /// Without a target and where only rates hold the request back: when this entry's next turn comes.
-  std::optional<TimePoint> next_turn;
+  std::optional<TimePoint> next_allowed_at;
 };
 
 /// An entry's choice of where each request goes, by the fleet's state, the load that all entries report, and what it
@@ -88,144 +88,155 @@
   const std::string& choose_service(const document::Route& route);
   /// The least loaded target that is not excluded. Groups are filled only so far that the demand's objective
   /// is expected to hold.
-  Choice choose(TimePoint now, const document::ServiceSpec& service, const Demand& demand,
-                const std::set<std::string>& excluded, RateAuthority authority = RateAuthority::kShares);
+  DispatchDecision choose(TimePoint now, const document::ServiceSpec& service, const RequestRequirements& requirements,
+                          const std::set<std::string>& excluded, RateAuthority authority = RateAuthority::kLocalShare);
   /// The leader has no room at the server until then: others are preferred.
-  void note_no_turn(TimePoint until, const Target& target) { no_turn_until_[target.incarnation] = until; }
+  void note_rate_limited_until(TimePoint until, const DispatchTarget& target) {
+    rate_limited_until_[target.incarnation] = until;
+  }
   /// The head of an open group that is not avoided; nothing when this entry knows of none of that name.
-  std::optional<Target> target_of_group(TimePoint now, const std::string& group);
+  std::optional<DispatchTarget> target_of_group(TimePoint now, const std::string& group);
   /// This entry stood still until now, and what its targets sent meanwhile was not read: their silence is its own.
-  void note_own_pause(TimePoint now);
+  void restart_silence_timers(TimePoint now);
   /// Groups of a model that this entry avoids, whose streams pause too long, or whose head rests or leaves.
-  std::vector<std::string> doubtful_groups(TimePoint now, const std::string& service, const std::string& model);
+  std::vector<std::string> groups_to_avoid(TimePoint now, const std::string& service, const std::string& model);
   /// A request for a model arrived, with its own statement of prompt and answer, in tokens.
-  void note_demand(const std::string& service, const Demand& demand, const engine::RequestSizes& sizes);
+  void record_demand(const std::string& service, const RequestRequirements& requirements,
+                     const engine::RequestSizes& sizes);
   /// A request for a model aims at no pause between events longer than `gap`: no pass of its groups is let grow longer.
-  void note_gap(const std::string& service, const std::string& model, Duration gap);
+  void record_gap_objective(const std::string& service, const std::string& model, Duration gap);
   /// Groups whose streams at this entry pause too long.
   std::vector<std::string> quiet_groups(TimePoint now) const;
-  /// Totals of what `note_demand` was told since the start, to be reported.
+  /// Totals of what `record_demand` was told since the start, to be reported.
   std::vector<wire::ModelDemand> demand_totals() const;
   /// Brackets one sending; the load counts between them.
-  void begin(TimePoint now, const Target& target, const SendingMark& mark = {});
-  void end(const Target& target, const SendingMark& mark = {});
+  void begin_attempt(TimePoint now, const DispatchTarget& target, const AttemptState& attempt = {});
+  void end_attempt(const DispatchTarget& target, const AttemptState& attempt = {});
   /// The target answered or made progress.
-  void note_progress(TimePoint now, const Target& target);
+  void note_progress(TimePoint now, const DispatchTarget& target);
   /// The sending's first event arrived.
-  void note_first_event(TimePoint now, const Target& target, SendingMark& mark);
+  void note_first_event(TimePoint now, const DispatchTarget& target, AttemptState& attempt);
   /// The target refused, reset or stood still. True when it is now to be avoided: what else is under way there will not
   /// come back either.
-  bool note_failure(TimePoint now, const Target& target);
+  bool note_failure(TimePoint now, const DispatchTarget& target);
 
   /// Groups where requests of this entry wait although none made progress for longer than `patience`, and
-  /// `patience_each` for each that waits: a group that got many at once reads all their prompts first. Less patience
-  /// is shown where streams had begun.
-  std::vector<Target> stalled_groups(TimePoint now, Duration patience, Duration patience_each) const;
+  /// `timeout_per_request` for each that waits: a group that got many at once reads all their prompts first. Less
+  /// patience is shown where streams had begun.
+  std::vector<DispatchTarget> stalled_groups(TimePoint now, Duration base_timeout, Duration timeout_per_request) const;
   /// What the target's server asked for in its answer. `note_leaving` returns true when that is news.
-  void note_rest(TimePoint now, const Target& target, Duration rest) {
-    notices_.note_rest(now, target.incarnation, rest);
+  void note_retry_after(TimePoint now, const DispatchTarget& target, Duration delay) {
+    notices_.note_retry_after(now, target.incarnation, delay);
+  }
+  bool note_leaving(TimePoint now, const DispatchTarget& target) {
+    return notices_.note_leaving(now, target.incarnation);
   }
-  bool note_leaving(TimePoint now, const Target& target) { return notices_.note_leaving(now, target.incarnation); }
   /// What an answer said of its server's limit. True when the limit changes.
   bool note_limit(const LimitObservation& observation);
   /// A limit changed since it was last taken to be reported.
-  bool has_limit_news() const { return !limit_news_.empty(); }
+  bool has_unreported_limits() const { return !unreported_limits_.empty(); }
   /// What this entry knows of limits by itself: what changed since the last call, and all of it.
   std::vector<LimitObservation> take_changed_limits(TimePoint now);
-  std::vector<LimitObservation> take_limits(TimePoint now);
+  std::vector<LimitObservation> take_all_limits(TimePoint now);
   /// Whether the target's server takes requests of this entry now: it neither rests nor leaves, and its zone is not
   /// evacuated.
-  bool may_send(TimePoint now, const Target& target) const;
+  bool may_send(TimePoint now, const DispatchTarget& target) const;
   /// Every server that runs the model stands in an evacuated zone; for plain services the model is empty.
   /// Where `allowed_zones` is not null, only servers there count.
-  bool is_emptied(const std::string& service, const std::string& model,
-                  const std::set<std::string>* allowed_zones = nullptr) const;
+  bool are_all_servers_evacuated(const std::string& service, const std::string& model,
+                                 const std::set<std::string>* allowed_zones = nullptr) const;
   /// When the first of the servers that serve the model rests no longer, if all of them rest now; for plain services
   /// the model is empty. Servers that leave do not count.
-  std::optional<TimePoint> all_rest_until(TimePoint now, const std::string& service, const std::string& model) const;
+  std::optional<TimePoint> all_backing_off_until(TimePoint now, const std::string& service,
+                                                 const std::string& model) const;
 
   /// The group is to be avoided for a while.
-  void avoid(TimePoint now, const std::string& key) { health_[key].avoid_until(now + kAvoidance); }
+  void avoid_target(TimePoint now, const std::string& key) { health_[key].avoid_until(now + kAvoidanceTime); }
 
   /// Counts a request, and says whether one more sending of it fits this entry's part of the retry budget.
   void note_request(TimePoint now, const std::string& service);
-  bool take_retry(TimePoint now, const std::string& service);
-  /// How many more `take_retry` would grant now.
-  int retries_left(TimePoint now, const std::string& service);
+  bool try_take_retry(TimePoint now, const std::string& service);
+  /// How many more `try_take_retry` would grant now.
+  int remaining_retries(TimePoint now, const std::string& service);
 
   /// This entry's in-flight requests per group, to be reported.
-  std::vector<wire::GroupLoad> loads(TimePoint now) const;
+  std::vector<wire::GroupLoad> group_loads(TimePoint now) const;
   /// The same for those that changed since the last call.
-  std::vector<wire::GroupLoad> take_changed_loads(TimePoint now);
+  std::vector<wire::GroupLoad> take_changed_group_loads(TimePoint now);
   /// Groups that this entry avoids now.
-  std::vector<wire::GroupFailure> failures(TimePoint now) const;
+  std::vector<wire::GroupFailure> group_failures(TimePoint now) const;
 
  private:
-  struct Budget {
+  struct RetryHistory {
     std::deque<TimePoint> requests;
     std::deque<TimePoint> retries;
   };
 
   /// Forgets the health of targets that exist no more.
-  void forget_unknown_targets();
-  void forget_unrated_servers();
-  void forget_loads();
+  void remove_unknown_targets();
+  void remove_unrated_servers();
+  void clear_reported_loads();
   /// Forgets what other entries had under way when nobody told of it lately.
-  void forget_old_loads(TimePoint now);
-  double cost_of(const std::string& key, const std::string& zone);
+  void expire_reported_loads(TimePoint now);
+  double instance_cost(const std::string& key, const std::string& zone);
   /// Longest pause between events of a healthy group of this service and model.
   Duration longest_pause(const std::string& service, const std::string& model) const;
   /// The instance of that id, if it takes requests.
-  const wire::Instance* find_ready(const std::string& id) const;
+  const wire::Instance* find_available_instance(const std::string& id) const;
   /// The head of the group, if the group serves that model and its head takes requests.
-  const wire::Instance* ready_head(const wire::EngineGroup& group, const std::string& service,
-                                   const std::string& model) const;
-  bool takes_requests(const wire::Instance& instance) const;
+  const wire::Instance* available_head(const wire::EngineGroup& group, const std::string& service,
+                                       const std::string& model) const;
+  bool is_available(const wire::Instance& instance) const;
   /// The request has no homes, or the group's servers all stand in them.
-  static bool is_home(const Demand& demand, const wire::EngineGroup& group, const wire::Instance& head);
+  static bool is_in_allowed_zones(const RequestRequirements& requirements, const wire::EngineGroup& group,
+                                  const wire::Instance& head);
   /// Zones that a request to the group reaches; its head's for a group formed by an earlier version.
-  static std::vector<std::string> zones_of(const wire::EngineGroup& group, const wire::Instance& head);
+  static std::vector<std::string> group_zones(const wire::EngineGroup& group, const wire::Instance& head);
   /// The limit that the incarnation names, by its answers here and by what other entries reported.
-  std::optional<double> limit_at(const std::string& incarnation) const;
+  std::optional<double> known_limit(const std::string& incarnation) const;
   /// Requests a second that the instance takes from all entries; 0 for any number.
-  double rate_of(const document::ServiceSpec& service, const wire::Instance& instance,
-                 const std::string& incarnation) const;
-  void note_rated_sending(TimePoint now, const document::ServiceSpec& service, const wire::Instance& instance);
+  double rate_limit_of(const document::ServiceSpec& service, const wire::Instance& instance,
+                       const std::string& incarnation) const;
+  void note_rated_attempt(TimePoint now, const document::ServiceSpec& service, const wire::Instance& instance);
   /// Servers that take the requests of a service, heads of open groups where it has a model.
-  std::vector<const wire::Instance*> servers_of(const std::string& service, const std::string& model) const;
+  std::vector<const wire::Instance*> available_servers(const std::string& service, const std::string& model) const;
   /// An open group and its head.
   using OpenGroup = std::pair<const wire::EngineGroup*, const wire::Instance*>;
-  Target target_at(const wire::EngineGroup& group, const wire::Instance& head);
+  DispatchTarget make_target(const wire::EngineGroup& group, const wire::Instance& head);
   /// Expected time to the first event there, in milliseconds.
-  double cost_of_group(const document::ServiceSpec& service, const Demand& demand, const OpenGroup& candidate) const;
-  size_t better_of_few(const document::ServiceSpec& service, const Demand& demand, std::vector<OpenGroup>& open);
+  double group_cost_ms(const document::ServiceSpec& service, const RequestRequirements& requirements,
+                       const OpenGroup& candidate) const;
+  size_t cheapest_of_sample(const document::ServiceSpec& service, const RequestRequirements& requirements,
+                            std::vector<OpenGroup>& open);
   /// Draws this entry's part of the free places of each group of the model, each of which holds `most`. All entries
   /// know the same free places at the same time: were each to take them, a group would get many times what it has room
   /// for.
-  void draw_permits(TimePoint now, const std::string& service, const std::string& model, int most);
-  Choice choose_group(TimePoint now, const document::ServiceSpec& service, const Demand& demand,
-                      const std::set<std::string>& excluded);
-  int most_in_flight(const document::ServiceSpec& service, const Demand& demand) const;
+  void refresh_permits(TimePoint now, const std::string& service, const std::string& model, int in_flight_limit);
+  DispatchDecision choose_group(TimePoint now, const document::ServiceSpec& service,
+                                const RequestRequirements& requirements, const std::set<std::string>& excluded);
+  int max_in_flight(const document::ServiceSpec& service, const RequestRequirements& requirements) const;
   /// A plain instance that may get the request.
-  struct Candidate {
+  struct InstanceCandidate {
     const wire::Instance* instance = nullptr;
     std::string incarnation;
     double rate = 0;
-    bool is_doubtful = false;
+    bool is_suspect = false;
     double cost = 0;
   };
-  std::vector<Candidate> candidates_for(TimePoint now, const document::ServiceSpec& service, const Demand& demand,
-                                        const std::set<std::string>& excluded);
-  Target target_at(const Candidate& candidate);
-  Choice choose_instance(TimePoint now, const document::ServiceSpec& service, const Demand& demand,
-                         const std::set<std::string>& excluded, RateAuthority authority);
-  Choice choose_by_shares(TimePoint now, const document::ServiceSpec& service,
-                          const std::vector<Candidate>& candidates);
+  std::vector<InstanceCandidate> rank_instances(TimePoint now, const document::ServiceSpec& service,
+                                                const RequestRequirements& requirements,
+                                                const std::set<std::string>& excluded);
+  DispatchTarget make_target(const InstanceCandidate& candidate);
+  DispatchDecision choose_instance(TimePoint now, const document::ServiceSpec& service,
+                                   const RequestRequirements& requirements, const std::set<std::string>& excluded,
+                                   RateAuthority authority);
+  DispatchDecision choose_by_local_share(TimePoint now, const document::ServiceSpec& service,
+                                         const std::vector<InstanceCandidate>& candidates);
   /// Names the rated servers that the leader is to be asked for, where one of them is the best choice.
-  Choice choose_by_leader(TimePoint now, const std::vector<Candidate>& candidates);
-  void forget_old(TimePoint now, Budget& budget) const;
-  void note_change(const Target& target);
-  static wire::GroupLoad load_of(TimePoint now, const std::string& key, const TargetHealth& health);
+  DispatchDecision choose_for_leader_admission(TimePoint now, const std::vector<InstanceCandidate>& candidates);
+  void drop_expired(TimePoint now, RetryHistory& history) const;
+  void mark_load_changed(const DispatchTarget& target);
+  static wire::GroupLoad make_group_load(TimePoint now, const std::string& key, const TargetHealth& health);
 
   FleetOptions options_;
   std::string zone_;
@@ -238,26 +249,26 @@
   /// The limits that the leader holds, by all entries' reports.
   std::map<std::string, double> reported_limits_;
   /// Incarnations whose limits changed since they were last reported.
-  std::set<std::string> limit_news_;
+  std::set<std::string> unreported_limits_;
   /// Until when the leader has no room at rated servers.
-  std::map<std::string, TimePoint> no_turn_until_;
+  std::map<std::string, TimePoint> rate_limited_until_;
   wire::ZoneEvacuations evacuations_;
-  RateShares shares_;
+  RateShares rate_shares_;
   std::map<std::string, TargetHealth> health_;
   /// Targets whose load differs from what was last told.
-  std::set<std::string> changed_;
+  std::set<std::string> changed_groups_;
   /// Longest pauses by service and model, from the cost models in force.
   std::map<std::pair<std::string, std::string>, Duration> longest_pauses_;
   /// The strictest objective for pauses that requests had, by service and model.
-  std::map<std::pair<std::string, std::string>, Duration> smallest_gaps_;
-  std::map<std::string, Budget> budgets_;
+  std::map<std::pair<std::string, std::string>, Duration> min_gap_objectives_;
+  std::map<std::string, RetryHistory> retry_histories_;
   /// When permits for a service's model were last drawn.
-  std::map<std::pair<std::string, std::string>, TimePoint> permits_drawn_;
+  std::map<std::pair<std::string, std::string>, TimePoint> permits_refreshed_at_;
   /// When the loads of other entries were last told; `TimePoint::min()` when none are held.
-  TimePoint loads_told_at_ = TimePoint::min();
+  TimePoint loads_reported_at_ = TimePoint::min();
   /// Sizes of the requests for each model, by service and model.
-  std::map<std::pair<std::string, std::string>, engine::SizeEstimate> sizes_;
-  std::map<std::pair<std::string, std::string>, wire::ModelDemand> demand_;
+  std::map<std::pair<std::string, std::string>, engine::SizeEstimate> size_estimates_;
+  std::map<std::pair<std::string, std::string>, wire::ModelDemand> demand_by_model_;
 };
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/dispatcher_rates.cc
+++ b/src/core/fleet/dispatcher_rates.cc
@@ -5,108 +5,114 @@
 
 #include "core/fleet/dispatcher.h"
 #include "core/fleet/instance_directory.h"
-#include "core/fleet/server_rates.h"
+#include "core/fleet/server_rate_limiter.h"
 
 namespace larchlever::fleet {
 
 // ------------------------------------------------------------ plain servers
 
-std::vector<Dispatcher::Candidate> Dispatcher::candidates_for(TimePoint now, const document::ServiceSpec& service,
-                                                              const Demand& demand,
-                                                              const std::set<std::string>& excluded) {
-  std::vector<Candidate> result;
+std::vector<Dispatcher::InstanceCandidate> Dispatcher::rank_instances(TimePoint now,
+                                                                      const document::ServiceSpec& service,
+                                                                      const RequestRequirements& requirements,
+                                                                      const std::set<std::string>& excluded) {
+  std::vector<InstanceCandidate> result;
   for (const auto& [id, instance] : instances_) {
-    const bool is_home = demand.allowed_zones == nullptr || demand.allowed_zones->contains(instance.zone);
-    const bool fits = instance.service_name == service.name && takes_requests(instance) && is_home;
-    if (!fits) {
+    const bool is_in_allowed_zones =
+        requirements.allowed_zones == nullptr || requirements.allowed_zones->contains(instance.zone);
+    const bool is_eligible = instance.service_name == service.name && is_available(instance) && is_in_allowed_zones;
+    if (!is_eligible) {
       continue;
     }
-    Candidate candidate;
+    InstanceCandidate candidate;
     candidate.instance = &instance;
     candidate.incarnation = incarnation_of(instance);
     if (excluded.contains(candidate.incarnation) || !notices_.may_send(now, candidate.incarnation)) {
       continue;
     }
-    candidate.rate = rate_of(service, instance, candidate.incarnation);
+    candidate.rate = rate_limit_of(service, instance, candidate.incarnation);
     // Doubtful instances are better than none: they may only be cut off from the control replicas.
-    candidate.is_doubtful = instance.silent || health_[candidate.incarnation].is_avoided(now);
-    candidate.cost = cost_of(candidate.incarnation, instance.zone);
+    candidate.is_suspect = instance.silent || health_[candidate.incarnation].is_avoided(now);
+    candidate.cost = instance_cost(candidate.incarnation, instance.zone);
     result.push_back(std::move(candidate));
   }
-  std::stable_sort(result.begin(), result.end(), [](const Candidate& left, const Candidate& right) {
-    return std::pair(left.is_doubtful, left.cost) < std::pair(right.is_doubtful, right.cost);
+  std::stable_sort(result.begin(), result.end(), [](const InstanceCandidate& left, const InstanceCandidate& right) {
+    return std::pair(left.is_suspect, left.cost) < std::pair(right.is_suspect, right.cost);
   });
   return result;
 }
 
-Target Dispatcher::target_at(const Candidate& candidate) {
+DispatchTarget Dispatcher::make_target(const InstanceCandidate& candidate) {
   const auto& instance = *candidate.instance;
   return {candidate.incarnation, instance.service_name, "",
           instance.id,           instance.address,      health_[candidate.incarnation].in_flight(),
           candidate.incarnation, {instance.zone}};
 }
 
-Choice Dispatcher::choose_by_shares(TimePoint now, const document::ServiceSpec& service,
-                                    const std::vector<Candidate>& candidates) {
-  Choice choice;
+DispatchDecision Dispatcher::choose_by_local_share(TimePoint now, const document::ServiceSpec& service,
+                                                   const std::vector<InstanceCandidate>& candidates) {
+  DispatchDecision choice;
   for (const auto& candidate : candidates) {
-    const TimePoint turn = shares_.next_turn(now, candidate.incarnation, candidate.rate, serving_nodes_);
-    if (turn <= now) {
-      note_rated_sending(now, service, *candidate.instance);
-      choice.target = target_at(candidate);
-      choice.next_turn.reset();
+    const TimePoint allowed_at =
+        rate_shares_.next_allowed_at(now, candidate.incarnation, candidate.rate, serving_nodes_);
+    if (allowed_at <= now) {
+      note_rated_attempt(now, service, *candidate.instance);
+      choice.target = make_target(candidate);
+      choice.next_allowed_at.reset();
       return choice;
     }
-    choice.next_turn = std::min(turn, choice.next_turn.value_or(turn));
+    choice.next_allowed_at = std::min(allowed_at, choice.next_allowed_at.value_or(allowed_at));
   }
-  choice.failure = candidates.empty() ? ChoiceFailure::kNoTarget : ChoiceFailure::kAllBusy;
+  choice.failure = candidates.empty() ? DispatchFailure::kNoTarget : DispatchFailure::kAllBusy;
   return choice;
 }
 
-Choice Dispatcher::choose_by_leader(TimePoint now, const std::vector<Candidate>& candidates) {
-  const auto may_have_turn = [this, now](const Candidate& candidate) {
-    const auto until = no_turn_until_.find(candidate.incarnation);
-    return until == no_turn_until_.end() || until->second <= now;
+DispatchDecision Dispatcher::choose_for_leader_admission(TimePoint now,
+                                                         const std::vector<InstanceCandidate>& candidates) {
+  const auto may_be_granted = [this, now](const InstanceCandidate& candidate) {
+    const auto until = rate_limited_until_.find(candidate.incarnation);
+    return until == rate_limited_until_.end() || until->second <= now;
   };
-  Choice choice;
-  const auto free = std::find_if(candidates.begin(), candidates.end(), [](const auto& item) { return item.rate <= 0; });
-  if (free != candidates.end()) {
-    choice.target = target_at(*free);
+  DispatchDecision choice;
+  const auto unlimited =
+      std::find_if(candidates.begin(), candidates.end(), [](const auto& item) { return item.rate <= 0; });
+  if (unlimited != candidates.end()) {
+    choice.target = make_target(*unlimited);
   }
-  for (auto candidate = candidates.begin(); candidate != free; ++candidate) {
-    if (free == candidates.end() || may_have_turn(*candidate)) {
-      choice.rated.push_back(target_at(*candidate));
+  for (auto candidate = candidates.begin(); candidate != unlimited; ++candidate) {
+    if (unlimited == candidates.end() || may_be_granted(*candidate)) {
+      choice.rated_targets.push_back(make_target(*candidate));
     }
   }
-  choice.failure = candidates.empty() ? ChoiceFailure::kNoTarget : ChoiceFailure::kNone;
+  choice.failure = candidates.empty() ? DispatchFailure::kNoTarget : DispatchFailure::kNone;
   return choice;
 }
 
-Choice Dispatcher::choose_instance(TimePoint now, const document::ServiceSpec& service, const Demand& demand,
-                                   const std::set<std::string>& excluded, RateAuthority authority) {
-  const auto candidates = candidates_for(now, service, demand, excluded);
-  return authority == RateAuthority::kLeader ? choose_by_leader(now, candidates)
-                                             : choose_by_shares(now, service, candidates);
+DispatchDecision Dispatcher::choose_instance(TimePoint now, const document::ServiceSpec& service,
+                                             const RequestRequirements& requirements,
+                                             const std::set<std::string>& excluded, RateAuthority authority) {
+  const auto candidates = rank_instances(now, service, requirements, excluded);
+  return authority == RateAuthority::kLeader ? choose_for_leader_admission(now, candidates)
+                                             : choose_by_local_share(now, service, candidates);
 }
 
 // -------------------------------------------------------------------- rates
 
-void Dispatcher::forget_unrated_servers() {
-  if (shares_.empty() && no_turn_until_.empty()) {
+void Dispatcher::remove_unrated_servers() {
+  if (rate_shares_.empty() && rate_limited_until_.empty()) {
     return;
   }
   std::set<std::string> rated;
   for (const auto& [id, instance] : instances_) {
     const std::string incarnation = incarnation_of(instance);
-    if (instance.cold || limit_at(incarnation)) {
+    if (instance.cold || known_limit(incarnation)) {
       rated.insert(incarnation);
     }
   }
-  shares_.keep_only(rated);
-  std::erase_if(no_turn_until_, [&rated](const auto& item) { return !rated.contains(item.first); });
+  rate_shares_.retain_servers(rated);
+  std::erase_if(rate_limited_until_, [&rated](const auto& item) { return !rated.contains(item.first); });
 }
 
-std::optional<double> Dispatcher::limit_at(const std::string& incarnation) const {
+std::optional<double> Dispatcher::known_limit(const std::string& incarnation) const {
   const auto own = limits_.limit_of(incarnation);
   const auto reported = reported_limits_.find(incarnation);
   if (reported == reported_limits_.end()) {
@@ -115,45 +121,45 @@
   return own ? std::min(*own, reported->second) : reported->second;
 }
 
-double Dispatcher::rate_of(const document::ServiceSpec& service, const wire::Instance& instance,
-                           const std::string& incarnation) const {
-  return rate_in_force(service, {incarnation, instance.cold, limit_at(incarnation)});
+double Dispatcher::rate_limit_of(const document::ServiceSpec& service, const wire::Instance& instance,
+                                 const std::string& incarnation) const {
+  return effective_rate_limit(service, {incarnation, instance.cold, known_limit(incarnation)});
 }
 
-void Dispatcher::note_rated_sending(TimePoint now, const document::ServiceSpec& service,
+void Dispatcher::note_rated_attempt(TimePoint now, const document::ServiceSpec& service,
                                     const wire::Instance& instance) {
   const std::string incarnation = incarnation_of(instance);
-  shares_.note_sent(now, incarnation, rate_of(service, instance, incarnation), serving_nodes_);
+  rate_shares_.note_sent(now, incarnation, rate_limit_of(service, instance, incarnation), serving_nodes_);
 }
 
 bool Dispatcher::note_limit(const LimitObservation& observation) {
   const std::string& incarnation = observation.incarnation;
-  const bool is_known = limits_.knows(incarnation);
-  const bool is_of_interest = observation.per_second || is_known || reported_limits_.contains(incarnation);
-  if (!is_of_interest) {
+  const bool is_known = limits_.has_observation(incarnation);
+  const bool is_relevant = observation.per_second || is_known || reported_limits_.contains(incarnation);
+  if (!is_relevant) {
     return false;  // Most servers never name a limit: nothing is kept of them.
   }
-  const auto before = limits_.limit_of(incarnation);
+  const auto previous = limits_.limit_of(incarnation);
   limits_.observe(observation);
-  const bool is_news = !is_known || limits_.limit_of(incarnation) != before;
-  if (is_news) {
-    limit_news_.insert(incarnation);
+  const bool is_changed = !is_known || limits_.limit_of(incarnation) != previous;
+  if (is_changed) {
+    unreported_limits_.insert(incarnation);
   }
-  return is_news;
+  return is_changed;
 }
 
 std::vector<LimitObservation> Dispatcher::take_changed_limits(TimePoint now) {
-  if (limit_news_.empty()) {
+  if (unreported_limits_.empty()) {
     return {};
   }
   auto result = limits_.observations(now);
-  std::erase_if(result, [this](const auto& item) { return !limit_news_.contains(item.incarnation); });
-  limit_news_.clear();
+  std::erase_if(result, [this](const auto& item) { return !unreported_limits_.contains(item.incarnation); });
+  unreported_limits_.clear();
   return result;
 }
 
-std::vector<LimitObservation> Dispatcher::take_limits(TimePoint now) {
-  limit_news_.clear();
+std::vector<LimitObservation> Dispatcher::take_all_limits(TimePoint now) {
+  unreported_limits_.clear();
   return limits_.observations(now);
 }
 
--- a/src/core/fleet/entry_reports.cc
+++ b/src/core/fleet/entry_reports.cc
@@ -39,7 +39,7 @@
     } else {
       entry.loads.erase(load.group);
     }
-    if (load.progress_age_ms != kNoProgressAge) {
+    if (load.progress_age_ms != kUnknownProgressAge) {
       TimePoint& progress = progress_.try_emplace(load.group, TimePoint::min()).first->second;
       progress = std::max(progress, now - milliseconds(load.progress_age_ms));
     }
@@ -81,8 +81,9 @@
   }
   for (auto& [group, total] : result) {
     const auto progress = progress_.find(group);
-    total.progress_age_ms =
-        progress == progress_.end() ? kNoProgressAge : static_cast<int32_t>((now - progress->second) / milliseconds(1));
+    total.progress_age_ms = progress == progress_.end()
+                                ? kUnknownProgressAge
+                                : static_cast<int32_t>((now - progress->second) / milliseconds(1));
   }
   return result;
 }
--- a/src/core/fleet/fleet_leader.cc
+++ b/src/core/fleet/fleet_leader.cc
@@ -82,7 +82,7 @@
 
 void FleetLeader::take_copy(TimePoint now, const wire::FleetState& copy) {
   instances_.merge(now, copy.instances);
-  blocker_.inherit(now, copy.blocked_requests);
+  blocker_.add_inherited(now, copy.blocked_requests);
   groups_.inherit_released(copy.released_groups);
   const std::pair order(copy.term, copy.version);
   if (order > inherited_) {
@@ -223,7 +223,7 @@
     groups_.note_traffic();
   }
   slots_.note_loads(node, report.loads, report.is_complete, report.grants_term, report.grants_seen);
-  slots_.note_quiet(now, node, report.quiet_groups);
+  slots_.note_quiet_groups(now, node, report.quiet_groups);
   note_server_ends(now, report);
   note_server_limits(now, report);
   fail_silent_groups(now, log);
@@ -249,7 +249,7 @@
     const TimePoint ended_at = now - milliseconds(std::max<int64_t>(0, end.age_ms));
     const Certainty certainty = end.is_likely ? Certainty::kLikely : Certainty::kProved;
     const bool is_news =
-        blocker_.note_end({requests::RequestFingerprint(end.fingerprint), end.instance_id, ended_at, certainty});
+        blocker_.note_server_end({requests::RequestFingerprint(end.fingerprint), end.instance_id, ended_at, certainty});
     changed = changed || is_news;
   }
   for (const int64_t fingerprint : report.answered_requests) {
@@ -286,7 +286,7 @@
 }
 
 void FleetLeader::answer_repeat(TimePoint now, const std::string& node, const wire::SlotRequest& request) {
-  answer_question(node, request.id, blocker_.grant_repeat(now, requests::RequestFingerprint(request.repeat_of)));
+  answer_question(node, request.id, blocker_.grant_retry(now, requests::RequestFingerprint(request.repeat_of)));
 }
 
 void FleetLeader::answer_question(const std::string& node, int64_t id, bool is_granted) {
@@ -328,7 +328,7 @@
   std::map<std::string, wire::SlotAnswer> answers;
   for (const auto& group : slots_.find_failed_groups(now, *log.parsed())) {
     groups_.note_failure(group);
-    for (const auto& node : slots_.nodes_at(group)) {
+    for (const auto& node : slots_.nodes_using_group(group)) {
       answers[node].failed_groups.push_back(group);
     }
   }
@@ -363,14 +363,14 @@
 void FleetLeader::update_slot_groups() {
   auto groups = groups_.snapshot();
   std::erase_if(groups, [this](const auto& group) { return is_evacuated(evacuations_, group); });
-  std::vector<RatedServer> rated;
+  std::vector<RateLimitedServer> rated;
   for (const auto& [id, row] : instances_.rows()) {
     const auto limit = limit_of(row.instance);
     if (row.instance.cold || limit) {
       rated.push_back({incarnation_of(row.instance), row.instance.cold, limit});
     }
   }
-  slots_.set_rated_servers(rated);
+  slots_.set_rate_limited_servers(rated);
   std::map<std::string, std::string> rated_heads;
   for (const auto& group : groups) {
     const auto* head = group.members.empty() ? nullptr : instances_.find(group.members.front());
--- a/src/core/fleet/fleet_leader_calls.cc
+++ b/src/core/fleet/fleet_leader_calls.cc
@@ -80,7 +80,7 @@
 
 void FleetLeader::note_life(TimePoint now, const wire::Instance& report) {
   // Without a birth, a later start under the same id would be taken for the one that ended.
-  const bool frees_requests = report.born_ms != 0 && blocker_.note_heard(now, incarnation_of(report));
+  const bool frees_requests = report.born_ms != 0 && blocker_.note_incarnation_alive(now, incarnation_of(report));
   if (frees_requests) {
     ++version_;
     next_push_ = now;
--- a/src/core/fleet/group_formation.cc
+++ b/src/core/fleet/group_formation.cc
@@ -131,7 +131,7 @@
 
 std::string GroupSupervisor::form_group(TimePoint now, const std::string& service, const GroupPlan& plan,
                                         const InstanceDirectory& directory) {
-  limiter_.note_begun(now, plan.loads);
+  limiter_.note_loads_begun(now, plan.loads);
   Record record;
   record.group.epoch = next_epoch();
   record.group.name = "g" + std::to_string(term_) + "-" + std::to_string(record.group.epoch & kEpochNumberMask);
@@ -187,10 +187,10 @@
       continue;
     }
     const size_t loads = plan.into_accelerators && has_staged(*instance, plan.model) ? 0 : 1;
-    if (!limiter_.may_begin(now, engine, loads, counts.under_way, counts.finished)) {
+    if (!limiter_.may_begin_loads(now, engine, loads, counts.under_way, counts.finished)) {
       return;
     }
-    limiter_.note_begun(now, loads);
+    limiter_.note_loads_begun(now, loads);
     ++counts.under_way;
     staging_[plan.server] = {plan.model, now, plan.into_accelerators, instance->born_ms};
     order_staging(now, plan, directory);
@@ -247,7 +247,7 @@
   // lost its leadership four times before the first requests, and its successors began the groups anew.
   LoadCounts counts = count_loads(directory);
   while (const auto plan = planner.next_group()) {
-    if (!limiter_.may_begin(now, engine, plan->loads, counts.under_way, counts.finished)) {
+    if (!limiter_.may_begin_loads(now, engine, plan->loads, counts.under_way, counts.finished)) {
       break;
     }
     planner.note_formed(*plan, form_group(now, service, *plan, directory));
--- a/src/core/fleet/group_supervisor.h
+++ b/src/core/fleet/group_supervisor.h
@@ -13,7 +13,7 @@
 #include "core/fleet/fleet_options.h"
 #include "core/fleet/group_planner.h"
 #include "core/fleet/instance_directory.h"
-#include "core/fleet/load_limiter.h"
+#include "core/fleet/weight_load_limiter.h"
 #include "larchlever_types.h"
 
 namespace larchlever::fleet {
@@ -99,7 +99,7 @@
   /// Requests in flight per group, over all entries.
   void note_loads(std::map<std::string, int> in_flight) { in_flight_ = std::move(in_flight); }
   /// Before the first request, loads are not rationed by their rate.
-  void note_traffic() { limiter_.note_traffic(); }
+  void note_traffic() { limiter_.note_first_request(); }
   /// Groups with members in evacuated zones are kept as they are, so that they serve at once when the zone is restored;
   /// until then they count for nothing, and no server there joins another.
   void set_evacuations(const wire::ZoneEvacuations& evacuations) { evacuations_ = evacuations; }
@@ -209,7 +209,7 @@
   int64_t next_number_ = 1;
   TimePoint started_{};
   TimePoint next_planning_{};
-  LoadLimiter limiter_;
+  WeightLoadLimiter limiter_;
   DemandTracker demand_;
   std::map<std::string, Record> records_;
   /// The group that each instance belongs to.
--- a/src/core/fleet/rate_shares.h
+++ b/src/core/fleet/rate_shares.h
@@ -21,28 +21,28 @@
 
   /// When this entry, one of `entries`, may send to the server next; `now` while it has its turn. `per_second` is what
   /// the server takes in all; 0 is no limit.
-  TimePoint next_turn(TimePoint now, const std::string& incarnation, double per_second, int entries);
+  TimePoint next_allowed_at(TimePoint now, const std::string& incarnation, double per_second, int entries);
   bool may_send(TimePoint now, const std::string& incarnation, double per_second, int entries) {
-    return next_turn(now, incarnation, per_second, entries) <= now;
+    return next_allowed_at(now, incarnation, per_second, entries) <= now;
   }
   void note_sent(TimePoint now, const std::string& incarnation, double per_second, int entries);
   /// Forgets the servers that take any number of requests again.
-  void keep_only(const std::set<std::string>& rated);
-  bool empty() const { return shares_.empty(); }
+  void retain_servers(const std::set<std::string>& rated);
+  bool empty() const { return schedules_.empty(); }
 
  private:
-  struct Share {
-    TimePoint next_turn{};
+  struct TurnSchedule {
+    TimePoint next_allowed_at{};
     /// Time from one turn to the next.
     Duration interval{};
   };
 
-  static Duration interval_of(double per_second, int entries);
+  static Duration turn_interval(double per_second, int entries);
   /// Draws when the first turn comes, within the first interval.
-  Share draw(TimePoint now, Duration interval);
+  TurnSchedule draw_next_turn(TimePoint now, Duration interval);
 
   std::mt19937_64 random_;
-  std::map<std::string, Share> shares_;
+  std::map<std::string, TurnSchedule> schedules_;
 };
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/request_blocker.cc
+++ b/src/core/fleet/request_blocker.cc
@@ -11,25 +11,25 @@
 
 /// Waits before the first and the second trial. A caller that retries has given up by the first; the second is for
 /// whoever is called again after a repair.
-constexpr std::array kTrialWaits{Duration(seconds(30)), Duration(std::chrono::minutes(2))};
+constexpr std::array kTrialDelays{Duration(seconds(30)), Duration(std::chrono::minutes(2))};
 /// After the last trial the request stays blocked for this long, then nothing is known of it any more.
-constexpr Duration kLastWait = std::chrono::hours(1);
+constexpr Duration kFinalBlockTime = std::chrono::hours(1);
 /// A trial that brought no word for this long has failed: longer than callers wait for an answer.
-constexpr Duration kTrialPatience = seconds(15);
-constexpr size_t kMostBlocked = 1024;
+constexpr Duration kTrialTimeout = seconds(15);
+constexpr size_t kMaxBlockedRequests = 1024;
 /// A repeat that brought no word for this long harms nobody: a harmful request ends its server within half a second.
-constexpr Duration kRepeatPatience = seconds(1);
+constexpr Duration kRetryTimeout = seconds(1);
 /// A server that lives reports each second or two; one that is not heard for this long has ended.
-constexpr Duration kReportPatience = seconds(30);
+constexpr Duration kServerReportTimeout = seconds(30);
 
 }  // namespace
 
-Duration RequestBlocker::wait_of(const Blocked& blocked) {
+Duration RequestBlocker::wait_time(const BlockState& blocked) {
   const auto trials = static_cast<size_t>(blocked.trials);
-  return trials < kTrialWaits.size() ? kTrialWaits.at(trials) : kLastWait;
+  return trials < kTrialDelays.size() ? kTrialDelays.at(trials) : kFinalBlockTime;
 }
 
-void RequestBlocker::set_phase(TimePoint now, Blocked& blocked, Phase phase) {
+void RequestBlocker::set_phase(TimePoint now, BlockState& blocked, Phase phase) {
   blocked.phase = phase;
   blocked.since = now;
 }
@@ -37,12 +37,12 @@
 void RequestBlocker::start(TimePoint now, const std::vector<wire::BlockedRequest>& inherited) {
   ends_ = ServerEnds();
   blocked_.clear();
-  repeats_.clear();
-  likely_ended_.clear();
-  inherit(now, inherited);
+  granted_retries_.clear();
+  likely_ended_at_.clear();
+  add_inherited(now, inherited);
 }
 
-void RequestBlocker::inherit(TimePoint now, const std::vector<wire::BlockedRequest>& rows) {
+void RequestBlocker::add_inherited(TimePoint now, const std::vector<wire::BlockedRequest>& rows) {
   for (const auto& row : rows) {
     const requests::RequestFingerprint request(row.fingerprint);
     if (!blocked_.contains(request)) {
@@ -51,29 +51,29 @@
   }
 }
 
-RequestBlocker::Blocked& RequestBlocker::block(TimePoint now, requests::RequestFingerprint request, int trials) {
-  if (blocked_.size() >= kMostBlocked) {
+RequestBlocker::BlockState& RequestBlocker::block(TimePoint now, requests::RequestFingerprint request, int trials) {
+  if (blocked_.size() >= kMaxBlockedRequests) {
     const auto oldest = std::min_element(blocked_.begin(), blocked_.end(), [](const auto& left, const auto& right) {
       return left.second.since < right.second.since;
     });
     blocked_.erase(oldest);
   }
-  Blocked& blocked = blocked_[request];
+  BlockState& blocked = blocked_[request];
   blocked.trials = trials;
   set_phase(now, blocked, Phase::kWaiting);
   return blocked;
 }
 
-bool RequestBlocker::note_heard(TimePoint now, const std::string& incarnation) {
-  if (!likely_ended_.contains(incarnation)) {
+bool RequestBlocker::note_incarnation_alive(TimePoint now, const std::string& incarnation) {
+  if (!likely_ended_at_.contains(incarnation)) {
     return false;
   }
   bool changed = false;
   for (const auto request : ends_.refute(incarnation, now)) {
     const auto blocked = blocked_.find(request);
-    const bool was_blocked_for_it =
+    const bool was_blocked_by_its_end =
         blocked != blocked_.end() && blocked->second.trials == 0 && !blocked->second.is_inherited;
-    if (was_blocked_for_it && ends_.count(request) < kEndsThatBlock) {
+    if (was_blocked_by_its_end && ends_.count(request) < kServerEndsToBlock) {
       blocked_.erase(blocked);
       changed = true;
     }
@@ -81,9 +81,9 @@
   return changed;
 }
 
-bool RequestBlocker::note_end(const ServerEnd& end) {
+bool RequestBlocker::note_server_end(const ServerEnd& end) {
   if (end.certainty == Certainty::kLikely) {
-    likely_ended_[end.instance_id] = end.at;
+    likely_ended_at_[end.instance_id] = end.at;
   }
   const size_t count = ends_.note(end);
   const auto known = blocked_.find(end.request);
@@ -95,7 +95,7 @@
     }
     return was_trial;
   }
-  if (count < kEndsThatBlock) {
+  if (count < kServerEndsToBlock) {
     return false;
   }
   block(end.at, end.request, 0);
@@ -105,19 +105,19 @@
 
 bool RequestBlocker::note_answered(requests::RequestFingerprint request) {
   ends_.forget(request);
-  repeats_.erase(request);
+  granted_retries_.erase(request);
   return blocked_.erase(request) > 0;
 }
 
-bool RequestBlocker::grant_repeat(TimePoint now, requests::RequestFingerprint request) {
+bool RequestBlocker::grant_retry(TimePoint now, requests::RequestFingerprint request) {
   if (blocked_.contains(request)) {
     return false;
   }
   if (!ends_.is_suspect(request)) {
     return true;
   }
-  const auto [granted, is_first] = repeats_.try_emplace(request, now);
-  if (!is_first && now - granted->second < kRepeatPatience) {
+  const auto [granted, is_first] = granted_retries_.try_emplace(request, now);
+  if (!is_first && now - granted->second < kRetryTimeout) {
     return false;
   }
   granted->second = now;
@@ -136,27 +136,27 @@
 
 bool RequestBlocker::tick(TimePoint now) {
   ends_.forget_old(now);
-  std::erase_if(repeats_, [now](const auto& item) { return now - item.second >= kRepeatPatience; });
-  std::erase_if(likely_ended_, [now](const auto& item) { return now - item.second > kReportPatience; });
+  std::erase_if(granted_retries_, [now](const auto& item) { return now - item.second >= kRetryTimeout; });
+  std::erase_if(likely_ended_at_, [now](const auto& item) { return now - item.second > kServerReportTimeout; });
   bool changed = false;
   for (auto item = blocked_.begin(); item != blocked_.end();) {
-    Blocked& blocked = item->second;
+    BlockState& blocked = item->second;
     const Duration age = now - blocked.since;
-    const bool has_trials = static_cast<size_t>(blocked.trials) < kTrialWaits.size();
-    const bool is_over = blocked.phase == Phase::kWaiting && age >= wait_of(blocked);
-    if (is_over && !has_trials) {
+    const bool has_trials_left = static_cast<size_t>(blocked.trials) < kTrialDelays.size();
+    const bool is_wait_over = blocked.phase == Phase::kWaiting && age >= wait_time(blocked);
+    if (is_wait_over && !has_trials_left) {
       item = blocked_.erase(item);
       changed = true;
       continue;
     }
-    if (is_over) {
+    if (is_wait_over) {
       set_phase(now, blocked, Phase::kTrialDue);
       changed = true;
-    } else if (blocked.phase == Phase::kTrialDue && age >= kLastWait) {
+    } else if (blocked.phase == Phase::kTrialDue && age >= kFinalBlockTime) {
       item = blocked_.erase(item);  // Nobody sent it any more.
       changed = true;
       continue;
-    } else if (blocked.phase == Phase::kTrialRunning && age >= kTrialPatience) {
+    } else if (blocked.phase == Phase::kTrialRunning && age >= kTrialTimeout) {
       set_phase(now, blocked, Phase::kWaiting);
       changed = true;
     }
@@ -173,7 +173,7 @@
     row.fingerprint = request.value();
     row.trials = blocked.trials;
     row.trial_due = blocked.phase == Phase::kTrialDue;
-    row.wait_ms = wait_of(blocked) / milliseconds(1);
+    row.wait_ms = wait_time(blocked) / milliseconds(1);
     result.push_back(row);
   }
   return result;
--- a/src/core/fleet/request_blocker.h
+++ b/src/core/fleet/request_blocker.h
@@ -26,17 +26,17 @@
   /// A leadership begins with the rows of the state it inherits; the wait for a trial begins anew.
   void start(TimePoint now, const std::vector<wire::BlockedRequest>& inherited);
   /// Adds rows of a copy that arrived later.
-  void inherit(TimePoint now, const std::vector<wire::BlockedRequest>& rows);
+  void add_inherited(TimePoint now, const std::vector<wire::BlockedRequest>& rows);
   /// A server ended while it ran the request. True when the rows changed; so with all that follow.
-  bool note_end(const ServerEnd& end);
+  bool note_server_end(const ServerEnd& end);
   /// An incarnation of a server was heard: ends of it that were only likely are none, and who was blocked for them is
   /// free.
-  bool note_heard(TimePoint now, const std::string& incarnation);
+  bool note_incarnation_alive(TimePoint now, const std::string& incarnation);
   /// A server ran the request and answered.
   bool note_answered(requests::RequestFingerprint request);
   /// Whether a request whose answer was lost may be sent again. One under which servers ended goes to one server at a
   /// time, whichever entries ask: copies that end their servers at once would otherwise all go on to second ones.
-  bool grant_repeat(TimePoint now, requests::RequestFingerprint request);
+  bool grant_retry(TimePoint now, requests::RequestFingerprint request);
   /// Grants the trial of a blocked request that is due, once.
   bool grant_trial(TimePoint now, requests::RequestFingerprint request);
   bool tick(TimePoint now);
@@ -44,7 +44,7 @@
 
  private:
   enum class Phase { kWaiting, kTrialDue, kTrialRunning };
-  struct Blocked {
+  struct BlockState {
     int trials = 0;
     Phase phase = Phase::kWaiting;
     /// When the phase began.
@@ -53,16 +53,16 @@
     bool is_inherited = false;
   };
 
-  Blocked& block(TimePoint now, requests::RequestFingerprint request, int trials);
-  static Duration wait_of(const Blocked& blocked);
-  static void set_phase(TimePoint now, Blocked& blocked, Phase phase);
+  BlockState& block(TimePoint now, requests::RequestFingerprint request, int trials);
+  static Duration wait_time(const BlockState& blocked);
+  static void set_phase(TimePoint now, BlockState& blocked, Phase phase);
 
   ServerEnds ends_;
-  std::map<requests::RequestFingerprint, Blocked> blocked_;
+  std::map<requests::RequestFingerprint, BlockState> blocked_;
   /// Repeats of requests under which servers ended: when the last one was granted, until it is answered.
-  std::map<requests::RequestFingerprint, TimePoint> repeats_;
+  std::map<requests::RequestFingerprint, TimePoint> granted_retries_;
   /// Incarnations that likely ended, and when: what each report of a server is compared with.
-  std::map<std::string, TimePoint> likely_ended_;
+  std::map<std::string, TimePoint> likely_ended_at_;
 };
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/request_pacer.cc
+++ b/src/core/fleet/request_pacer.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// Turns are taken this late without loss: several reviews of waiting requests.
-constexpr Duration kLateTurn = milliseconds(20);
+constexpr Duration kMaxLateness = milliseconds(20);
 
 Duration interval(double per_second) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / per_second));
@@ -15,25 +15,25 @@
 
 }  // namespace
 
-TimePoint RequestPacer::next_turn(TimePoint now, double per_second) {
+TimePoint RequestPacer::next_allowed_at(TimePoint now, double per_second) {
   adopt_rate(now, per_second);
-  return std::max(now, next_);
+  return std::max(now, next_allowed_at_);
 }
 
-void RequestPacer::note(TimePoint now, double per_second) {
+void RequestPacer::note_request(TimePoint now, double per_second) {
   adopt_rate(now, per_second);
-  next_ = std::max(next_, now - kLateTurn) + interval(per_second);
+  next_allowed_at_ = std::max(next_allowed_at_, now - kMaxLateness) + interval(per_second);
 }
 
 void RequestPacer::adopt_rate(TimePoint now, double per_second) {
-  if (per_second == per_second_) {
+  if (per_second == rate_per_second_) {
     return;
   }
-  if (next_ > now && per_second_ > 0) {
-    const auto left = static_cast<double>((next_ - now).count()) * per_second_ / per_second;
-    next_ = now + Duration(static_cast<int64_t>(left));
+  if (next_allowed_at_ > now && rate_per_second_ > 0) {
+    const auto remaining_time = static_cast<double>((next_allowed_at_ - now).count()) * rate_per_second_ / per_second;
+    next_allowed_at_ = now + Duration(static_cast<int64_t>(remaining_time));
   }
-  per_second_ = per_second;
+  rate_per_second_ = per_second;
 }
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/request_pacer.h
+++ b/src/core/fleet/request_pacer.h
@@ -9,15 +9,15 @@
 class RequestPacer {
  public:
   /// When the next request may pass, not before `now`. The rate may change from call to call; it is above 0.
-  TimePoint next_turn(TimePoint now, double per_second);
+  TimePoint next_allowed_at(TimePoint now, double per_second);
   /// A request passes.
-  void note(TimePoint now, double per_second);
+  void note_request(TimePoint now, double per_second);
 
  private:
   void adopt_rate(TimePoint now, double per_second);
 
-  double per_second_ = 0;
-  TimePoint next_ = TimePoint::min();
+  double rate_per_second_ = 0;
+  TimePoint next_allowed_at_ = TimePoint::min();
 };
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/server_limits.h
+++ b/src/core/fleet/server_limits.h
@@ -27,15 +27,15 @@
   /// True when no newer observation of that incarnation is held.
   bool observe(const LimitObservation& observation);
   /// Something was observed of that incarnation, the end of a limit included.
-  bool knows(const std::string& incarnation) const { return newest_.contains(incarnation); }
+  bool has_observation(const std::string& incarnation) const { return newest_observations_.contains(incarnation); }
   std::optional<double> limit_of(const std::string& incarnation) const;
   /// What is held, ends of limits included while an older observation may still be under way elsewhere.
   std::vector<LimitObservation> observations(TimePoint now);
 
  private:
-  void forget_old(TimePoint now);
+  void drop_expired(TimePoint now);
 
-  std::map<std::string, LimitObservation> newest_;
+  std::map<std::string, LimitObservation> newest_observations_;
 };
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/server_notices.cc
+++ b/src/core/fleet/server_notices.cc
@@ -7,38 +7,39 @@
 namespace {
 
 /// A server that leaves has ended long before; the longest drains take minutes.
-constexpr Duration kLeavingMemory = std::chrono::hours(1);
+constexpr Duration kLeavingNoticeLifetime = std::chrono::hours(1);
 
 }  // namespace
 
-void ServerNotices::note_rest(TimePoint now, const std::string& incarnation, Duration rest) {
-  forget_old(now);
+void ServerNotices::note_retry_after(TimePoint now, const std::string& incarnation, Duration delay) {
+  drop_expired(now);
   Notice& notice = notices_[incarnation];
-  notice.rests_until = std::max(notice.rests_until, now + rest);
+  notice.backoff_until = std::max(notice.backoff_until, now + delay);
 }
 
 bool ServerNotices::note_leaving(TimePoint now, const std::string& incarnation) {
-  forget_old(now);
+  drop_expired(now);
   Notice& notice = notices_[incarnation];
-  const bool is_news = notice.left_at == TimePoint::min();
-  notice.left_at = now;
-  return is_news;
+  const bool is_first_notice = notice.leaving_since == TimePoint::min();
+  notice.leaving_since = now;
+  return is_first_notice;
 }
 
-TimePoint ServerNotices::free_at(TimePoint now, const std::string& incarnation) const {
+TimePoint ServerNotices::available_at(TimePoint now, const std::string& incarnation) const {
   const auto found = notices_.find(incarnation);
   if (found == notices_.end()) {
     return now;
   }
-  const bool leaves = found->second.left_at != TimePoint::min();
-  return leaves ? TimePoint::max() : std::max(now, found->second.rests_until);
+  const bool is_leaving = found->second.leaving_since != TimePoint::min();
+  return is_leaving ? TimePoint::max() : std::max(now, found->second.backoff_until);
 }
 
-void ServerNotices::forget_old(TimePoint now) {
+void ServerNotices::drop_expired(TimePoint now) {
   std::erase_if(notices_, [now](const auto& item) {
     const Notice& notice = item.second;
-    const bool has_left = notice.left_at != TimePoint::min() && now - notice.left_at < kLeavingMemory;
-    return !has_left && notice.rests_until <= now;
+    const bool has_recent_leaving_notice =
+        notice.leaving_since != TimePoint::min() && now - notice.leaving_since < kLeavingNoticeLifetime;
+    return !has_recent_leaving_notice && notice.backoff_until <= now;
   });
 }
 
--- a/src/core/fleet/server_notices.h
+++ b/src/core/fleet/server_notices.h
@@ -20,24 +20,24 @@
 class ServerNotices {
  public:
   /// The server turned a request away and wants nothing more for this long. The longest rest asked for holds.
-  void note_rest(TimePoint now, const std::string& incarnation, Duration rest);
+  void note_retry_after(TimePoint now, const std::string& incarnation, Duration delay);
   /// The server said that it leaves. True when that is news.
   bool note_leaving(TimePoint now, const std::string& incarnation);
 
   /// When the server may be sent to: `now` for one that asked for nothing, `TimePoint::max()` for one that leaves.
-  TimePoint free_at(TimePoint now, const std::string& incarnation) const;
-  bool may_send(TimePoint now, const std::string& incarnation) const { return free_at(now, incarnation) <= now; }
+  TimePoint available_at(TimePoint now, const std::string& incarnation) const;
+  bool may_send(TimePoint now, const std::string& incarnation) const { return available_at(now, incarnation) <= now; }
   /// Servers that rest or leave.
   size_t size() const { return notices_.size(); }
 
  private:
   struct Notice {
-    TimePoint rests_until = TimePoint::min();
+    TimePoint backoff_until = TimePoint::min();
     /// When the server last said that it leaves; `TimePoint::min()` for never.
-    TimePoint left_at = TimePoint::min();
+    TimePoint leaving_since = TimePoint::min();
   };
 
-  void forget_old(TimePoint now);
+  void drop_expired(TimePoint now);
 
   std::map<std::string, Notice> notices_;
 };
--- a/src/core/fleet/server_rates.h
+++ b/src/core/fleet/server_rate_limiter.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "core/base/time.h"
-#include "core/fleet/rate_window.h"
 #include "core/fleet/request_pacer.h"
+#include "core/fleet/sliding_window_limiter.h"
 #include "larchlever_types.h"
 
 namespace larchlever::document {
@@ -18,14 +18,14 @@
 
 /// One start of a server that takes only so many requests a second, from all entries together: since it is cold, just
 /// started or back after a while without work, or since it names a limit in its answers.
-struct RatedServer {
+struct RateLimitedServer {
   std::string incarnation;
   bool is_cold = false;
   std::optional<double> limit_per_second;
 };
 
 /// The lowest rate that binds the server, in requests a second; 0 for none.
-double rate_in_force(const document::ServiceSpec& service, const RatedServer& server);
+double effective_rate_limit(const document::ServiceSpec& service, const RateLimitedServer& server);
 
 /// The leader's count of the requests that rated servers get from all entries together.
 ///
@@ -33,26 +33,26 @@
 /// everything would go to it at once.
 /// Limits: counts are kept by incarnation, so that a head keeps its count when its group is formed anew. They are lost
 /// with the leadership: a new leader may grant one request more to each server. Single-threaded, deterministic.
-class ServerRates {
+class ServerRateLimiter {
  public:
   /// All rated servers; others take any number of requests.
-  void set_servers(const std::vector<RatedServer>& servers);
-  void clear() { counts_.clear(); }
+  void set_servers(const std::vector<RateLimitedServer>& servers);
+  void clear() { limiters_.clear(); }
   /// When the server has room for a request, not before `now`.
-  TimePoint next_turn(TimePoint now, const document::ServiceSpec& service, const std::string& incarnation);
+  TimePoint next_allowed_at(TimePoint now, const document::ServiceSpec& service, const std::string& incarnation);
   /// A request goes there.
-  void note(TimePoint now, const document::ServiceSpec& service, const std::string& incarnation);
+  void note_request(TimePoint now, const document::ServiceSpec& service, const std::string& incarnation);
   /// The limit that the server names; nothing for one that names none.
   std::optional<double> limit_of(const std::string& incarnation) const;
 
  private:
-  struct Count {
-    RatedServer server;
-    RateWindow while_cold;
-    RequestPacer within_limit;
+  struct ServerLimiters {
+    RateLimitedServer server;
+    SlidingWindowLimiter cold_window;
+    RequestPacer limit_pacer;
   };
 
-  std::map<std::string, Count> counts_;
+  std::map<std::string, ServerLimiters> limiters_;
 };
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/target_health.cc
+++ b/src/core/fleet/target_health.cc
@@ -7,47 +7,47 @@
 namespace {
 
 /// What others saw is known this much later.
-constexpr Duration kNewsDelay = milliseconds(250);
+constexpr Duration kReportDelay = milliseconds(250);
 /// Events of several streams that arrive within this time come of one pass.
-constexpr Duration kSamePass = milliseconds(5);
+constexpr Duration kSamePassWindow = milliseconds(5);
 /// Streams are overdue after a pause this many deviations above the mean one. Never sooner than the floor, which covers
 /// a resent packet of a nearby server.
 constexpr int kOverdueDeviations = 4;
-constexpr Duration kOverdueFloor = milliseconds(80);
+constexpr Duration kMinOverduePause = milliseconds(80);
 
 }  // namespace
 
-void TargetHealth::begin(TimePoint now, const SendingMark& mark) {
+void TargetHealth::begin_attempt(TimePoint now, const AttemptState& attempt) {
   if (in_flight_++ == 0) {
     busy_since_ = now;
   }
-  waiting_tokens_ += mark.prompt_tokens;
+  waiting_tokens_ += attempt.prompt_tokens;
   --permits_;
 }
 
-void TargetHealth::note_first_event(TimePoint now, SendingMark& mark) {
-  if (mark.is_streaming) {
+void TargetHealth::note_first_event(TimePoint now, AttemptState& attempt) {
+  if (attempt.is_streaming) {
     return;
   }
-  mark.is_streaming = true;
-  waiting_tokens_ -= mark.prompt_tokens;
+  attempt.is_streaming = true;
+  waiting_tokens_ -= attempt.prompt_tokens;
   if (streaming_++ == 0) {
     streaming_since_ = now;
   }
 }
 
-void TargetHealth::restart_watch(TimePoint now) {
+void TargetHealth::restart_silence_timers(TimePoint now) {
   busy_since_ = now;
   streaming_since_ = now;
 }
 
-void TargetHealth::end(const SendingMark& mark) {
+void TargetHealth::end_attempt(const AttemptState& attempt) {
   in_flight_ = std::max(0, in_flight_ - 1);
   ++permits_;
-  if (mark.is_streaming) {
+  if (attempt.is_streaming) {
     streaming_ = std::max(0, streaming_ - 1);
   } else {
-    waiting_tokens_ -= mark.prompt_tokens;
+    waiting_tokens_ -= attempt.prompt_tokens;
   }
   if (in_flight_ == 0) {
     waiting_tokens_ = 0;  // Rounding must not add up.
@@ -55,10 +55,10 @@
 }
 
 void TargetHealth::note_progress(TimePoint now) {
-  const TimePoint before = std::max(streaming_since_, last_progress_);
+  const TimePoint previous = std::max(streaming_since_, last_progress_);
   last_progress_ = now;
-  if (streaming_ > 0 && now - before > kSamePass) {
-    pauses_.note(now - before);
+  if (streaming_ > 0 && now - previous > kSamePassWindow) {
+    pauses_.note(now - previous);
   }
 }
 
@@ -70,15 +70,15 @@
   if (streaming_ > 0) {
     return now - std::max(streaming_since_, last_progress_) > longest_pause;
   }
-  const bool others_stream = others_.streaming > 0 && others_.last_progress != TimePoint::min();
-  return others_stream && now - std::max(others_.last_progress, last_progress_) > longest_pause + kNewsDelay;
+  const bool others_stream = other_entries_.streaming > 0 && other_entries_.last_progress != TimePoint::min();
+  return others_stream && now - std::max(other_entries_.last_progress, last_progress_) > longest_pause + kReportDelay;
 }
 
 bool TargetHealth::is_overdue(TimePoint now, Duration longest_pause) const {
   if (streaming_ == 0) {
     return false;
   }
-  const Duration usual = std::max<Duration>(pauses_.upper(kOverdueDeviations), kOverdueFloor);
+  const Duration usual = std::max<Duration>(pauses_.upper(kOverdueDeviations), kMinOverduePause);
   const Duration allowed = pauses_.is_measured() ? std::min(usual, longest_pause) : longest_pause;
   return now - std::max(streaming_since_, last_progress_) > allowed;
 }
--- a/src/core/fleet/target_health.h
+++ b/src/core/fleet/target_health.h
@@ -8,17 +8,17 @@
 namespace larchlever::fleet {
 
 /// One sending of a request, from when it leaves to its end.
-struct SendingMark {
+struct AttemptState {
   double prompt_tokens = 0;
   /// Its first event arrived.
   bool is_streaming = false;
 };
 
 /// Stands for the age of progress that nobody saw of late.
-constexpr int32_t kNoProgressAge = -1;
+constexpr int32_t kUnknownProgressAge = -1;
 
 /// What other entries have under way at a target, as the leader last told.
-struct OthersLoad {
+struct OtherEntriesLoad {
   int in_flight = 0;
   int streaming = 0;
   double waiting_tokens = 0;
@@ -30,24 +30,24 @@
 /// Single-threaded, deterministic.
 class TargetHealth {
  public:
-  void begin(TimePoint now, const SendingMark& mark);
-  void note_first_event(TimePoint now, SendingMark& mark);
+  void begin_attempt(TimePoint now, const AttemptState& attempt);
+  void note_first_event(TimePoint now, AttemptState& attempt);
   void note_progress(TimePoint now);
-  void end(const SendingMark& mark);
-  void set_others(const OthersLoad& others) { others_ = others; }
+  void end_attempt(const AttemptState& attempt);
+  void set_other_entries_load(const OtherEntriesLoad& others) { other_entries_ = others; }
   /// How many more requests this entry may send there until its part of the free places is drawn anew.
   void set_permits(int permits) { permits_ = permits; }
   bool has_permit() const { return permits_ > 0; }
   /// Silence counts from now on: until now this entry itself did not look.
-  void restart_watch(TimePoint now);
+  void restart_silence_timers(TimePoint now);
   void avoid_until(TimePoint until) { avoid_until_ = until; }
 
   int in_flight() const { return in_flight_; }
   int streaming() const { return streaming_; }
   double waiting_tokens() const { return waiting_tokens_; }
-  int total_in_flight() const { return in_flight_ + others_.in_flight; }
+  int total_in_flight() const { return in_flight_ + other_entries_.in_flight; }
   /// Prompt tokens, over all entries, of requests that wait for their first event.
-  double total_waiting_tokens() const { return waiting_tokens_ + others_.waiting_tokens; }
+  double total_waiting_tokens() const { return waiting_tokens_ + other_entries_.waiting_tokens; }
   TimePoint last_progress() const { return last_progress_; }
   bool is_avoided(TimePoint now) const { return now < avoid_until_; }
   bool progressed_within(TimePoint now, Duration age) const;
@@ -71,7 +71,7 @@
   /// Times between two signs of progress while streams went on.
   requests::LatencyEstimate pauses_;
   TimePoint avoid_until_ = TimePoint::min();
-  OthersLoad others_;
+  OtherEntriesLoad other_entries_;
 };
 
 }  // namespace larchlever::fleet
--- /dev/null
+++ b/src/core/fleet/weight_load_limiter.cc
@@ -0,0 +1,44 @@
+#include "core/fleet/weight_load_limiter.h"
+
+#include <algorithm>
+
+namespace larchlever::fleet {
+
+namespace {
+
+/// Loads ordered by the previous leader count in the same window; this long none is added to them.
+constexpr Duration kTakeoverLoadDelay = seconds(3);
+
+}  // namespace
+
+void WeightLoadLimiter::start(TimePoint now, bool had_predecessor) {
+  load_starts_.clear();
+  no_loads_before_ = had_predecessor ? now + kTakeoverLoadDelay : now;
+}
+
+bool WeightLoadLimiter::may_begin_loads(TimePoint now, const document::EngineSpec& engine, size_t new_loads,
+                                        size_t loads_in_progress, size_t loaded_servers) {
+  if (new_loads == 0) {
+    return true;
+  }
+  if (now < no_loads_before_) {
+    return false;
+  }
+  const auto max_concurrent = static_cast<size_t>(engine.loads_at_once);
+  if (!traffic_seen_) {
+    // The more of the fleet is loaded, the more are begun at once: the store's throughput stays the same, and fewer
+    // are left for when they are dear.
+    return loads_in_progress < max_concurrent + loaded_servers;
+  }
+  if (loads_in_progress >= max_concurrent) {
+    return false;
+  }
+  while (!load_starts_.empty() && now - load_starts_.front() > window_) {
+    load_starts_.pop_front();
+  }
+  const double window_seconds = std::chrono::duration<double>(window_).count();
+  const auto max_in_window = static_cast<size_t>(std::max(1.0, engine.loads_per_second * window_seconds));
+  return load_starts_.size() + new_loads <= std::max(max_in_window, new_loads);
+}
+
+}  // namespace larchlever::fleet
--- a/src/core/fleet/load_limiter.h
+++ b/src/core/fleet/weight_load_limiter.h
@@ -11,25 +11,26 @@
 /// Keeps loads from the weight store within its limits: so many at once, so many begun in a window.
 ///
 /// Before the first request loads are cheap and only the store's throughput counts. Single-threaded, deterministic.
-class LoadLimiter {
+class WeightLoadLimiter {
  public:
-  explicit LoadLimiter(Duration window) : window_(window) {}
+  explicit WeightLoadLimiter(Duration window) : window_(window) {}
 
   /// A leadership begins. Loads of a predecessor may have begun just before.
   void start(TimePoint now, bool had_predecessor);
   /// The first request was seen: loads are dear from now on.
-  void note_traffic() { traffic_seen_ = true; }
+  void note_first_request() { traffic_seen_ = true; }
   bool traffic_seen() const { return traffic_seen_; }
-  /// Whether `loads` may begin now, while `under_way` go on and `finished` servers hold weights already.
-  bool may_begin(TimePoint now, const document::EngineSpec& engine, size_t loads, size_t under_way, size_t finished);
-  void note_begun(TimePoint now, size_t loads) { starts_.insert(starts_.end(), loads, now); }
+  /// Whether `loads` may begin now, while `loads_in_progress` go on and `finished` servers hold weights already.
+  bool may_begin_loads(TimePoint now, const document::EngineSpec& engine, size_t new_loads, size_t loads_in_progress,
+                       size_t loaded_servers);
+  void note_loads_begun(TimePoint now, size_t new_loads) { load_starts_.insert(load_starts_.end(), new_loads, now); }
 
  private:
   Duration window_;
   bool traffic_seen_ = false;
   /// The predecessor's last loads have left the window by then.
-  TimePoint predecessor_until_{};
-  std::deque<TimePoint> starts_;
+  TimePoint no_loads_before_{};
+  std::deque<TimePoint> load_starts_;
 };
 
 }  // namespace larchlever::fleet
--- a/src/node/block_gate.cc
+++ b/src/node/block_gate.cc
@@ -72,8 +72,8 @@
   if (!co_await may_repeat(request)) {
     co_return false;
   }
-  const Verdict verdict = state_.blocked.judge(monotonic_now(), request.fingerprint);
-  if (verdict == Verdict::kFree) {
+  const Verdict verdict = state_.blocked.verdict_for(monotonic_now(), request.fingerprint);
+  if (verdict == Verdict::kAllowed) {
     co_return true;
   }
   if (request.sent > 0) {
@@ -91,7 +91,7 @@
 
 Refusal BlockGate::refuse(const RelayedRequest& request) {
   ++state_.counters.blocked;
-  const Duration left = state_.blocked.time_left(monotonic_now(), request.fingerprint);
+  const Duration left = state_.blocked.remaining_block_time(monotonic_now(), request.fingerprint);
   return {http_status::kServiceUnavailable, "servers ended while they ran this request; it is held back from others",
           std::max(left, kShortestReturn)};
 }
@@ -100,14 +100,14 @@
   state_.blocked.note_answered(monotonic_now(), request.fingerprint);
 }
 
-void BlockGate::answer_lost(RelayedRequest& request, const fleet::Target& target) {
+void BlockGate::answer_lost(RelayedRequest& request, const fleet::DispatchTarget& target) {
   request.answer_lost_at = target.incarnation;
   if (lost_.note_loss(monotonic_now(), target.incarnation, request.fingerprint)) {
     asio::co_spawn(executor_, watch(target), asio::detached);
   }
 }
 
-asio::awaitable<void> BlockGate::watch(fleet::Target target) {
+asio::awaitable<void> BlockGate::watch(fleet::DispatchTarget target) {
   const std::weak_ptr<bool> alive = alive_;
   asio::steady_timer timer(executor_);
   while (const auto next = lost_.next_look(target.incarnation)) {
@@ -122,7 +122,7 @@
     }
     const TimePoint now = monotonic_now();
     if (const auto ended = lost_.note_look(now, target.incarnation, look_of(state))) {
-      state_.dispatcher.avoid(now, target.key);
+      state_.dispatcher.avoid_target(now, target.key);
       note_ended(target.incarnation, *ended);
     }
   }
@@ -139,7 +139,7 @@
 
 void BlockGate::note_ended(const std::string& incarnation, const fleet::EndedServer& ended) {
   for (const auto fingerprint : ended.requests) {
-    const size_t ends = state_.blocked.note_end({fingerprint, incarnation, ended.at, ended.certainty});
+    const size_t ends = state_.blocked.note_server_end({fingerprint, incarnation, ended.at, ended.certainty});
     log_event("", "server_ended_under_request",
               {{"fingerprint", to_string(fingerprint)},
                {"instance", incarnation},
--- a/src/node/block_gate.h
+++ b/src/node/block_gate.h
@@ -26,11 +26,11 @@
   /// What the caller of a request that may not be sent is told.
   Refusal refuse(const RelayedRequest& request);
   /// The answer of the request was lost at the target after it was sent there.
-  void answer_lost(RelayedRequest& request, const fleet::Target& target);
+  void answer_lost(RelayedRequest& request, const fleet::DispatchTarget& target);
   /// A server ran the request and answered whole.
   void answered(const RelayedRequest& request);
   /// The target made progress with a request.
-  void progressed(TimePoint now, const fleet::Target& target) { lost_.note_progress(now, target.incarnation); }
+  void progressed(TimePoint now, const fleet::DispatchTarget& target) { lost_.note_progress(now, target.incarnation); }
   /// The incarnation has started again as another one.
   void started_again(const std::string& incarnation);
 
@@ -38,7 +38,7 @@
   /// Whether a request whose last answer was lost may go to another server.
   boost::asio::awaitable<bool> may_repeat(RelayedRequest& request);
   /// Looks at the target until it is known whether it ended.
-  boost::asio::awaitable<void> watch(fleet::Target target);
+  boost::asio::awaitable<void> watch(fleet::DispatchTarget target);
   void note_ended(const std::string& incarnation, const fleet::EndedServer& ended);
 
   boost::asio::any_io_executor executor_;
--- a/src/node/entry_process.cc
+++ b/src/node/entry_process.cc
@@ -231,7 +231,7 @@
     if (now - last_tick > kOwnPause) {
       // Answers that arrived meanwhile wait in the sockets. Judged before they are read, healthy groups would count as
       // stalled and their whole answers would be cut.
-      state_.dispatcher.note_own_pause(now);
+      state_.dispatcher.restart_silence_timers(now);
       relay_.sendings().abandon_overdue(now);
       log_problem(settings_.name, "stood_still", {{"for_ms", std::to_string((now - last_tick) / milliseconds(1))}});
     }
--- a/src/node/relayed_request.h
+++ b/src/node/relayed_request.h
@@ -46,7 +46,7 @@
   bool is_trial = false;
   /// The sending under way, and the load that it puts on its target.
   std::shared_ptr<net::Cancellation> cancellation;
-  fleet::SendingMark mark;
+  fleet::AttemptState mark;
   /// The leader granted the sending a slot of its target.
   bool has_slot = false;
   TimePoint sent_at{};
--- a/src/node/request_relay.cc
+++ b/src/node/request_relay.cc
@@ -139,9 +139,9 @@
   request.prompt_tokens = static_cast<double>(prompt.value_or(0));
   if (prompt && (hint || most_out)) {
     const engine::RequestSizes sizes{static_cast<double>(*prompt), static_cast<double>(hint ? *hint : *most_out)};
-    state_.dispatcher.note_gap(request.service->name, request.model, request.route->target_gap);
-    state_.dispatcher.note_demand(request.service->name, {request.model, request.route->target_latency, sizes.prompt},
-                                  sizes);
+    state_.dispatcher.record_gap_objective(request.service->name, request.model, request.route->target_gap);
+    state_.dispatcher.record_demand(request.service->name, {request.model, request.route->target_latency, sizes.prompt},
+                                    sizes);
   }
 }
 
@@ -167,7 +167,7 @@
       co_return;
     }
     const FoundTarget found = co_await targets_.find(request);
-    const auto* target = std::get_if<fleet::Target>(&found);
+    const auto* target = std::get_if<fleet::DispatchTarget>(&found);
     if (target == nullptr) {
       co_await end_without_target(request, found);
       co_return;
@@ -206,7 +206,7 @@
 bool RequestRelay::may_send_again(RelayedRequest& request, TimePoint now) {
   // A sending that never left used none of the budget, which counts arrivals at servers.
   return now < request.due && request.sent < kMostSendings && !request.caller_gone &&
-         (request.sent == 0 || state_.dispatcher.take_retry(now, request.service->name));
+         (request.sent == 0 || state_.dispatcher.try_take_retry(now, request.service->name));
 }
 
 asio::awaitable<void> RequestRelay::end_without_target(RelayedRequest& request, const FoundTarget& found) {
@@ -227,7 +227,8 @@
   co_await ends_.give_up(request);
 }
 
-asio::awaitable<RequestRelay::Sending> RequestRelay::send(RelayedRequest& request, const fleet::Target& target) {
+asio::awaitable<RequestRelay::Sending> RequestRelay::send(RelayedRequest& request,
+                                                          const fleet::DispatchTarget& target) {
   auto cancellation = std::make_shared<net::Cancellation>();
   request.cancellation = cancellation;
   request.last_target = target.key;
@@ -235,13 +236,13 @@
   request.load_at_choice = target.in_flight;
   request.sent_at = monotonic_now();
   request.mark = {target.group.empty() ? 0 : request.prompt_tokens, false};
-  state_.dispatcher.begin(request.sent_at, target, request.mark);
+  state_.dispatcher.begin_attempt(request.sent_at, target, request.mark);
   if (!request.has_slot) {
     note_load(target);  // The leader counts a slot that it granted.
   }
   sendings_.begin(request, target);
   const ScopeExit finish([this, &request, &target] {
-    state_.dispatcher.end(target, request.mark);
+    state_.dispatcher.end_attempt(target, request.mark);
     note_load(target);
     sendings_.end(request, target);
     request.cancellation.reset();
@@ -249,7 +250,7 @@
   co_return co_await send_once(request, target);
 }
 
-net::HttpRequest RequestRelay::upstream_request(const RelayedRequest& request, const fleet::Target& target,
+net::HttpRequest RequestRelay::upstream_request(const RelayedRequest& request, const fleet::DispatchTarget& target,
                                                 TimePoint now) const {
   const auto& incoming = request.exchange->request();
   net::HttpRequest outgoing;
@@ -287,7 +288,8 @@
   return head.status == http_status::kMisdirectedRequest || head.headers.contains(dialect_.not_run);
 }
 
-asio::awaitable<RequestRelay::Sending> RequestRelay::send_once(RelayedRequest& request, const fleet::Target& target) {
+asio::awaitable<RequestRelay::Sending> RequestRelay::send_once(RelayedRequest& request,
+                                                               const fleet::DispatchTarget& target) {
   const TimePoint now = monotonic_now();
   const auto outgoing = upstream_request(request, target, now);
   net::OpenOptions options;
@@ -351,7 +353,8 @@
 
 // ------------------------------------------------------------------- relay
 
-asio::awaitable<RequestRelay::Sending> RequestRelay::relay_whole(RelayedRequest& request, const fleet::Target& target,
+asio::awaitable<RequestRelay::Sending> RequestRelay::relay_whole(RelayedRequest& request,
+                                                                 const fleet::DispatchTarget& target,
                                                                  net::ClientStream& stream) {
   net::HttpResponse response = stream.head();
   // Only a success that carries its server's signature, and whose end can be told from a cut, is final before its end.
@@ -413,7 +416,7 @@
 }
 
 asio::awaitable<RequestRelay::Sending> RequestRelay::relay_by_pieces(RelayedRequest& request,
-                                                                     const fleet::Target& target,
+                                                                     const fleet::DispatchTarget& target,
                                                                      net::ClientStream& stream, std::string begun) {
   request.head_sent = true;
   request.first_event = monotonic_now();
@@ -446,18 +449,18 @@
   co_return Sending::kAnswered;
 }
 
-void RequestRelay::note_load(const fleet::Target& target) {
+void RequestRelay::note_load(const fleet::DispatchTarget& target) {
   if (!target.group.empty()) {
     slots_.note_change();
   }
 }
 
-void RequestRelay::note_progress(const fleet::Target& target, TimePoint now) {
+void RequestRelay::note_progress(const fleet::DispatchTarget& target, TimePoint now) {
   state_.dispatcher.note_progress(now, target);
   blocks_.progressed(now, target);
 }
 
-void RequestRelay::note_piece(RelayedRequest& request, const fleet::Target& target, TimePoint now) {
+void RequestRelay::note_piece(RelayedRequest& request, const fleet::DispatchTarget& target, TimePoint now) {
   note_progress(target, now);
   if (!request.mark.is_streaming) {
     state_.dispatcher.note_first_event(now, target, request.mark);
@@ -471,7 +474,8 @@
   request.last_piece = now;
 }
 
-asio::awaitable<RequestRelay::Sending> RequestRelay::relay_events(RelayedRequest& request, const fleet::Target& target,
+asio::awaitable<RequestRelay::Sending> RequestRelay::relay_events(RelayedRequest& request,
+                                                                  const fleet::DispatchTarget& target,
                                                                   net::ClientStream& stream) {
   request.events.restart();
   while (true) {
--- a/src/node/request_relay.h
+++ b/src/node/request_relay.h
@@ -52,26 +52,27 @@
   std::optional<Refusal> authorise(RelayedRequest& request, std::string_view key);
   /// Takes the request's own statement of its size, for the forecasts of load and the shares of models.
   void note_demand(RelayedRequest& request);
-  void note_load(const fleet::Target& target);
+  void note_load(const fleet::DispatchTarget& target);
   /// The target answered or brought a part of an answer.
-  void note_progress(const fleet::Target& target, TimePoint now);
+  void note_progress(const fleet::DispatchTarget& target, TimePoint now);
   /// Bytes of a stream arrived.
-  void note_piece(RelayedRequest& request, const fleet::Target& target, TimePoint now);
+  void note_piece(RelayedRequest& request, const fleet::DispatchTarget& target, TimePoint now);
   boost::asio::awaitable<void> relay(RelayedRequest& request);
   /// Ends the request: no target was found for it.
   boost::asio::awaitable<void> end_without_target(RelayedRequest& request, const FoundTarget& found);
   /// Ends a request that was turned away and may not be sent once more.
   boost::asio::awaitable<void> end_without_another_sending(RelayedRequest& request);
-  boost::asio::awaitable<Sending> send(RelayedRequest& request, const fleet::Target& target);
-  boost::asio::awaitable<Sending> send_once(RelayedRequest& request, const fleet::Target& target);
-  boost::asio::awaitable<Sending> relay_whole(RelayedRequest& request, const fleet::Target& target,
+  boost::asio::awaitable<Sending> send(RelayedRequest& request, const fleet::DispatchTarget& target);
+  boost::asio::awaitable<Sending> send_once(RelayedRequest& request, const fleet::DispatchTarget& target);
+  boost::asio::awaitable<Sending> relay_whole(RelayedRequest& request, const fleet::DispatchTarget& target,
                                               net::ClientStream& stream);
   /// Passes on a successful answer as it comes, after what was read of it: as fast as its caller reads.
-  boost::asio::awaitable<Sending> relay_by_pieces(RelayedRequest& request, const fleet::Target& target,
+  boost::asio::awaitable<Sending> relay_by_pieces(RelayedRequest& request, const fleet::DispatchTarget& target,
                                                   net::ClientStream& stream, std::string begun);
-  boost::asio::awaitable<Sending> relay_events(RelayedRequest& request, const fleet::Target& target,
+  boost::asio::awaitable<Sending> relay_events(RelayedRequest& request, const fleet::DispatchTarget& target,
                                                net::ClientStream& stream);
-  net::HttpRequest upstream_request(const RelayedRequest& request, const fleet::Target& target, TimePoint now) const;
+  net::HttpRequest upstream_request(const RelayedRequest& request, const fleet::DispatchTarget& target,
+                                    TimePoint now) const;
   bool is_not_run(const net::HttpResponse& head) const;
   bool may_send_again(RelayedRequest& request, TimePoint now);
   std::chrono::milliseconds patience(const RelayedRequest& request, TimePoint now) const;
--- a/src/node/sendings_under_way.cc
+++ b/src/node/sendings_under_way.cc
@@ -12,11 +12,11 @@
 
 }  // namespace
 
-void SendingsUnderWay::begin(const RelayedRequest& request, const fleet::Target& target) {
+void SendingsUnderWay::begin(const RelayedRequest& request, const fleet::DispatchTarget& target) {
   by_target_[target.key][request.cancellation] = request.due;
 }
 
-void SendingsUnderWay::end(const RelayedRequest& request, const fleet::Target& target) {
+void SendingsUnderWay::end(const RelayedRequest& request, const fleet::DispatchTarget& target) {
   auto& sendings = by_target_[target.key];
   sendings.erase(request.cancellation);
   if (sendings.empty()) {
@@ -29,7 +29,7 @@
   return found == by_target_.end() ? Sendings() : found->second;
 }
 
-void SendingsUnderWay::note_failure(const fleet::Target& target, TimePoint now) {
+void SendingsUnderWay::note_failure(const fleet::DispatchTarget& target, TimePoint now) {
   if (!state_.dispatcher.note_failure(now, target)) {
     return;
   }
@@ -39,8 +39,8 @@
   }
 }
 
-void SendingsUnderWay::cancel_all_at(const fleet::Target& target, TimePoint now) {
-  int left = state_.dispatcher.retries_left(now, target.service);
+void SendingsUnderWay::cancel_all_at(const fleet::DispatchTarget& target, TimePoint now) {
+  int left = state_.dispatcher.remaining_retries(now, target.service);
   for (const auto& [cancellation, due] : sendings_at(target.key)) {
     if (left-- <= 0) {
       return;
@@ -53,7 +53,7 @@
   for (const auto& target : state_.dispatcher.stalled_groups(now, kGroupStall, kGroupStallEach)) {
     ++state_.counters.stalls;
     log_event("", "group_stalled", {{"group", target.group}, {"requests", std::to_string(target.in_flight)}});
-    state_.dispatcher.avoid(now, target.key);
+    state_.dispatcher.avoid_target(now, target.key);
     cancel_all_at(target, now);
   }
 }
@@ -65,7 +65,7 @@
   }
   ++state_.counters.stalls;
   log_event("", "group_failed", {{"group", group}, {"requests", std::to_string(sendings_at(target->key).size())}});
-  state_.dispatcher.avoid(now, target->key);
+  state_.dispatcher.avoid_target(now, target->key);
   cancel_all_at(*target, now);
 }
 
--- a/src/node/sendings_under_way.h
+++ b/src/node/sendings_under_way.h
@@ -16,10 +16,10 @@
   explicit SendingsUnderWay(EntryState& state) : state_(state) {}
 
   /// Brackets one sending, which `request.cancellation` ends.
-  void begin(const RelayedRequest& request, const fleet::Target& target);
-  void end(const RelayedRequest& request, const fleet::Target& target);
+  void begin(const RelayedRequest& request, const fleet::DispatchTarget& target);
+  void end(const RelayedRequest& request, const fleet::DispatchTarget& target);
   /// A sending to the target failed. Where that shows that the target is dead, nothing else there will come back.
-  void note_failure(const fleet::Target& target, TimePoint now);
+  void note_failure(const fleet::DispatchTarget& target, TimePoint now);
   /// Gives up what waits at groups that stand still. To be called every few ticks.
   void abandon_stalled(TimePoint now);
   /// The leader found that the group stands still.
@@ -35,7 +35,7 @@
   using Sendings = std::map<std::shared_ptr<net::Cancellation>, TimePoint>;
 
   /// Cancels what waits at a dead target, as far as the retry budget lets it be sent elsewhere; the rest waits on.
-  void cancel_all_at(const fleet::Target& target, TimePoint now);
+  void cancel_all_at(const fleet::DispatchTarget& target, TimePoint now);
   Sendings sendings_at(const std::string& target_key) const;
 
   EntryState& state_;
--- a/src/node/server_notices.cc
+++ b/src/node/server_notices.cc
@@ -12,9 +12,9 @@
 
 constexpr std::string_view kLeaves = "1";
 
-void note_rest(EntryState& state, const fleet::Target& target, std::string_view value) {
+void note_rest(EntryState& state, const fleet::DispatchTarget& target, std::string_view value) {
   const auto asked = requests::parse_retry_after(value);
-  state.dispatcher.note_rest(monotonic_now(), target, asked.rest);
+  state.dispatcher.note_retry_after(monotonic_now(), target, asked.rest);
   log_event("", "server_asked_for_rest",
             {{"instance", target.incarnation},
              {"rest_ms", std::to_string(asked.rest / milliseconds(1))},
@@ -22,7 +22,7 @@
              {"is_exact", asked.reading == requests::RetryAfterReading::kExact ? "yes" : "no"}});
 }
 
-void note_leaving(EntryState& state, const fleet::Target& target, std::string_view value) {
+void note_leaving(EntryState& state, const fleet::DispatchTarget& target, std::string_view value) {
   if (value != kLeaves) {
     log_problem("", "leaving_not_understood",
                 {{"instance", target.incarnation},
--- a/src/node/server_notices.h
+++ b/src/node/server_notices.h
@@ -11,7 +11,7 @@
 
 /// An answer's head, the server that it was asked of and when the request was sent.
 struct ServerAnswer {
-  const fleet::Target& target;
+  const fleet::DispatchTarget& target;
   TimePoint sent_at;
   const net::HttpResponse& head;
 };
--- a/src/node/slot_requester.cc
+++ b/src/node/slot_requester.cc
@@ -158,12 +158,12 @@
 }
 
 void SlotRequester::tick(TimePoint now) {
-  auto failures = state_.dispatcher.failures(now);
+  auto failures = state_.dispatcher.group_failures(now);
   const bool has_new_failure = std::any_of(failures.begin(), failures.end(), [this](const auto& failure) {
     return std::find(reported_failures_.begin(), reported_failures_.end(), failure) == reported_failures_.end();
   });
   const std::string& leader = state_.subscription.leader();
-  if (!leader.empty() && (state_.blocked.has_news() || state_.dispatcher.has_limit_news())) {
+  if (!leader.empty() && (state_.blocked.has_unreported() || state_.dispatcher.has_unreported_limits())) {
     note_change();
   }
   if (!leader.empty() && (now >= next_complete_ || has_new_failure || leader != reported_to_)) {
@@ -182,8 +182,8 @@
   report.traffic_seen = state_.traffic_seen;
   report.quiet_groups = reported_quiet_;
   if (!state_.subscription.leader().empty()) {
-    report.server_ends = state_.blocked.take_ends(monotonic_now());
-    report.answered_requests = state_.blocked.take_answered();
+    report.server_ends = state_.blocked.take_unreported_ends(monotonic_now());
+    report.answered_requests = state_.blocked.take_answered_requests();
     report.server_limits = limit_reports(monotonic_now(), state_.dispatcher.take_changed_limits(monotonic_now()));
   }
   return report;
@@ -191,7 +191,7 @@
 
 void SlotRequester::report(std::vector<wire::SlotRequest> requests) {
   auto report = current_report(std::move(requests));
-  report.loads = state_.dispatcher.take_changed_loads(monotonic_now());
+  report.loads = state_.dispatcher.take_changed_group_loads(monotonic_now());
   send(std::move(report));
 }
 
@@ -201,10 +201,10 @@
   reported_to_ = state_.subscription.leader();
   reported_failures_ = failures;
   auto report = current_report({});
-  state_.dispatcher.take_changed_loads(now);
-  report.loads = state_.dispatcher.loads(now);
+  state_.dispatcher.take_changed_group_loads(now);
+  report.loads = state_.dispatcher.group_loads(now);
   report.is_complete = true;
-  report.server_limits = limit_reports(now, state_.dispatcher.take_limits(now));
+  report.server_limits = limit_reports(now, state_.dispatcher.take_all_limits(now));
   report.demand = state_.dispatcher.demand_totals();
   report.failures = std::move(failures);
   if (is_new_leader) {
--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -69,7 +69,7 @@
 std::optional<Refusal> TargetFinder::refusal_while_all_rest(const RelayedRequest& request, TimePoint until) const {
   const TimePoint now = monotonic_now();
   const auto& service = *request.service;
-  const auto first = state_.dispatcher.all_rest_until(now, service.name, service.engine ? request.model : "");
+  const auto first = state_.dispatcher.all_backing_off_until(now, service.name, service.engine ? request.model : "");
   if (!first || *first <= until) {
     return std::nullopt;
   }
@@ -100,7 +100,7 @@
   if (request.allowed_zones) {
     question.__set_allowed_zones({request.allowed_zones->begin(), request.allowed_zones->end()});
   }
-  question.excluded_groups = state_.dispatcher.doubtful_groups(now, request.service->name, request.model);
+  question.excluded_groups = state_.dispatcher.groups_to_avoid(now, request.service->name, request.model);
   question.excluded_groups.insert(question.excluded_groups.end(), request.excluded.begin(), request.excluded.end());
   return question;
 }
@@ -132,12 +132,12 @@
 }
 
 asio::awaitable<std::optional<FoundTarget>> TargetFinder::ask_for_turn(RelayedRequest& request,
-                                                                       const fleet::Choice& choice,
+                                                                       const fleet::DispatchDecision& choice,
                                                                        TimePoint wait_until) {
   const TimePoint now = monotonic_now();
   auto question = question_for(request, now, choice.target ? now : wait_until);
   std::vector<std::string> incarnations;
-  for (const auto& target : choice.rated) {
+  for (const auto& target : choice.rated_targets) {
     incarnations.push_back(target.incarnation);
   }
   question.__set_rated_servers(incarnations);
@@ -146,7 +146,7 @@
     co_return FoundTarget(CallerGone());
   }
   if (grant.verdict == wire::SlotVerdict::GRANTED) {
-    for (const auto& target : choice.rated) {
+    for (const auto& target : choice.rated_targets) {
       if (target.incarnation == grant.server && state_.dispatcher.may_send(monotonic_now(), target)) {
         co_return FoundTarget(target);
       }
@@ -157,51 +157,54 @@
     co_return FoundTarget(refusal_of(grant));
   }
   if (grant.verdict == wire::SlotVerdict::BUSY) {
-    for (const auto& target : choice.rated) {
-      state_.dispatcher.note_no_turn(monotonic_now() + kNoTurnPause, target);
+    for (const auto& target : choice.rated_targets) {
+      state_.dispatcher.note_rate_limited_until(monotonic_now() + kNoTurnPause, target);
     }
   }
   co_return std::nullopt;
 }
 
-std::optional<Refusal> TargetFinder::refusal_without_target(const RelayedRequest& request, const fleet::Choice& choice,
-                                                            TimePoint now, TimePoint wait_until) const {
-  if (choice.next_turn && *choice.next_turn > wait_until) {
+std::optional<Refusal> TargetFinder::refusal_without_target(const RelayedRequest& request,
+                                                            const fleet::DispatchDecision& choice, TimePoint now,
+                                                            TimePoint wait_until) const {
+  if (choice.next_allowed_at && *choice.next_allowed_at > wait_until) {
     return Refusal{http_status::kServiceUnavailable, "this node's part of the servers' limits is used up",
-                   std::min(*choice.next_turn - now, kBackWhenLed)};
+                   std::min(*choice.next_allowed_at - now, kBackWhenLed)};
   }
   if (auto refusal = refusal_while_all_rest(request, wait_until)) {
     return refusal;
   }
   const std::string& model = request.service->engine ? request.model : kNoModel;
-  if (state_.dispatcher.is_emptied(request.service->name, model, home_zones(request))) {
+  if (state_.dispatcher.are_all_servers_evacuated(request.service->name, model, home_zones(request))) {
     return Refusal{http_status::kServiceUnavailable, "all zones with servers for it are evacuated",
                    kBackWhenUnavailable};
   }
   if (now < wait_until) {
     return std::nullopt;
   }
-  if (choice.failure == fleet::ChoiceFailure::kAllBusy) {
+  if (choice.failure == fleet::DispatchFailure::kAllBusy) {
     return busy();
   }
   return Refusal{http_status::kServiceUnavailable, "no server is available", kBackWhenUnavailable};
 }
 
 asio::awaitable<FoundTarget> TargetFinder::choose_here(RelayedRequest& request, TimePoint wait_until) {
-  const fleet::Demand demand{request.model, request.route->target_latency, request.prompt_tokens, home_zones(request)};
+  const fleet::RequestRequirements demand{request.model, request.route->target_latency, request.prompt_tokens,
+                                          home_zones(request)};
   request.expected_first_event = Duration::zero();
   request.has_slot = false;
-  auto authority = slots_.hears_leader(monotonic_now()) ? fleet::RateAuthority::kLeader : fleet::RateAuthority::kShares;
+  auto authority =
+      slots_.hears_leader(monotonic_now()) ? fleet::RateAuthority::kLeader : fleet::RateAuthority::kLocalShare;
   asio::steady_timer timer(executor_);
   while (!request.caller_gone) {
     const TimePoint now = monotonic_now();
     auto choice = state_.dispatcher.choose(now, *request.service, demand, request.excluded, authority);
-    if (!choice.rated.empty()) {
+    if (!choice.rated_targets.empty()) {
       auto turn = co_await ask_for_turn(request, choice, wait_until);
       if (turn) {
         co_return std::move(*turn);
       }
-      authority = fleet::RateAuthority::kShares;  // Unless another server takes the request.
+      authority = fleet::RateAuthority::kLocalShare;  // Unless another server takes the request.
     }
     if (choice.target && state_.dispatcher.may_send(monotonic_now(), *choice.target)) {
       co_return std::move(*choice.target);
--- a/src/node/target_finder.h
+++ b/src/node/target_finder.h
@@ -15,7 +15,7 @@
 struct CallerGone {};
 
 /// Where a request goes, or why it goes nowhere.
-using FoundTarget = std::variant<fleet::Target, Refusal, CallerGone>;
+using FoundTarget = std::variant<fleet::DispatchTarget, Refusal, CallerGone>;
 
 /// Finds the target of each sending: by the leader's slots for engine groups, by the entry's own choice for plain
 /// services and while no leader answers.
@@ -37,10 +37,11 @@
   boost::asio::awaitable<FoundTarget> choose_here(RelayedRequest& request, TimePoint wait_until);
   /// Asks the leader for a turn at one of the rated servers of the choice. Nothing where it has none and another server
   /// may serve the request.
-  boost::asio::awaitable<std::optional<FoundTarget>> ask_for_turn(RelayedRequest& request, const fleet::Choice& choice,
+  boost::asio::awaitable<std::optional<FoundTarget>> ask_for_turn(RelayedRequest& request,
+                                                                  const fleet::DispatchDecision& choice,
                                                                   TimePoint wait_until);
   /// Why a request for which no target was found need not wait, if so.
-  std::optional<Refusal> refusal_without_target(const RelayedRequest& request, const fleet::Choice& choice,
+  std::optional<Refusal> refusal_without_target(const RelayedRequest& request, const fleet::DispatchDecision& choice,
                                                 TimePoint now, TimePoint wait_until) const;
   /// Until when a request may wait for a target.
   static TimePoint patience_of(const RelayedRequest& request);
--- a/tests/node/slot_requester_test.cc
+++ b/tests/node/slot_requester_test.cc
@@ -119,7 +119,7 @@
   slots_.tick(now + milliseconds(1200));
   EXPECT_EQ(reports_.size(), 3U);
   state_.dispatcher.update_state(state_with_group("g1"));
-  state_.dispatcher.avoid(now + milliseconds(1250), "g1");
+  state_.dispatcher.avoid_target(now + milliseconds(1250), "g1");
   slots_.tick(now + milliseconds(1300));
   ASSERT_EQ(reports_.size(), 4U) << "a failure is told at once";
   EXPECT_EQ(reports_.back().failures.size(), 1U);
--- a/tests/unit/blocked_requests_test.cc
+++ b/tests/unit/blocked_requests_test.cc
@@ -11,34 +11,34 @@
 using Verdict = BlockedRequests::Verdict;
 
 const RequestFingerprint kHarmful(1);
-const RequestFingerprint kNear(2);
+const RequestFingerprint kBystander(2);
 
 TimePoint at(double seconds_from_start) {
   return TimePoint(Duration(static_cast<int64_t>(seconds_from_start * 1e6) + 1'000'000'000));
 }
 
-ServerEnd end_of(RequestFingerprint request, const std::string& instance, double time) {
+ServerEnd server_end(RequestFingerprint request, const std::string& instance, double time) {
   return {request, instance, at(time)};
 }
 
 /// Three servers ended under the harmful request.
-RequestBlocker blocked_at(double time) {
+RequestBlocker blocker_with_blocked_request(double time) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
-  blocker.note_end(end_of(kHarmful, "i1", time - 0.2));
-  blocker.note_end(end_of(kHarmful, "i2", time - 0.1));
-  EXPECT_TRUE(blocker.note_end(end_of(kHarmful, "i3", time)));
+  blocker.note_server_end(server_end(kHarmful, "i1", time - 0.2));
+  blocker.note_server_end(server_end(kHarmful, "i2", time - 0.1));
+  EXPECT_TRUE(blocker.note_server_end(server_end(kHarmful, "i3", time)));
   return blocker;
 }
 
 TEST(RequestBlocker, BlocksAfterThreeServersEnded) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
-  EXPECT_FALSE(blocker.note_end(end_of(kHarmful, "i1", 1)));
-  EXPECT_FALSE(blocker.note_end(end_of(kHarmful, "i1", 1.1))) << "two entries tell of one end";
-  EXPECT_FALSE(blocker.note_end(end_of(kHarmful, "i2", 2)));
+  EXPECT_FALSE(blocker.note_server_end(server_end(kHarmful, "i1", 1)));
+  EXPECT_FALSE(blocker.note_server_end(server_end(kHarmful, "i1", 1.1))) << "two entries tell of one end";
+  EXPECT_FALSE(blocker.note_server_end(server_end(kHarmful, "i2", 2)));
   EXPECT_TRUE(blocker.rows().empty());
-  EXPECT_TRUE(blocker.note_end(end_of(kHarmful, "i3", 3)));
+  EXPECT_TRUE(blocker.note_server_end(server_end(kHarmful, "i3", 3)));
   ASSERT_EQ(blocker.rows().size(), 1U);
   EXPECT_EQ(blocker.rows()[0].fingerprint, kHarmful.value());
 }
@@ -46,9 +46,9 @@
 TEST(RequestBlocker, CountsAServerAgainThatCameBackUnderItsId) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
-  blocker.note_end(end_of(kHarmful, "i1", 1));
-  blocker.note_end(end_of(kHarmful, "i1", 5));
-  EXPECT_TRUE(blocker.note_end(end_of(kHarmful, "i1", 9)));
+  blocker.note_server_end(server_end(kHarmful, "i1", 1));
+  blocker.note_server_end(server_end(kHarmful, "i1", 5));
+  EXPECT_TRUE(blocker.note_server_end(server_end(kHarmful, "i1", 9)));
 }
 
 TEST(RequestBlocker, FreesWhoWasOnlyNear) {
@@ -56,36 +56,36 @@
   blocker.start(at(0), {});
   for (const double time : {1.0, 2.0}) {
     const std::string instance = "i" + std::to_string(time);
-    blocker.note_end(end_of(kHarmful, instance, time));
-    blocker.note_end(end_of(kNear, instance, time));
+    blocker.note_server_end(server_end(kHarmful, instance, time));
+    blocker.note_server_end(server_end(kBystander, instance, time));
   }
-  EXPECT_TRUE(blocker.note_end(end_of(kHarmful, "i3", 3)));
-  EXPECT_FALSE(blocker.note_end(end_of(kNear, "i3", 3))) << "that end is explained";
-  EXPECT_FALSE(blocker.note_end(end_of(kNear, "i4", 4)));
+  EXPECT_TRUE(blocker.note_server_end(server_end(kHarmful, "i3", 3)));
+  EXPECT_FALSE(blocker.note_server_end(server_end(kBystander, "i3", 3))) << "that end is explained";
+  EXPECT_FALSE(blocker.note_server_end(server_end(kBystander, "i4", 4)));
   EXPECT_EQ(blocker.rows().size(), 1U);
 }
 
 TEST(RequestBlocker, FreesWhoIsAnswered) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
-  blocker.note_end(end_of(kNear, "i1", 1));
-  blocker.note_end(end_of(kNear, "i2", 2));
-  EXPECT_FALSE(blocker.note_answered(kNear));
-  EXPECT_FALSE(blocker.note_end(end_of(kNear, "i3", 3)));
-  auto wrongly_blocked = blocked_at(5);
+  blocker.note_server_end(server_end(kBystander, "i1", 1));
+  blocker.note_server_end(server_end(kBystander, "i2", 2));
+  EXPECT_FALSE(blocker.note_answered(kBystander));
+  EXPECT_FALSE(blocker.note_server_end(server_end(kBystander, "i3", 3)));
+  auto wrongly_blocked = blocker_with_blocked_request(5);
   EXPECT_TRUE(wrongly_blocked.note_answered(kHarmful));
   EXPECT_TRUE(wrongly_blocked.rows().empty());
 }
 
 TEST(RequestBlocker, GrantsTwoTrialsAndThenNone) {
-  auto blocker = blocked_at(1);
+  auto blocker = blocker_with_blocked_request(1);
   int granted = 0;
   for (int second = 2; second < 3000; ++second) {
     blocker.tick(at(second));
     if (blocker.grant_trial(at(second), kHarmful)) {
       ++granted;
       EXPECT_FALSE(blocker.grant_trial(at(second), kHarmful)) << "one at a time";
-      EXPECT_TRUE(blocker.note_end(end_of(kHarmful, "t" + std::to_string(second), second + 0.2)));
+      EXPECT_TRUE(blocker.note_server_end(server_end(kHarmful, "t" + std::to_string(second), second + 0.2)));
     }
   }
   EXPECT_EQ(granted, 2);
@@ -95,7 +95,7 @@
 }
 
 TEST(RequestBlocker, ATrialThatIsAnsweredFreesTheRequest) {
-  auto blocker = blocked_at(1);
+  auto blocker = blocker_with_blocked_request(1);
   EXPECT_FALSE(blocker.grant_trial(at(20), kHarmful)) << "too early";
   EXPECT_TRUE(blocker.tick(at(31.5)));
   EXPECT_TRUE(blocker.rows()[0].trial_due);
@@ -106,7 +106,7 @@
 }
 
 TEST(RequestBlocker, ATrialWithoutAWordHasFailed) {
-  auto blocker = blocked_at(1);
+  auto blocker = blocker_with_blocked_request(1);
   blocker.tick(at(32));
   EXPECT_TRUE(blocker.grant_trial(at(32), kHarmful));
   EXPECT_TRUE(blocker.tick(at(48)));
@@ -116,7 +116,7 @@
 }
 
 TEST(RequestBlocker, BlocksAndTrialsOutlastALeadership) {
-  auto before = blocked_at(1);
+  auto before = blocker_with_blocked_request(1);
   before.tick(at(32));
   before.grant_trial(at(32), kHarmful);
   RequestBlocker after;
@@ -133,7 +133,7 @@
   for (int number = 0; number < 5000; ++number) {
     for (int end = 0; end < 3; ++end) {
       const std::string instance = std::to_string(number) + "-" + std::to_string(end);
-      blocker.note_end(end_of(RequestFingerprint(100 + number), instance, number * 0.01));
+      blocker.note_server_end(server_end(RequestFingerprint(100 + number), instance, number * 0.01));
     }
   }
   EXPECT_EQ(blocker.rows().size(), 1024U);
@@ -143,7 +143,7 @@
 TEST(ServerEnds, RemembersABoundedNumberOfRequests) {
   ServerEnds ends;
   for (int number = 0; number < 10'000; ++number) {
-    ends.note(end_of(RequestFingerprint(number), "i" + std::to_string(number), number * 0.001));
+    ends.note(server_end(RequestFingerprint(number), "i" + std::to_string(number), number * 0.001));
   }
   EXPECT_EQ(ends.size(), 4096U);
   EXPECT_FALSE(ends.is_suspect(RequestFingerprint(0)));
@@ -152,7 +152,7 @@
   EXPECT_EQ(ends.size(), 0U);
 }
 
-wire::BlockedRequest row_of(RequestFingerprint request) {
+wire::BlockedRequest blocked_row(RequestFingerprint request) {
   wire::BlockedRequest row;
   row.fingerprint = request.value();
   row.wait_ms = 30'000;
@@ -161,49 +161,49 @@
 
 TEST(BlockedRequests, ObeysTheLeadersRows) {
   BlockedRequests blocked;
-  blocked.update(at(1), {row_of(kHarmful)});
-  EXPECT_EQ(blocked.judge(at(2), kHarmful), Verdict::kBlocked);
-  EXPECT_EQ(blocked.judge(at(2), kNear), Verdict::kFree);
-  EXPECT_EQ(blocked.time_left(at(2), kHarmful), seconds(29));
-  auto due = row_of(kHarmful);
+  blocked.update(at(1), {blocked_row(kHarmful)});
+  EXPECT_EQ(blocked.verdict_for(at(2), kHarmful), Verdict::kBlocked);
+  EXPECT_EQ(blocked.verdict_for(at(2), kBystander), Verdict::kAllowed);
+  EXPECT_EQ(blocked.remaining_block_time(at(2), kHarmful), seconds(29));
+  auto due = blocked_row(kHarmful);
   due.trial_due = true;
   blocked.update(at(31), {due});
-  EXPECT_EQ(blocked.judge(at(32), kHarmful), Verdict::kTrialDue);
+  EXPECT_EQ(blocked.verdict_for(at(32), kHarmful), Verdict::kTrialDue);
   blocked.update(at(33), {});
-  EXPECT_EQ(blocked.judge(at(33), kHarmful), Verdict::kFree);
+  EXPECT_EQ(blocked.verdict_for(at(33), kHarmful), Verdict::kAllowed);
 }
 
 TEST(BlockedRequests, BlocksByItsOwnSightWhileNobodyLeads) {
   BlockedRequests blocked;
-  blocked.note_end(end_of(kHarmful, "i1", 1));
-  blocked.note_end(end_of(kHarmful, "i2", 1.2));
-  EXPECT_EQ(blocked.judge(at(1.3), kHarmful), Verdict::kFree);
-  blocked.note_end(end_of(kHarmful, "i3", 1.4));
-  EXPECT_EQ(blocked.judge(at(1.5), kHarmful), Verdict::kBlocked);
-  EXPECT_EQ(blocked.take_ends(at(2)).size(), 3U);
-  EXPECT_TRUE(blocked.take_ends(at(2)).empty()) << "told once";
+  blocked.note_server_end(server_end(kHarmful, "i1", 1));
+  blocked.note_server_end(server_end(kHarmful, "i2", 1.2));
+  EXPECT_EQ(blocked.verdict_for(at(1.3), kHarmful), Verdict::kAllowed);
+  blocked.note_server_end(server_end(kHarmful, "i3", 1.4));
+  EXPECT_EQ(blocked.verdict_for(at(1.5), kHarmful), Verdict::kBlocked);
+  EXPECT_EQ(blocked.take_unreported_ends(at(2)).size(), 3U);
+  EXPECT_TRUE(blocked.take_unreported_ends(at(2)).empty()) << "told once";
   EXPECT_EQ(blocked.recent_ends(at(2)).size(), 3U) << "but again to a new leader";
 }
 
 TEST(BlockedRequests, APopularRequestIsNotTakenForTheCauseOfEndsBesideIt) {
   BlockedRequests blocked;
-  blocked.note_answered(at(1), kNear);
+  blocked.note_answered(at(1), kBystander);
   for (const auto* instance : {"i1", "i2", "i3"}) {
-    EXPECT_EQ(blocked.note_end(end_of(kNear, instance, 2)), 0U);
+    EXPECT_EQ(blocked.note_server_end(server_end(kBystander, instance, 2)), 0U);
   }
-  EXPECT_TRUE(blocked.take_ends(at(3)).empty());
+  EXPECT_TRUE(blocked.take_unreported_ends(at(3)).empty());
   // Other entries, which saw it for the first time, had it blocked.
-  blocked.update(at(3), {row_of(kNear)});
-  EXPECT_EQ(blocked.take_answered(), std::vector<int64_t>{kNear.value()});
+  blocked.update(at(3), {blocked_row(kBystander)});
+  EXPECT_EQ(blocked.take_answered_requests(), std::vector<int64_t>{kBystander.value()});
 }
 
 TEST(BlockedRequests, ARequestThatTurnsHarmfulIsBlockedOnceItsAnswersAreOld) {
   BlockedRequests blocked;
   blocked.note_answered(at(1), kHarmful);
   for (int number = 0; number < 3; ++number) {
-    blocked.note_end(end_of(kHarmful, "i" + std::to_string(number), 70 + number));
+    blocked.note_server_end(server_end(kHarmful, "i" + std::to_string(number), 70 + number));
   }
-  EXPECT_EQ(blocked.judge(at(73), kHarmful), Verdict::kBlocked);
+  EXPECT_EQ(blocked.verdict_for(at(73), kHarmful), Verdict::kBlocked);
 }
 
 }  // namespace
--- a/tests/unit/cold_start_test.cc
+++ b/tests/unit/cold_start_test.cc
@@ -8,7 +8,7 @@
 #include "core/fleet/dispatcher.h"
 #include "core/fleet/instance_directory.h"
 #include "core/fleet/rate_shares.h"
-#include "core/fleet/rate_window.h"
+#include "core/fleet/sliding_window_limiter.h"
 #include "core/fleet/slot_scheduler.h"
 
 namespace larchlever::fleet {
@@ -17,41 +17,41 @@
 const TimePoint kStart = TimePoint(seconds(100));
 constexpr double kColdPerSecond = 14;
 /// What such a server bears in any second, as its operators state it: half as much again, and five.
-constexpr size_t kMostInASecond = 26;
+constexpr size_t kMaxPerSecond = 26;
 
-size_t most_in_a_second(std::vector<TimePoint> times) {
+size_t max_in_any_second(std::vector<TimePoint> times) {
   std::sort(times.begin(), times.end());
-  size_t most = 0;
+  size_t max_count = 0;
   for (size_t first = 0, last = 0; last < times.size(); ++last) {
     while (times[last] - times[first] >= seconds(1)) {
       ++first;
     }
-    most = std::max(most, last - first + 1);
+    max_count = std::max(max_count, last - first + 1);
   }
-  return most;
+  return max_count;
 }
 
-TEST(RateWindow, HoldsTheRateInEverySecondOfABurst) {
-  RateWindow window;
+TEST(SlidingWindowLimiter, HoldsTheRateInEverySecondOfABurst) {
+  SlidingWindowLimiter window;
   std::vector<TimePoint> sent;
   for (TimePoint now = kStart; now < kStart + seconds(5); now += milliseconds(3)) {
-    if (window.has_room(now, kColdPerSecond)) {
-      window.note(now);
+    if (window.allows_request(now, kColdPerSecond)) {
+      window.note_request(now);
       sent.push_back(now);
     }
   }
-  EXPECT_LE(most_in_a_second(sent), 14U);
+  EXPECT_LE(max_in_any_second(sent), 14U);
   EXPECT_GE(sent.size(), 14U * 5) << "what the server bears is used";
-  EXPECT_TRUE(window.has_room(kStart, 0)) << "no limit";
+  EXPECT_TRUE(window.allows_request(kStart, 0)) << "no limit";
 }
 
 // A rate below one request a second was rounded up to one.
-TEST(RateWindow, HoldsARateBelowOneASecond) {
-  RateWindow window;
+TEST(SlidingWindowLimiter, HoldsARateBelowOneASecond) {
+  SlidingWindowLimiter window;
   size_t sent = 0;
   for (TimePoint now = kStart; now < kStart + seconds(10); now += milliseconds(10)) {
-    if (window.has_room(now, 0.4)) {
-      window.note(now);
+    if (window.allows_request(now, 0.4)) {
+      window.note_request(now);
       ++sent;
     }
   }
@@ -75,7 +75,7 @@
           }
         }
       }
-      EXPECT_LE(most_in_a_second(sent), kMostInASecond) << entries << " entries, seed " << seed;
+      EXPECT_LE(max_in_any_second(sent), kMaxPerSecond) << entries << " entries, seed " << seed;
       EXPECT_GT(sent.size(), 6U) << entries << " entries, seed " << seed << ": a cold server is not left idle";
     }
   }
@@ -88,11 +88,11 @@
   for (uint64_t entry = 0; entry < kEntries; ++entry) {
     shares.emplace_back(entry);
     shares.back().may_send(kStart, "i1", kColdPerSecond, kEntries);
-    shares.back().keep_only({});
+    shares.back().retain_servers({});
   }
-  const TimePoint again = kStart + seconds(20);
+  const TimePoint second_cold_start = kStart + seconds(20);
   size_t sent = 0;
-  for (TimePoint now = again; now < again + seconds(1); now += milliseconds(10)) {
+  for (TimePoint now = second_cold_start; now < second_cold_start + seconds(1); now += milliseconds(10)) {
     for (auto& share : shares) {
       if (share.may_send(now, "i1", kColdPerSecond, kEntries)) {
         share.note_sent(now, "i1", kColdPerSecond, kEntries);
@@ -100,7 +100,7 @@
       }
     }
   }
-  EXPECT_LE(sent, kMostInASecond);
+  EXPECT_LE(sent, kMaxPerSecond);
 }
 
 document::ConfigurationDocument engine_document() {
@@ -129,7 +129,7 @@
 TEST(SlotScheduler, GrantsAColdHeadNoMoreThanItBearsAndTheRestElsewhere) {
   SlotScheduler scheduler;
   scheduler.start(1);
-  scheduler.set_rated_servers({{"cold-head", true, std::nullopt}});
+  scheduler.set_rate_limited_servers({{"cold-head", true, std::nullopt}});
   scheduler.set_groups({open_group("cold"), open_group("warm")}, {{"cold", "cold-head"}});
   const auto document = engine_document();
   std::vector<TimePoint> at_cold;
@@ -150,7 +150,7 @@
     }
     scheduler.note_loads("n1", {}, true, 1, id);
   }
-  EXPECT_LE(most_in_a_second(at_cold), 14U);
+  EXPECT_LE(max_in_any_second(at_cold), 14U);
   EXPECT_GE(at_cold.size(), 14U);
   EXPECT_GT(at_warm, 400);
 }
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -377,7 +377,7 @@
   EXPECT_TRUE(dispatcher.update_state(state).empty());
   const auto before = dispatcher.choose(kStart, plain, {}, {}).target;
   ASSERT_TRUE(before);
-  dispatcher.begin(kStart, *before);
+  dispatcher.begin_attempt(kStart, *before);
   state.instances[0].born_ms = 2000;
   EXPECT_EQ(dispatcher.update_state(state), std::vector<std::string>{before->key});
   const auto after = dispatcher.choose(kStart, plain, {}, {before->key}).target;
@@ -416,15 +416,15 @@
 TEST(Dispatcher, SendsToHeadsOfOpenGroupsAndRefusesWhenAllAreFull) {
   Dispatcher dispatcher(FleetOptions(), "z", 1);
   dispatcher.update_state(two_groups());
-  const Demand demand{"m", Duration::zero()};
+  const RequestRequirements demand{"m", Duration::zero()};
   for (int count = 0; count < 18; ++count) {
     const auto choice = dispatcher.choose(kStart, engine_service(), demand, {});
     ASSERT_TRUE(choice.target) << count;
     EXPECT_TRUE(choice.target->instance_id == "i0" || choice.target->instance_id == "i2");
-    dispatcher.begin(kStart, *choice.target);
+    dispatcher.begin_attempt(kStart, *choice.target);
   }
-  EXPECT_EQ(dispatcher.choose(kStart, engine_service(), demand, {}).failure, ChoiceFailure::kAllBusy);
-  EXPECT_EQ(dispatcher.choose(kStart, engine_service(), {"other", {}}, {}).failure, ChoiceFailure::kNoTarget);
+  EXPECT_EQ(dispatcher.choose(kStart, engine_service(), demand, {}).failure, DispatchFailure::kAllBusy);
+  EXPECT_EQ(dispatcher.choose(kStart, engine_service(), {"other", {}}, {}).failure, DispatchFailure::kNoTarget);
 }
 
 TEST(Dispatcher, TakesOnlyItsPartOfTheFreePlacesAtATime) {
@@ -435,7 +435,7 @@
     int sent = 0;
     for (auto choice = dispatcher.choose(now, engine_service(), {"m", {}}, {}); choice.target;
          choice = dispatcher.choose(now, engine_service(), {"m", {}}, {})) {
-      dispatcher.begin(now, *choice.target);
+      dispatcher.begin_attempt(now, *choice.target);
       ++sent;
     }
     return sent;
@@ -478,7 +478,7 @@
   load.progress_age_ms = 10;
   dispatcher.update_loads(kStart, {load});
   const TimePoint later = kStart + seconds(10);
-  EXPECT_TRUE(dispatcher.doubtful_groups(later, "s", "m").empty());
+  EXPECT_TRUE(dispatcher.groups_to_avoid(later, "s", "m").empty());
   std::set<std::string> chosen;
   for (int round = 0; round < 50; ++round) {
     const TimePoint now = later + round * milliseconds(200);
@@ -492,31 +492,31 @@
 TEST(Dispatcher, AGroupThatBringsNothingIsStalledOneThatDoesIsNot) {
   Dispatcher dispatcher(FleetOptions(), "z", 1);
   dispatcher.update_state(two_groups());
-  const Target stuck{"g0", "s", "g0", "i0", "a:0"};
-  const Target busy{"g1", "s", "g1", "i2", "a:2"};
-  dispatcher.begin(kStart, stuck);
-  dispatcher.begin(kStart, busy);
+  const DispatchTarget stuck{"g0", "s", "g0", "i0", "a:0"};
+  const DispatchTarget busy{"g1", "s", "g1", "i2", "a:2"};
+  dispatcher.begin_attempt(kStart, stuck);
+  dispatcher.begin_attempt(kStart, busy);
   dispatcher.note_progress(kStart + milliseconds(800), busy);
   const auto stalled = dispatcher.stalled_groups(kStart + seconds(1), milliseconds(800), milliseconds(100));
   ASSERT_EQ(stalled.size(), 1U);
   EXPECT_EQ(stalled.front().group, "g0");
   for (int count = 0; count < 5; ++count) {
-    dispatcher.begin(kStart, stuck);
+    dispatcher.begin_attempt(kStart, stuck);
   }
   EXPECT_TRUE(dispatcher.stalled_groups(kStart + seconds(1), milliseconds(800), milliseconds(100)).empty())
       << "many prompts are read first";
-  dispatcher.avoid(kStart + seconds(1), "g0");
-  EXPECT_EQ(dispatcher.failures(kStart + seconds(1)).size(), 1U);
+  dispatcher.avoid_target(kStart + seconds(1), "g0");
+  EXPECT_EQ(dispatcher.group_failures(kStart + seconds(1)).size(), 1U);
   EXPECT_FALSE(dispatcher.note_failure(kStart + seconds(1), busy)) << "it progressed for another request";
 }
 
 TEST(Dispatcher, AStreamThatPausesBeyondItsObjectiveMakesItsGroupQuiet) {
   Dispatcher dispatcher(FleetOptions(), "z", 1);
   dispatcher.update_state(two_groups());
-  dispatcher.note_gap("s", "m", milliseconds(250));
-  const Target target{"g0", "s", "g0", "i0", "a:0"};
-  SendingMark mark;
-  dispatcher.begin(kStart, target, mark);
+  dispatcher.record_gap_objective("s", "m", milliseconds(250));
+  const DispatchTarget target{"g0", "s", "g0", "i0", "a:0"};
+  AttemptState mark;
+  dispatcher.begin_attempt(kStart, target, mark);
   EXPECT_TRUE(dispatcher.quiet_groups(kStart + milliseconds(600)).empty()) << "no stream has begun";
   dispatcher.note_progress(kStart + milliseconds(600), target);
   dispatcher.note_first_event(kStart + milliseconds(600), target, mark);
@@ -536,11 +536,11 @@
     dispatcher.note_request(kStart, "s");
   }
   int granted = 0;
-  while (dispatcher.take_retry(kStart, "s")) {
+  while (dispatcher.try_take_retry(kStart, "s")) {
     ++granted;
   }
   EXPECT_EQ(granted, 21);  // 0.7 x (0.2 x 100 + 40 / 4)
-  EXPECT_TRUE(dispatcher.take_retry(kStart + options.retry_window + seconds(1), "s")) << "the window has passed";
+  EXPECT_TRUE(dispatcher.try_take_retry(kStart + options.retry_window + seconds(1), "s")) << "the window has passed";
 }
 
 // -------------------------------------------------------------- cost model
--- a/tests/unit/group_death_replay_test.cc
+++ b/tests/unit/group_death_replay_test.cc
@@ -63,8 +63,8 @@
       auto& entry = entries_.back();
       entry.update_state(state_);
       entry.update_services(document_.services);
-      entry.note_gap("s", "m", milliseconds(200));
-      entry.begin(kStart, target_, marks_[number]);
+      entry.record_gap_objective("s", "m", milliseconds(200));
+      entry.begin_attempt(kStart, target_, marks_[number]);
       entry.note_first_event(kStart, target_, marks_[number]);
       tell_load(number);
     }
@@ -98,7 +98,7 @@
       const auto age = now - kStart;
       for (int number = 0; number < kEntries; ++number) {
         if ((age + milliseconds(number)) % kEntryTick == Duration::zero()) {
-          scheduler_.note_quiet(now, name_of(number), entries_[number].quiet_groups(now));
+          scheduler_.note_quiet_groups(now, name_of(number), entries_[number].quiet_groups(now));
         }
       }
       if (age % kLeaderTick == Duration::zero() && !scheduler_.find_failed_groups(now, document_).empty()) {
@@ -122,10 +122,10 @@
   }
 
   const document::ConfigurationDocument document_ = engine_document();
-  const Target target_{"g0", "s", "g0", "i0", "a:0"};
+  const DispatchTarget target_{"g0", "s", "g0", "i0", "a:0"};
   wire::FleetState state_;
   std::deque<Dispatcher> entries_;
-  SendingMark marks_[kEntries];
+  AttemptState marks_[kEntries];
   SlotScheduler scheduler_;
 };
 
--- a/tests/unit/group_planner_test.cc
+++ b/tests/unit/group_planner_test.cc
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "core/fleet/demand_tracker.h"
-#include "core/fleet/load_limiter.h"
+#include "core/fleet/weight_load_limiter.h"
 
 namespace larchlever::fleet {
 namespace {
@@ -231,23 +231,23 @@
   EXPECT_EQ(held["small"], 2);
 }
 
-TEST(LoadLimiter, BoundsLoadsAtOnceAndInTheWindow) {
-  LoadLimiter limiter(seconds(5));
+TEST(WeightLoadLimiter, BoundsLoadsAtOnceAndInTheWindow) {
+  WeightLoadLimiter limiter(seconds(5));
   limiter.start(kStart, false);
-  limiter.note_traffic();
-  EXPECT_TRUE(limiter.may_begin(kStart, limited_store(), 1, 2, 0));
-  EXPECT_FALSE(limiter.may_begin(kStart, limited_store(), 1, 3, 0)) << "three go on already";
-  limiter.note_begun(kStart, 5);
-  EXPECT_FALSE(limiter.may_begin(kStart + seconds(4), limited_store(), 1, 0, 0)) << "five begun in the window";
-  EXPECT_TRUE(limiter.may_begin(kStart + seconds(6), limited_store(), 1, 0, 0));
-  EXPECT_TRUE(limiter.may_begin(kStart, limited_store(), 0, 3, 0)) << "no load at all";
+  limiter.note_first_request();
+  EXPECT_TRUE(limiter.may_begin_loads(kStart, limited_store(), 1, 2, 0));
+  EXPECT_FALSE(limiter.may_begin_loads(kStart, limited_store(), 1, 3, 0)) << "three go on already";
+  limiter.note_loads_begun(kStart, 5);
+  EXPECT_FALSE(limiter.may_begin_loads(kStart + seconds(4), limited_store(), 1, 0, 0)) << "five begun in the window";
+  EXPECT_TRUE(limiter.may_begin_loads(kStart + seconds(6), limited_store(), 1, 0, 0));
+  EXPECT_TRUE(limiter.may_begin_loads(kStart, limited_store(), 0, 3, 0)) << "no load at all";
 }
 
-TEST(LoadLimiter, LeavesRoomForThePredecessorsLoads) {
-  LoadLimiter limiter(seconds(5));
+TEST(WeightLoadLimiter, LeavesRoomForThePredecessorsLoads) {
+  WeightLoadLimiter limiter(seconds(5));
   limiter.start(kStart, true);
-  EXPECT_FALSE(limiter.may_begin(kStart + seconds(1), limited_store(), 1, 0, 0));
-  EXPECT_TRUE(limiter.may_begin(kStart + seconds(4), limited_store(), 1, 0, 0));
+  EXPECT_FALSE(limiter.may_begin_loads(kStart + seconds(1), limited_store(), 1, 0, 0));
+  EXPECT_TRUE(limiter.may_begin_loads(kStart + seconds(4), limited_store(), 1, 0, 0));
 }
 
 // --------------------------------------------------------- demand tracker
--- a/tests/unit/lost_answers_test.cc
+++ b/tests/unit/lost_answers_test.cc
@@ -119,13 +119,13 @@
 TEST(RequestBlocker, FreesWhoWasBlockedForServersThatAreHeardLater) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
-  blocker.note_end(likely_end(kFirst, "i1@5", 1));
-  blocker.note_end(likely_end(kFirst, "i2@5", 1));
-  EXPECT_TRUE(blocker.note_end(likely_end(kFirst, "i3@5", 1)));
-  EXPECT_FALSE(blocker.note_heard(at(1.1), "i1@5")) << "that report was on the way";
-  EXPECT_FALSE(blocker.note_heard(at(2), "i1@9")) << "another start of the server";
+  blocker.note_server_end(likely_end(kFirst, "i1@5", 1));
+  blocker.note_server_end(likely_end(kFirst, "i2@5", 1));
+  EXPECT_TRUE(blocker.note_server_end(likely_end(kFirst, "i3@5", 1)));
+  EXPECT_FALSE(blocker.note_incarnation_alive(at(1.1), "i1@5")) << "that report was on the way";
+  EXPECT_FALSE(blocker.note_incarnation_alive(at(2), "i1@9")) << "another start of the server";
   EXPECT_EQ(blocker.rows().size(), 1U);
-  EXPECT_TRUE(blocker.note_heard(at(2), "i1@5"));
+  EXPECT_TRUE(blocker.note_incarnation_alive(at(2), "i1@5"));
   EXPECT_TRUE(blocker.rows().empty());
 }
 
@@ -135,12 +135,12 @@
   RequestBlocker before;
   before.start(at(0), {});
   for (const char* incarnation : {"i1@5", "i2@5", "i3@5"}) {
-    before.note_end({kFirst, incarnation, at(1)});
+    before.note_server_end({kFirst, incarnation, at(1)});
   }
   RequestBlocker after;
   after.start(at(2), before.rows());
-  after.note_end(likely_end(kFirst, "i4@5", 2));
-  EXPECT_FALSE(after.note_heard(at(3), "i4@5"));
+  after.note_server_end(likely_end(kFirst, "i4@5", 2));
+  EXPECT_FALSE(after.note_incarnation_alive(at(3), "i4@5"));
   EXPECT_EQ(after.rows().size(), 1U);
 }
 
@@ -148,37 +148,37 @@
   RequestBlocker blocker;
   blocker.start(at(0), {});
   for (const char* incarnation : {"i1@5", "i2@5", "i3@5"}) {
-    blocker.note_end({kFirst, incarnation, at(1)});
+    blocker.note_server_end({kFirst, incarnation, at(1)});
   }
-  EXPECT_FALSE(blocker.note_heard(at(2), "i1@5"));
+  EXPECT_FALSE(blocker.note_incarnation_alive(at(2), "i1@5"));
   EXPECT_EQ(blocker.rows().size(), 1U);
 }
 
 TEST(RequestBlocker, LetsOneRepeatGoAtATimeUnderWhichServersEnded) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
-  EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst));
-  EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst)) << "no server ended under it";
-  blocker.note_end({kFirst, "i1@5", at(1)});
-  EXPECT_TRUE(blocker.grant_repeat(at(1), kFirst));
-  EXPECT_FALSE(blocker.grant_repeat(at(1.1), kFirst));
-  EXPECT_TRUE(blocker.grant_repeat(at(1.1), kSecond));
-  EXPECT_TRUE(blocker.grant_repeat(at(2.1), kFirst)) << "the first one harmed nobody";
+  EXPECT_TRUE(blocker.grant_retry(at(1), kFirst));
+  EXPECT_TRUE(blocker.grant_retry(at(1), kFirst)) << "no server ended under it";
+  blocker.note_server_end({kFirst, "i1@5", at(1)});
+  EXPECT_TRUE(blocker.grant_retry(at(1), kFirst));
+  EXPECT_FALSE(blocker.grant_retry(at(1.1), kFirst));
+  EXPECT_TRUE(blocker.grant_retry(at(1.1), kSecond));
+  EXPECT_TRUE(blocker.grant_retry(at(2.1), kFirst)) << "the first one harmed nobody";
   blocker.note_answered(kFirst);
-  EXPECT_TRUE(blocker.grant_repeat(at(2.2), kFirst));
-  blocker.note_end({kFirst, "i2@5", at(3)});
-  blocker.note_end({kFirst, "i3@5", at(3)});
-  blocker.note_end({kFirst, "i4@5", at(3)});
-  EXPECT_FALSE(blocker.grant_repeat(at(9), kFirst)) << "it is blocked";
+  EXPECT_TRUE(blocker.grant_retry(at(2.2), kFirst));
+  blocker.note_server_end({kFirst, "i2@5", at(3)});
+  blocker.note_server_end({kFirst, "i3@5", at(3)});
+  blocker.note_server_end({kFirst, "i4@5", at(3)});
+  EXPECT_FALSE(blocker.grant_retry(at(9), kFirst)) << "it is blocked";
 }
 
 TEST(BlockedRequests, LeaveLikelyEndsToTheLeader) {
   BlockedRequests blocked;
   for (const char* incarnation : {"i1@5", "i2@5", "i3@5"}) {
-    blocked.note_end(likely_end(kFirst, incarnation, 1));
+    blocked.note_server_end(likely_end(kFirst, incarnation, 1));
   }
-  EXPECT_EQ(blocked.judge(at(1), kFirst), BlockedRequests::Verdict::kFree);
-  const auto reports = blocked.take_ends(at(1));
+  EXPECT_EQ(blocked.verdict_for(at(1), kFirst), BlockedRequests::Verdict::kAllowed);
+  const auto reports = blocked.take_unreported_ends(at(1));
   ASSERT_EQ(reports.size(), 3U);
   EXPECT_TRUE(reports[0].is_likely);
 }
--- a/tests/unit/server_end_replay_test.cc
+++ b/tests/unit/server_end_replay_test.cc
@@ -130,7 +130,7 @@
       send(RequestFingerprint(++next_request_));
     }
     const bool is_blocked = std::any_of(entries_.begin(), entries_.end(), [this](const Entry& entry) {
-      return entry.blocked.judge(now_, kRepeated) != Verdict::kFree;
+      return entry.blocked.verdict_for(now_, kRepeated) != Verdict::kAllowed;
     });
     result_.blocked += is_blocked ? kStep : Duration::zero();
   }
@@ -144,14 +144,14 @@
     }
     if (is_up(index) && now_ >= server.next_report) {
       server.next_report = now_ + kHeartbeat;
-      changed_ = leader_.note_heard(now_, incarnation(index)) || changed_;
+      changed_ = leader_.note_incarnation_alive(now_, incarnation(index)) || changed_;
     }
   }
 
   void send(RequestFingerprint request) {
     const auto entry = static_cast<size_t>(draw(kEntries));
     const auto server = static_cast<size_t>(draw(kServers));
-    if (entries_.at(entry).blocked.judge(now_, request) != Verdict::kFree) {
+    if (entries_.at(entry).blocked.verdict_for(now_, request) != Verdict::kAllowed) {
       result_.others_blocked += request == kRepeated ? 0 : 1;
       return;
     }
@@ -231,7 +231,7 @@
       return;
     }
     for (const auto request : ended->requests) {
-      entry.blocked.note_end({request, incarnation, ended->at, ended->certainty});
+      entry.blocked.note_server_end({request, incarnation, ended->at, ended->certainty});
     }
   }
 
@@ -256,12 +256,13 @@
 
   void tell_leader() {
     for (auto& entry : entries_) {
-      for (const auto& end : entry.blocked.take_ends(now_)) {
+      for (const auto& end : entry.blocked.take_unreported_ends(now_)) {
         const Certainty certainty = end.is_likely ? Certainty::kLikely : Certainty::kProved;
         const TimePoint at = now_ - milliseconds(end.age_ms);
-        changed_ = leader_.note_end({RequestFingerprint(end.fingerprint), end.instance_id, at, certainty}) || changed_;
+        changed_ =
+            leader_.note_server_end({RequestFingerprint(end.fingerprint), end.instance_id, at, certainty}) || changed_;
       }
-      for (const auto request : entry.blocked.take_answered()) {
+      for (const auto request : entry.blocked.take_answered_requests()) {
         changed_ = leader_.note_answered(RequestFingerprint(request)) || changed_;
       }
     }
--- a/tests/unit/server_limits_test.cc
+++ b/tests/unit/server_limits_test.cc
@@ -82,10 +82,10 @@
   limits.observe({"i1", std::nullopt, kStart});
   limits.observe({"i2", 2.4, kStart});
   limits.observe({"i3", 2.4, kStart + std::chrono::minutes(5)});
-  EXPECT_FALSE(limits.knows("i1"));
-  EXPECT_TRUE(limits.knows("i2"));
+  EXPECT_FALSE(limits.has_observation("i1"));
+  EXPECT_TRUE(limits.has_observation("i2"));
   limits.observe({"i3", 2.4, kStart + std::chrono::hours(2)});
-  EXPECT_FALSE(limits.knows("i2"));
+  EXPECT_FALSE(limits.has_observation("i2"));
 }
 
 }  // namespace
--- a/tests/unit/server_notices_test.cc
+++ b/tests/unit/server_notices_test.cc
@@ -28,17 +28,17 @@
 TEST(RetryAfter, TakesABoundedRestForWhatItCannotRead) {
   for (const char* text :
        {"", "soon", "-1", "-0", "3 s", "0x10", "nan", "inf", "1e3", "Wed, 21 Oct 2026 07:28:00 GMT"}) {
-    const auto asked = parse_retry_after(text);
-    EXPECT_EQ(asked.reading, RetryAfterReading::kUnreadable) << text;
-    EXPECT_EQ(asked.rest, kUnreadableRest) << text;
+    const auto parsed = parse_retry_after(text);
+    EXPECT_EQ(parsed.reading, RetryAfterReading::kUnreadable) << text;
+    EXPECT_EQ(parsed.rest, kUnreadableRest) << text;
   }
 }
 
 TEST(RetryAfter, CutsWhatIsTooLong) {
   for (const auto& text : {std::string("86400"), std::string("3601"), std::string(400, '9')}) {
-    const auto asked = parse_retry_after(text);
-    EXPECT_EQ(asked.reading, RetryAfterReading::kCut) << text;
-    EXPECT_EQ(asked.rest, kLongestRest) << text;
+    const auto parsed = parse_retry_after(text);
+    EXPECT_EQ(parsed.reading, RetryAfterReading::kCut) << text;
+    EXPECT_EQ(parsed.rest, kLongestRest) << text;
   }
 }
 
@@ -51,26 +51,26 @@
   EXPECT_EQ(retry_after_text(seconds(30)), "30");
   EXPECT_EQ(retry_after_text(milliseconds(2050)), "2.05");
   for (int wait_ms = 1; wait_ms < 4000; ++wait_ms) {
-    const auto told = parse_retry_after(retry_after_text(milliseconds(wait_ms)));
-    EXPECT_EQ(told.reading, RetryAfterReading::kExact);
-    EXPECT_GE(told.rest, milliseconds(wait_ms));
-    EXPECT_LE(told.rest, milliseconds(wait_ms + 10));
+    const auto parsed = parse_retry_after(retry_after_text(milliseconds(wait_ms)));
+    EXPECT_EQ(parsed.reading, RetryAfterReading::kExact);
+    EXPECT_GE(parsed.rest, milliseconds(wait_ms));
+    EXPECT_LE(parsed.rest, milliseconds(wait_ms + 10));
   }
 }
 
 TEST(ServerNotices, KeepsTheLongestRestToItsEnd) {
   ServerNotices notices;
   EXPECT_TRUE(notices.may_send(at(0), "i1@5"));
-  notices.note_rest(at(0), "i1@5", seconds(3));
-  notices.note_rest(at(0.2), "i1@5", seconds(1));
+  notices.note_retry_after(at(0), "i1@5", seconds(3));
+  notices.note_retry_after(at(0.2), "i1@5", seconds(1));
   EXPECT_FALSE(notices.may_send(at(2.9), "i1@5"));
-  EXPECT_EQ(notices.free_at(at(1), "i1@5"), at(3));
+  EXPECT_EQ(notices.available_at(at(1), "i1@5"), at(3));
   EXPECT_TRUE(notices.may_send(at(3), "i1@5"));
 }
 
 TEST(ServerNotices, BindsOneIncarnation) {
   ServerNotices notices;
-  notices.note_rest(at(0), "i1@5", seconds(3));
+  notices.note_retry_after(at(0), "i1@5", seconds(3));
   notices.note_leaving(at(0), "i2@5");
   EXPECT_TRUE(notices.may_send(at(1), "i1@9"));
   EXPECT_TRUE(notices.may_send(at(1), "i2@9"));
@@ -80,27 +80,27 @@
   ServerNotices notices;
   EXPECT_TRUE(notices.note_leaving(at(0), "i1@5"));
   EXPECT_FALSE(notices.note_leaving(at(1), "i1@5"));
-  notices.note_rest(at(2), "i1@5", seconds(1));
+  notices.note_retry_after(at(2), "i1@5", seconds(1));
   EXPECT_FALSE(notices.may_send(at(600), "i1@5"));
 }
 
 TEST(ServerNotices, ForgetsWhatIsOver) {
   ServerNotices notices;
   for (int server = 0; server < 1000; ++server) {
-    notices.note_rest(at(server), "i" + std::to_string(server), seconds(3));
+    notices.note_retry_after(at(server), "i" + std::to_string(server), seconds(3));
     notices.note_leaving(at(server), "l" + std::to_string(server));
   }
   EXPECT_GT(notices.size(), 1000U);
-  notices.note_rest(at(4700), "i1", seconds(3));
+  notices.note_retry_after(at(4700), "i1", seconds(3));
   EXPECT_EQ(notices.size(), 1U);
 }
 
-constexpr int64_t kBorn = 1'780'000'000'000;
+constexpr int64_t kBornMs = 1'780'000'000'000;
 
 wire::Instance instance(const std::string& id) {
   wire::Instance result;
   result.id = id;
-  result.born_ms = kBorn;
+  result.born_ms = kBornMs;
   result.service_name = "engines";
   result.address = "10.0.0.1:" + id.substr(1);
   result.zone = "north";
@@ -129,48 +129,48 @@
     service_.engine.emplace();
     service_.engine->slots = 8;
   }
-  Target target(const std::string& group) {
+  DispatchTarget target(const std::string& group) {
     const auto found = dispatcher_.target_of_group(at(0), group);
     EXPECT_TRUE(found);
-    return found.value_or(Target());
+    return found.value_or(DispatchTarget());
   }
 
   Dispatcher dispatcher_{FleetOptions(), "north", 7};
   wire::FleetState state_;
   document::ServiceSpec service_;
-  Demand demand_{"small", Duration::zero(), 100};
+  RequestRequirements demand_{"small", Duration::zero(), 100};
 };
 
 TEST_F(DispatcherNotices, ARestingHeadGetsNothingAndTheLeaderIsTold) {
-  dispatcher_.note_rest(at(0), target("g1"), seconds(3));
+  dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
   for (int request = 0; request < 20; ++request) {
     const auto choice = dispatcher_.choose(at(0.1 * request), service_, demand_, {});
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->group, "g2");
   }
-  EXPECT_EQ(dispatcher_.doubtful_groups(at(1), "engines", "small"), std::vector<std::string>{"g1"});
-  EXPECT_TRUE(dispatcher_.doubtful_groups(at(3), "engines", "small").empty());
+  EXPECT_EQ(dispatcher_.groups_to_avoid(at(1), "engines", "small"), std::vector<std::string>{"g1"});
+  EXPECT_TRUE(dispatcher_.groups_to_avoid(at(3), "engines", "small").empty());
 }
 
 TEST_F(DispatcherNotices, KnowsWhenTheFirstOfAllThatRestIsFree) {
-  dispatcher_.note_rest(at(0), target("g1"), seconds(3));
-  EXPECT_FALSE(dispatcher_.all_rest_until(at(1), "engines", "small"));
-  dispatcher_.note_rest(at(1), target("g2"), seconds(3));
-  EXPECT_EQ(dispatcher_.all_rest_until(at(1), "engines", "small"), at(3));
-  EXPECT_FALSE(dispatcher_.all_rest_until(at(3), "engines", "small"));
+  dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
+  EXPECT_FALSE(dispatcher_.all_backing_off_until(at(1), "engines", "small"));
+  dispatcher_.note_retry_after(at(1), target("g2"), seconds(3));
+  EXPECT_EQ(dispatcher_.all_backing_off_until(at(1), "engines", "small"), at(3));
+  EXPECT_FALSE(dispatcher_.all_backing_off_until(at(3), "engines", "small"));
   EXPECT_FALSE(dispatcher_.choose(at(2), service_, demand_, {}).target);
 }
 
 TEST_F(DispatcherNotices, OnesThatLeaveAreNotWaitedFor) {
   dispatcher_.note_leaving(at(0), target("g1"));
   dispatcher_.note_leaving(at(0), target("g2"));
-  EXPECT_FALSE(dispatcher_.all_rest_until(at(1), "engines", "small"));
+  EXPECT_FALSE(dispatcher_.all_backing_off_until(at(1), "engines", "small"));
   EXPECT_FALSE(dispatcher_.choose(at(1), service_, demand_, {}).target);
 }
 
 // The rest outlasts the row: the head may come back in another group before the rest is over.
 TEST_F(DispatcherNotices, ARestOutlastsTheGroup) {
-  dispatcher_.note_rest(at(0), target("g1"), seconds(3));
+  dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
   state_.instances = {instance("i2")};
   state_.groups = {open_group("g2", "i2")};
   dispatcher_.update_state(state_);
@@ -182,8 +182,8 @@
 }
 
 TEST_F(DispatcherNotices, AServerThatStartedAgainAskedForNothing) {
-  dispatcher_.note_rest(at(0), target("g1"), seconds(3));
-  state_.instances[0].born_ms = kBorn + 5;
+  dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
+  state_.instances[0].born_ms = kBornMs + 5;
   dispatcher_.update_state(state_);
   EXPECT_TRUE(dispatcher_.may_send(at(1), target("g1")));
 }
--- a/tests/unit/server_rates_test.cc
+++ b/tests/unit/server_rate_limiter_test.cc
@@ -1,7 +1,7 @@
 // Servers that take only so many requests a second, from all entries together: what reaches one of them, whoever
 // counts.
 
-#include "core/fleet/server_rates.h"
+#include "core/fleet/server_rate_limiter.h"
 
 #include <gtest/gtest.h>
 
@@ -19,40 +19,40 @@
 
 const TimePoint kStart = TimePoint(seconds(100));
 constexpr Duration kWindow = seconds(4);
-constexpr double kRates[] = {0.2, 2.4, 10, 200};
+constexpr double kRatesPerSecond[] = {0.2, 2.4, 10, 200};
 
 /// The most of `times` in any four seconds.
-size_t most_in_window(std::vector<TimePoint> times) {
+size_t max_in_any_window(std::vector<TimePoint> times) {
   std::sort(times.begin(), times.end());
-  size_t most = 0;
+  size_t max_count = 0;
   for (size_t first = 0, last = 0; last < times.size(); ++last) {
     while (times[last] - times[first] >= kWindow) {
       ++first;
     }
-    most = std::max(most, last - first + 1);
+    max_count = std::max(max_count, last - first + 1);
   }
-  return most;
+  return max_count;
 }
 
 /// What a server that names a limit may get in four seconds.
-size_t most_allowed(double per_second) { return static_cast<size_t>(1.5 * per_second * 4 + 5); }
+size_t max_allowed_in_window(double per_second) { return static_cast<size_t>(1.5 * per_second * 4 + 5); }
 
 /// Sends whenever the pacer lets it, from `from` to `to`.
 void send_paced(RequestPacer& pacer, double per_second, TimePoint from, TimePoint to, std::vector<TimePoint>& sent) {
   for (TimePoint now = from; now < to; now += milliseconds(1)) {
-    while (pacer.next_turn(now, per_second) <= now) {
-      pacer.note(now, per_second);
+    while (pacer.next_allowed_at(now, per_second) <= now) {
+      pacer.note_request(now, per_second);
       sent.push_back(now);
     }
   }
 }
 
 TEST(RequestPacer, HoldsTheRateAndUsesIt) {
-  for (const double per_second : kRates) {
+  for (const double per_second : kRatesPerSecond) {
     RequestPacer pacer;
     std::vector<TimePoint> sent;
     send_paced(pacer, per_second, kStart, kStart + seconds(40), sent);
-    EXPECT_LE(static_cast<double>(most_in_window(sent)), per_second * 4.1 + 1.1) << per_second;
+    EXPECT_LE(static_cast<double>(max_in_any_window(sent)), per_second * 4.1 + 1.1) << per_second;
     EXPECT_GE(static_cast<double>(sent.size()), per_second * 40 * 0.95) << per_second;
   }
 }
@@ -71,9 +71,9 @@
 }
 
 /// Entries that all have work for the server at any moment, and no leader.
-class Entries {
+class LeaderlessEntries {
  public:
-  Entries(int count, uint64_t seed) {
+  LeaderlessEntries(int count, uint64_t seed) {
     for (int entry = 0; entry < count; ++entry) {
       shares_.emplace_back(seed * 10'000 + static_cast<uint64_t>(entry));
     }
@@ -85,10 +85,10 @@
     }
   }
   /// Looks at all turns, and uses them if `uses` is set.
-  void run(double per_second, TimePoint from, TimePoint to, std::vector<TimePoint>& sent, bool uses = true) {
+  void run(double per_second, TimePoint from, TimePoint to, std::vector<TimePoint>& sent, bool use_turns = true) {
     for (TimePoint now = from; now < to; now += milliseconds(20)) {
       for (auto& share : shares_) {
-        if (share.may_send(now, "i1", per_second, count()) && uses) {
+        if (share.may_send(now, "i1", per_second, count()) && use_turns) {
           share.note_sent(now, "i1", per_second, count());
           sent.push_back(now);
         }
@@ -105,10 +105,11 @@
   for (const double per_second : {0.2, 2.4, 10.0}) {
     for (const int count : {1, 9, 84, 1000}) {
       for (uint64_t seed = 1; seed <= 5; ++seed) {
-        Entries entries(count, seed);
+        LeaderlessEntries entries(count, seed);
         std::vector<TimePoint> sent;
         entries.run(per_second, kStart, kStart + seconds(12), sent);
-        EXPECT_LE(most_in_window(sent), most_allowed(per_second)) << per_second << ", " << count << " entries";
+        EXPECT_LE(max_in_any_window(sent), max_allowed_in_window(per_second))
+            << per_second << ", " << count << " entries";
       }
     }
   }
@@ -118,18 +119,18 @@
 // used at the moment when the entries are on their own.
 TEST(RateShares, TurnsDoNotPileUp) {
   for (const int count : {9, 84, 1000}) {
-    Entries entries(count, 3);
+    LeaderlessEntries entries(count, 3);
     std::vector<TimePoint> sent;
     entries.run(10, kStart, kStart + seconds(1), sent, false);
     entries.run(10, kStart + seconds(60), kStart + seconds(61), sent);
-    EXPECT_LE(sent.size(), most_allowed(10) / 2) << count << " entries, turns of a minute ago";
+    EXPECT_LE(sent.size(), max_allowed_in_window(10) / 2) << count << " entries, turns of a minute ago";
     sent.clear();
     entries.run(0.2, kStart + seconds(61), kStart + seconds(65), sent);
-    EXPECT_LE(sent.size(), most_allowed(0.2)) << count << " entries, a lower limit";
+    EXPECT_LE(sent.size(), max_allowed_in_window(0.2)) << count << " entries, a lower limit";
     entries.add(count * 10, 4);
     sent.clear();
     entries.run(0.2, kStart + seconds(65), kStart + seconds(69), sent);
-    EXPECT_LE(sent.size(), most_allowed(0.2)) << count << " entries, ten times as many now";
+    EXPECT_LE(sent.size(), max_allowed_in_window(0.2)) << count << " entries, ten times as many now";
   }
 }
 
@@ -167,11 +168,11 @@
 }
 
 /// A leader's scheduler and the questions of one entry.
-class RatedScheduler : public testing::Test {
+class RateLimitedScheduler : public testing::Test {
  protected:
-  RatedScheduler() { scheduler_.start(1); }
+  RateLimitedScheduler() { scheduler_.start(1); }
 
-  wire::SlotRequest question(int patience_ms, int priority = 1) {
+  wire::SlotRequest slot_request(int patience_ms, int priority = 1) {
     wire::SlotRequest request;
     request.id = ++next_id_;
     request.service_name = "engines";
@@ -181,22 +182,22 @@
     request.priority = priority;
     return request;
   }
-  wire::SlotRequest plain_question(std::vector<std::string> servers, int patience_ms, int priority = 1) {
-    auto request = question(patience_ms, priority);
+  wire::SlotRequest plain_slot_request(std::vector<std::string> servers, int patience_ms, int priority = 1) {
+    auto request = slot_request(patience_ms, priority);
     request.service_name = "forms";
     request.model = "";
     request.__set_rated_servers(servers);
     return request;
   }
   /// Asks a question each five milliseconds from `from` to `to`; records grants and refusals.
-  template <typename Ask>
-  void ask_all_the_time(TimePoint from, TimePoint to, const Ask& ask) {
+  template <typename MakeRequest>
+  void submit_continuously(TimePoint from, TimePoint to, const MakeRequest& make_request) {
     for (TimePoint now = from; now < to; now += milliseconds(5)) {
-      scheduler_.add_request(now, "n1", ask());
-      take(now);
+      scheduler_.add_request(now, "n1", make_request());
+      collect_decisions(now);
     }
   }
-  void take(TimePoint now) {
+  void collect_decisions(TimePoint now) {
     for (const auto& decision : scheduler_.decide(now, document_)) {
       const auto& grant = decision.grant;
       if (grant.verdict == wire::SlotVerdict::GRANTED) {
@@ -204,7 +205,7 @@
         granted_[name].push_back(now);
         granted_ids_.push_back(grant.id);
       } else if (grant.verdict == wire::SlotVerdict::BUSY) {
-        refused_[grant.id] = grant.__isset.retry_after_ms ? grant.retry_after_ms : -1;
+        refused_retry_after_ms_[grant.id] = grant.__isset.retry_after_ms ? grant.retry_after_ms : -1;
       }
     }
     scheduler_.note_loads("n1", {}, true, 1, 1'000'000);
@@ -216,30 +217,30 @@
   std::map<std::string, std::vector<TimePoint>> granted_;
   std::vector<int64_t> granted_ids_;
   /// Times to come back after, in milliseconds, by question; -1 for none.
-  std::map<int64_t, int32_t> refused_;
+  std::map<int64_t, int32_t> refused_retry_after_ms_;
 };
 
-TEST_F(RatedScheduler, ALimitedHeadGetsItsRateAndAnotherGroupTheRest) {
+TEST_F(RateLimitedScheduler, ALimitedHeadGetsItsRateAndAnotherGroupTheRest) {
   for (const double per_second : {0.2, 2.4, 10.0}) {
     granted_.clear();
     scheduler_.start(1);
-    scheduler_.set_rated_servers({{"h1", false, per_second}});
+    scheduler_.set_rate_limited_servers({{"h1", false, per_second}});
     scheduler_.set_groups({open_group("a"), open_group("b")}, {{"a", "h1"}});
-    ask_all_the_time(kStart, kStart + seconds(12), [this] { return question(100); });
-    EXPECT_LE(most_in_window(granted_["a"]), most_allowed(per_second));
+    submit_continuously(kStart, kStart + seconds(12), [this] { return slot_request(100); });
+    EXPECT_LE(max_in_any_window(granted_["a"]), max_allowed_in_window(per_second));
     EXPECT_GE(static_cast<double>(granted_["a"].size()), per_second * 12 * 0.8) << "its end has to be found out";
-    EXPECT_TRUE(refused_.empty());
+    EXPECT_TRUE(refused_retry_after_ms_.empty());
   }
 }
 
 // A head whose group is formed anew is the same server, which takes as much as before.
-TEST_F(RatedScheduler, AHeadKeepsItsCountWhenItsGroupIsFormedAnew) {
-  scheduler_.set_rated_servers({{"h1", false, 0.4}});
+TEST_F(RateLimitedScheduler, AHeadKeepsItsCountWhenItsGroupIsFormedAnew) {
+  scheduler_.set_rate_limited_servers({{"h1", false, 0.4}});
   for (int round = 0; round < 40; ++round) {
     const std::string name = "g" + std::to_string(round);
     scheduler_.set_groups({open_group(name)}, {{name, "h1"}});
     const TimePoint now = kStart + milliseconds(100) * round;
-    ask_all_the_time(now, now + milliseconds(100), [this] { return question(20); });
+    submit_continuously(now, now + milliseconds(100), [this] { return slot_request(20); });
   }
   size_t granted = 0;
   for (const auto& [group, times] : granted_) {
@@ -248,65 +249,65 @@
   EXPECT_LE(granted, 2U);
 }
 
-TEST_F(RatedScheduler, PlainServersGetTheirRatesWhicheverIsAskedFor) {
-  scheduler_.set_rated_servers({{"i1", false, 10.0}, {"i2@5", false, 2.4}});
-  ask_all_the_time(kStart, kStart + seconds(12), [this] { return plain_question({"i1", "i2@5"}, 60); });
-  EXPECT_LE(most_in_window(granted_["i1"]), most_allowed(10));
-  EXPECT_LE(most_in_window(granted_["i2@5"]), most_allowed(2.4));
+TEST_F(RateLimitedScheduler, PlainServersGetTheirRatesWhicheverIsAskedFor) {
+  scheduler_.set_rate_limited_servers({{"i1", false, 10.0}, {"i2@5", false, 2.4}});
+  submit_continuously(kStart, kStart + seconds(12), [this] { return plain_slot_request({"i1", "i2@5"}, 60); });
+  EXPECT_LE(max_in_any_window(granted_["i1"]), max_allowed_in_window(10));
+  EXPECT_LE(max_in_any_window(granted_["i2@5"]), max_allowed_in_window(2.4));
   EXPECT_GE(static_cast<double>(granted_["i1"].size() + granted_["i2@5"].size()), 12.4 * 12 * 0.9);
 }
 
 // Callers that nobody can serve waited out their patience and were all told the same moment.
-TEST_F(RatedScheduler, WhoseTurnComesTooLateIsRefusedAtOnceAndToldWhenItComes) {
-  scheduler_.set_rated_servers({{"i1", false, 1.0}});
-  scheduler_.add_request(kStart, "n1", plain_question({"i1"}, 300));
-  take(kStart);
+TEST_F(RateLimitedScheduler, WhoseTurnComesTooLateIsRefusedAtOnceAndToldWhenItComes) {
+  scheduler_.set_rate_limited_servers({{"i1", false, 1.0}});
+  scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 300));
+  collect_decisions(kStart);
   ASSERT_EQ(granted_["i1"].size(), 1U);
   for (int caller = 0; caller < 3; ++caller) {
-    scheduler_.add_request(kStart, "n1", plain_question({"i1"}, 300));
+    scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 300));
   }
-  take(kStart + milliseconds(5));
-  ASSERT_EQ(refused_.size(), 3U);
-  std::vector<int32_t> told;
-  for (const auto& [id, retry_after_ms] : refused_) {
-    told.push_back(retry_after_ms);
+  collect_decisions(kStart + milliseconds(5));
+  ASSERT_EQ(refused_retry_after_ms_.size(), 3U);
+  std::vector<int32_t> retry_after_times_ms;
+  for (const auto& [id, retry_after_ms] : refused_retry_after_ms_) {
+    retry_after_times_ms.push_back(retry_after_ms);
   }
-  EXPECT_NEAR(told[0], 995, 25);
-  EXPECT_NEAR(told[1], 1995, 25);
-  EXPECT_NEAR(told[2], 2995, 25);
+  EXPECT_NEAR(retry_after_times_ms[0], 995, 25);
+  EXPECT_NEAR(retry_after_times_ms[1], 1995, 25);
+  EXPECT_NEAR(retry_after_times_ms[2], 2995, 25);
 }
 
-TEST_F(RatedScheduler, TheMoreUrgentAndThenTheOlderHaveTheFirstTurns) {
-  scheduler_.set_rated_servers({{"i1", false, 10.0}});
-  scheduler_.add_request(kStart, "n1", plain_question({"i1"}, 150));
-  take(kStart);
+TEST_F(RateLimitedScheduler, TheMoreUrgentAndThenTheOlderHaveTheFirstTurns) {
+  scheduler_.set_rate_limited_servers({{"i1", false, 10.0}});
+  scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 150));
+  collect_decisions(kStart);
   granted_ids_.clear();
-  scheduler_.add_request(kStart + milliseconds(1), "n1", plain_question({"i1"}, 250, 3));
+  scheduler_.add_request(kStart + milliseconds(1), "n1", plain_slot_request({"i1"}, 250, 3));
   const auto less_urgent = next_id_;
-  scheduler_.add_request(kStart + milliseconds(2), "n1", plain_question({"i1"}, 250, 1));
+  scheduler_.add_request(kStart + milliseconds(2), "n1", plain_slot_request({"i1"}, 250, 1));
   const auto older = next_id_;
-  scheduler_.add_request(kStart + milliseconds(3), "n1", plain_question({"i1"}, 250, 1));
+  scheduler_.add_request(kStart + milliseconds(3), "n1", plain_slot_request({"i1"}, 250, 1));
   const auto newer = next_id_;
   for (TimePoint now = kStart + milliseconds(4); now < kStart + milliseconds(400); now += milliseconds(1)) {
-    take(now);
+    collect_decisions(now);
   }
   EXPECT_EQ(granted_ids_, (std::vector<int64_t>{older, newer}));
-  EXPECT_TRUE(refused_.contains(less_urgent));
+  EXPECT_TRUE(refused_retry_after_ms_.contains(less_urgent));
 }
 
-TEST_F(RatedScheduler, WhoHasAnotherServerIsNotKeptWaiting) {
-  scheduler_.set_rated_servers({{"i1", false, 1.0}});
-  scheduler_.add_request(kStart, "n1", plain_question({"i1"}, 0));
-  scheduler_.add_request(kStart, "n1", plain_question({"i1"}, 0));
-  take(kStart);
+TEST_F(RateLimitedScheduler, WhoHasAnotherServerIsNotKeptWaiting) {
+  scheduler_.set_rate_limited_servers({{"i1", false, 1.0}});
+  scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 0));
+  scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 0));
+  collect_decisions(kStart);
   EXPECT_EQ(granted_["i1"].size(), 1U);
-  EXPECT_EQ(refused_.size(), 1U) << "answered in the same turn";
+  EXPECT_EQ(refused_retry_after_ms_.size(), 1U) << "answered in the same turn";
 }
 
-TEST_F(RatedScheduler, AServerThatIsColdAndLimitedGetsTheLowerOfBoth) {
+TEST_F(RateLimitedScheduler, AServerThatIsColdAndLimitedGetsTheLowerOfBoth) {
   document_.services["forms"].cold_requests_per_second = 2;
-  scheduler_.set_rated_servers({{"i1", true, 10.0}, {"i2", true, 0.5}});
-  ask_all_the_time(kStart, kStart + seconds(12), [this] { return plain_question({"i1", "i2"}, 20); });
+  scheduler_.set_rate_limited_servers({{"i1", true, 10.0}, {"i2", true, 0.5}});
+  submit_continuously(kStart, kStart + seconds(12), [this] { return plain_slot_request({"i1", "i2"}, 20); });
   EXPECT_LE(granted_["i1"].size(), 25U);
   EXPECT_GE(granted_["i1"].size(), 20U);
   EXPECT_LE(granted_["i2"].size(), 7U);
@@ -314,27 +315,28 @@
 
 // A leader is lost in the middle: what it granted, what entries send on their own and what its successor grants, which
 // knows nothing of either, stay within the limit.
-TEST(ServerRates, ALimitHoldsOverAChangeOfLeader) {
+TEST(ServerRateLimiter, ALimitHoldsOverAChangeOfLeader) {
   const auto service = plain_service();
   for (const double per_second : {0.2, 2.4, 10.0}) {
     for (const int count : {9, 84, 1000}) {
       for (uint64_t seed = 1; seed <= 5; ++seed) {
         std::vector<TimePoint> sent;
-        const auto lead = [&](TimePoint from, TimePoint to) {
-          ServerRates rates;
+        const auto grant_as_leader = [&](TimePoint from, TimePoint to) {
+          ServerRateLimiter rates;
           rates.set_servers({{"i1", false, per_second}});
           for (TimePoint now = from; now < to; now += milliseconds(5)) {
-            if (rates.next_turn(now, service, "i1") <= now) {
-              rates.note(now, service, "i1");
+            if (rates.next_allowed_at(now, service, "i1") <= now) {
+              rates.note_request(now, service, "i1");
               sent.push_back(now);
             }
           }
         };
-        lead(kStart, kStart + seconds(5));
-        Entries entries(count, seed);
+        grant_as_leader(kStart, kStart + seconds(5));
+        LeaderlessEntries entries(count, seed);
         entries.run(per_second, kStart + seconds(5), kStart + seconds(7), sent);
-        lead(kStart + seconds(7), kStart + seconds(12));
-        EXPECT_LE(most_in_window(sent), most_allowed(per_second)) << per_second << ", " << count << " entries";
+        grant_as_leader(kStart + seconds(7), kStart + seconds(12));
+        EXPECT_LE(max_in_any_window(sent), max_allowed_in_window(per_second))
+            << per_second << ", " << count << " entries";
       }
     }
   }
@@ -372,9 +374,9 @@
 }
 
 /// An entry that knows of two plain servers, the first of which is limited.
-class RatedDispatcher : public testing::Test {
+class RateLimitedDispatcher : public testing::Test {
  protected:
-  RatedDispatcher() {
+  RateLimitedDispatcher() {
     auto limited = plain_instance("i1");
     limited.__set_limit_per_second(1.0);
     state_.instances = {limited, plain_instance("i2")};
@@ -386,61 +388,61 @@
   Dispatcher dispatcher_{FleetOptions(), "a", 1};
 };
 
-TEST_F(RatedDispatcher, NamesTheLimitedServerToTheLeaderOnlyWhereItIsBetter) {
-  int better = 0;
+TEST_F(RateLimitedDispatcher, NamesTheLimitedServerToTheLeaderOnlyWhereItIsBetter) {
+  int limited_preferred = 0;
   for (int request = 0; request < 100; ++request) {
     const auto choice = dispatcher_.choose(kStart, plain_service(), {}, {}, RateAuthority::kLeader);
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->instance_id, "i2") << "nobody waits for a turn that another server does without";
-    better += choice.rated.empty() ? 0 : 1;
+    limited_preferred += choice.rated_targets.empty() ? 0 : 1;
   }
-  EXPECT_GT(better, 20);
-  EXPECT_LT(better, 80);
+  EXPECT_GT(limited_preferred, 20);
+  EXPECT_LT(limited_preferred, 80);
 }
 
-TEST_F(RatedDispatcher, DoesNotAskAgainWhileTheLeaderHasNoTurn) {
-  Target limited;
+TEST_F(RateLimitedDispatcher, DoesNotAskAgainWhileTheLeaderHasNoTurn) {
+  DispatchTarget limited;
   limited.incarnation = "i1";
-  dispatcher_.note_no_turn(kStart + seconds(1), limited);
+  dispatcher_.note_rate_limited_until(kStart + seconds(1), limited);
   for (int request = 0; request < 50; ++request) {
-    EXPECT_TRUE(dispatcher_.choose(kStart, plain_service(), {}, {}, RateAuthority::kLeader).rated.empty());
+    EXPECT_TRUE(dispatcher_.choose(kStart, plain_service(), {}, {}, RateAuthority::kLeader).rated_targets.empty());
   }
-  const auto alone = dispatcher_.choose(kStart, plain_service(), {}, {"i2"}, RateAuthority::kLeader);
-  ASSERT_EQ(alone.rated.size(), 1U) << "the leader has a queue for those whom nobody else serves";
-  EXPECT_FALSE(alone.target);
+  const auto only_limited = dispatcher_.choose(kStart, plain_service(), {}, {"i2"}, RateAuthority::kLeader);
+  ASSERT_EQ(only_limited.rated_targets.size(), 1U) << "the leader has a queue for those whom nobody else serves";
+  EXPECT_FALSE(only_limited.target);
 }
 
-TEST_F(RatedDispatcher, TellsWhenItsNextTurnComesWhileNoLeaderCounts) {
+TEST_F(RateLimitedDispatcher, TellsWhenItsNextTurnComesWhileNoLeaderCounts) {
   const auto choice = dispatcher_.choose(kStart, plain_service(), {}, {"i2"});
   EXPECT_FALSE(choice.target);
-  EXPECT_EQ(choice.failure, ChoiceFailure::kAllBusy);
-  ASSERT_TRUE(choice.next_turn);
-  EXPECT_LE(*choice.next_turn, kStart + seconds(18)) << "a ninth of half a request a second";
+  EXPECT_EQ(choice.failure, DispatchFailure::kAllBusy);
+  ASSERT_TRUE(choice.next_allowed_at);
+  EXPECT_LE(*choice.next_allowed_at, kStart + seconds(18)) << "a ninth of half a request a second";
 }
 
 // Only the entry that had been told of a limit took notice of its end: where another one sent the request whose answer
 // named none, the limit held on for all.
-TEST_F(RatedDispatcher, ReportsTheEndOfALimitThatOnlyOthersWereTold) {
+TEST_F(RateLimitedDispatcher, ReportsTheEndOfALimitThatOnlyOthersWereTold) {
   EXPECT_TRUE(dispatcher_.note_limit({"i1", std::nullopt, kStart}));
   const auto reported = dispatcher_.take_changed_limits(kStart);
   ASSERT_EQ(reported.size(), 1U);
   EXPECT_FALSE(reported.front().per_second);
   EXPECT_FALSE(dispatcher_.note_limit({"i1", std::nullopt, kStart + milliseconds(10)})) << "told once";
   EXPECT_FALSE(dispatcher_.note_limit({"i2", std::nullopt, kStart})) << "it never named one";
-  EXPECT_EQ(dispatcher_.take_limits(kStart).size(), 1U);
+  EXPECT_EQ(dispatcher_.take_all_limits(kStart).size(), 1U);
 }
 
 // The entry that was told must not wait for the leader's state to hold what the server said.
-TEST_F(RatedDispatcher, ObeysALimitThatItWasToldItselfAtOnce) {
+TEST_F(RateLimitedDispatcher, ObeysALimitThatItWasToldItselfAtOnce) {
   EXPECT_TRUE(dispatcher_.note_limit({"i2", 2.4, kStart}));
   EXPECT_FALSE(dispatcher_.note_limit({"i2", 2.4, kStart + seconds(1)})) << "no news";
-  EXPECT_TRUE(dispatcher_.has_limit_news());
+  EXPECT_TRUE(dispatcher_.has_unreported_limits());
   EXPECT_EQ(dispatcher_.take_changed_limits(kStart).size(), 1U);
   EXPECT_TRUE(dispatcher_.take_changed_limits(kStart).empty());
-  EXPECT_EQ(dispatcher_.take_limits(kStart).size(), 1U) << "for a new leader";
+  EXPECT_EQ(dispatcher_.take_all_limits(kStart).size(), 1U) << "for a new leader";
   const auto choice = dispatcher_.choose(kStart, plain_service(), {}, {}, RateAuthority::kLeader);
   EXPECT_FALSE(choice.target);
-  EXPECT_EQ(choice.rated.size(), 2U);
+  EXPECT_EQ(choice.rated_targets.size(), 2U);
   EXPECT_TRUE(dispatcher_.note_limit({"i2", std::nullopt, kStart + seconds(2)}));
   EXPECT_TRUE(dispatcher_.choose(kStart, plain_service(), {}, {}, RateAuthority::kLeader).target);
 }
--- a/tests/unit/silence_watch_test.cc
+++ b/tests/unit/silence_watch_test.cc
@@ -69,8 +69,8 @@
 TEST(TargetHealth, StreamsAreOverdueByWhatTheyUsedToPause) {
   constexpr Duration kLongestPause = milliseconds(240);
   TargetHealth health;
-  SendingMark mark;
-  health.begin(kStart, mark);
+  AttemptState mark;
+  health.begin_attempt(kStart, mark);
   health.note_first_event(kStart, mark);
   health.note_progress(kStart);
   EXPECT_FALSE(health.is_overdue(kStart + kLongestPause, kLongestPause)) << "nothing is measured yet";
@@ -93,8 +93,8 @@
 TEST(TargetHealth, AStrictObjectiveBoundsWhatIsAllowed) {
   constexpr Duration kLongestPause = milliseconds(60);
   TargetHealth health;
-  SendingMark mark;
-  health.begin(kStart, mark);
+  AttemptState mark;
+  health.begin_attempt(kStart, mark);
   health.note_first_event(kStart, mark);
   health.note_progress(kStart + milliseconds(20));
   EXPECT_FALSE(health.is_overdue(kStart + milliseconds(80), kLongestPause));
--- a/tests/unit/slot_scheduler_test.cc
+++ b/tests/unit/slot_scheduler_test.cc
@@ -38,7 +38,7 @@
   return group;
 }
 
-wire::SlotRequest question(int64_t id, int prompt_tokens = 500) {
+wire::SlotRequest slot_request(int64_t id, int prompt_tokens = 500) {
   wire::SlotRequest request;
   request.id = id;
   request.service_name = "s";
@@ -58,7 +58,7 @@
   }
 
   /// The last verdict on a request that is put now.
-  wire::SlotGrant ask(TimePoint now, const wire::SlotRequest& request, const std::string& node = "n1") {
+  wire::SlotGrant submit(TimePoint now, const wire::SlotRequest& request, const std::string& node = "n1") {
     scheduler_.add_request(now, node, request);
     wire::SlotGrant verdict;
     for (const auto& decision : scheduler_.decide(now, document_)) {
@@ -74,7 +74,7 @@
 TEST_F(SlotSchedulerTest, SpreadsRequestsOfAllEntriesAtOnce) {
   std::map<std::string, int> granted;
   for (int id = 0; id < 4; ++id) {
-    const auto grant = ask(kStart, question(id), "n" + std::to_string(id));
+    const auto grant = submit(kStart, slot_request(id), "n" + std::to_string(id));
     ASSERT_EQ(grant.verdict, wire::SlotVerdict::GRANTED);
     ++granted[grant.group];
   }
@@ -86,24 +86,25 @@
   // Of 250 ms, 85 in 100 may be used: 50 ms write, so 8,000 tokens may be read in a pass.
   int granted = 0;
   for (int id = 0; id < 20; ++id) {
-    granted += ask(kStart, question(id, 2'500)).verdict == wire::SlotVerdict::GRANTED ? 1 : 0;
+    granted += submit(kStart, slot_request(id, 2'500)).verdict == wire::SlotVerdict::GRANTED ? 1 : 0;
   }
   EXPECT_EQ(granted, 8) << "one in the pass that begins at once, three in the next one, in each group";
-  EXPECT_EQ(ask(kStart + milliseconds(50), question(50, 2'500)).verdict, wire::SlotVerdict::QUEUED);
-  EXPECT_EQ(ask(kStart + milliseconds(150), question(51, 2'500)).verdict, wire::SlotVerdict::GRANTED)
+  EXPECT_EQ(submit(kStart + milliseconds(50), slot_request(50, 2'500)).verdict, wire::SlotVerdict::QUEUED);
+  EXPECT_EQ(submit(kStart + milliseconds(150), slot_request(51, 2'500)).verdict, wire::SlotVerdict::GRANTED)
       << "the next pass has begun";
 }
 
 TEST_F(SlotSchedulerTest, NeverGrantsMoreThanTheSlots) {
   int granted = 0;
   for (int id = 0; id < 60; ++id) {
-    granted += ask(kStart + milliseconds(200) * id, question(id, 10)).verdict == wire::SlotVerdict::GRANTED ? 1 : 0;
+    granted +=
+        submit(kStart + milliseconds(200) * id, slot_request(id, 10)).verdict == wire::SlotVerdict::GRANTED ? 1 : 0;
   }
   EXPECT_EQ(granted, 20);
 }
 
 TEST_F(SlotSchedulerTest, CountsASlotOnceWhetherReportedOrNot) {
-  const auto grant = ask(kStart, question(1));
+  const auto grant = submit(kStart, slot_request(1));
   EXPECT_EQ(scheduler_.in_flight(grant.group), 1);
   wire::GroupLoad load;
   load.group = grant.group;
@@ -119,7 +120,7 @@
 }
 
 TEST_F(SlotSchedulerTest, ALostNodeGivesItsSlotsBack) {
-  const auto grant = ask(kStart, question(1));
+  const auto grant = submit(kStart, slot_request(1));
   wire::GroupLoad load;
   load.group = "g1";
   load.in_flight = 4;
@@ -136,12 +137,12 @@
     full.group = group;
     scheduler_.note_loads("n2", {full}, false, kTerm, 0);
   }
-  EXPECT_EQ(ask(kStart, question(1)).verdict, wire::SlotVerdict::QUEUED);
+  EXPECT_EQ(submit(kStart, slot_request(1)).verdict, wire::SlotVerdict::QUEUED);
   EXPECT_TRUE(scheduler_.decide(kStart + milliseconds(40), document_).empty()) << "told once";
   const auto decisions = scheduler_.decide(kStart + milliseconds(81), document_);
   ASSERT_EQ(decisions.size(), 1U);
   EXPECT_EQ(decisions.front().grant.verdict, wire::SlotVerdict::BUSY);
-  EXPECT_EQ(scheduler_.waiting(), 0U);
+  EXPECT_EQ(scheduler_.waiting_count(), 0U);
 }
 
 TEST_F(SlotSchedulerTest, RoomGoesToTheMostUrgentThatWaits) {
@@ -151,12 +152,12 @@
     full.group = group;
     scheduler_.note_loads("n2", {full}, false, kTerm, 0);
   }
-  auto ordinary = question(1);
+  auto ordinary = slot_request(1);
   ordinary.priority = 3;
-  auto urgent = question(2);
+  auto urgent = slot_request(2);
   urgent.priority = 1;
-  ask(kStart, ordinary);
-  ask(kStart, urgent);
+  submit(kStart, ordinary);
+  submit(kStart, urgent);
   full.in_flight = 9;
   scheduler_.note_loads("n2", {full}, false, kTerm, 0);
   const auto decisions = scheduler_.decide(kStart + milliseconds(10), document_);
@@ -171,10 +172,10 @@
     full.group = group;
     scheduler_.note_loads("n2", {full}, false, kTerm, 0);
   }
-  auto late = question(1);
+  auto late = slot_request(1);
   late.first_event_ms = 65;
-  ask(kStart, late);
-  ask(kStart, question(2));
+  submit(kStart, late);
+  submit(kStart, slot_request(2));
   full.in_flight = 9;
   scheduler_.note_loads("n2", {full}, false, kTerm, 0);
   auto decisions = scheduler_.decide(kStart + milliseconds(10), document_);
@@ -190,41 +191,41 @@
 }
 
 TEST_F(SlotSchedulerTest, LeavesTheDecisionToTheEntryWhereItKnowsNoGroup) {
-  auto request = question(1);
+  auto request = slot_request(1);
   request.model = "other";
-  EXPECT_EQ(ask(kStart, request).verdict, wire::SlotVerdict::UNDECIDED);
+  EXPECT_EQ(submit(kStart, request).verdict, wire::SlotVerdict::UNDECIDED);
   auto closed = open_group("g1");
   closed.phase = wire::GroupPhase::DRAINING;
   scheduler_.set_groups({closed});
-  EXPECT_EQ(ask(kStart, question(2)).verdict, wire::SlotVerdict::UNDECIDED);
+  EXPECT_EQ(submit(kStart, slot_request(2)).verdict, wire::SlotVerdict::UNDECIDED);
 }
 
 TEST_F(SlotSchedulerTest, SendsNothingToGroupsThatTheEntryAvoids) {
   for (int id = 0; id < 4; ++id) {
-    auto request = question(id);
+    auto request = slot_request(id);
     request.excluded_groups = {"g1"};
-    EXPECT_EQ(ask(kStart, request).group, "g2");
+    EXPECT_EQ(submit(kStart, request).group, "g2");
   }
 }
 
 TEST_F(SlotSchedulerTest, PrefersGroupsWhoseStreamsGoOn) {
-  scheduler_.note_quiet(kStart, "n1", {"g1"});
-  EXPECT_EQ(ask(kStart, question(1)).group, "g1") << "one node's word is not enough";
-  scheduler_.note_quiet(kStart, "n2", {"g1"});
+  scheduler_.note_quiet_groups(kStart, "n1", {"g1"});
+  EXPECT_EQ(submit(kStart, slot_request(1)).group, "g1") << "one node's word is not enough";
+  scheduler_.note_quiet_groups(kStart, "n2", {"g1"});
   for (int id = 2; id < 5; ++id) {
-    EXPECT_EQ(ask(kStart, question(id)).group, "g2");
+    EXPECT_EQ(submit(kStart, slot_request(id)).group, "g2");
   }
-  scheduler_.note_quiet(kStart, "n1", {"g1", "g2"});
-  scheduler_.note_quiet(kStart, "n2", {"g1", "g2"});
-  EXPECT_EQ(ask(kStart, question(5)).verdict, wire::SlotVerdict::GRANTED) << "better than none";
-  scheduler_.note_quiet(kStart, "n2", {"g2"});
-  EXPECT_EQ(ask(kStart, question(6)).group, "g1") << "its streams go on again";
-  EXPECT_EQ(ask(kStart + seconds(2), question(7)).verdict, wire::SlotVerdict::GRANTED);
+  scheduler_.note_quiet_groups(kStart, "n1", {"g1", "g2"});
+  scheduler_.note_quiet_groups(kStart, "n2", {"g1", "g2"});
+  EXPECT_EQ(submit(kStart, slot_request(5)).verdict, wire::SlotVerdict::GRANTED) << "better than none";
+  scheduler_.note_quiet_groups(kStart, "n2", {"g2"});
+  EXPECT_EQ(submit(kStart, slot_request(6)).group, "g1") << "its streams go on again";
+  EXPECT_EQ(submit(kStart + seconds(2), slot_request(7)).verdict, wire::SlotVerdict::GRANTED);
 }
 
 TEST_F(SlotSchedulerTest, APromptThatIsLateAnywhereIsNotHeldBack) {
-  auto request = question(1, 40'000);
-  EXPECT_EQ(ask(kStart, request).verdict, wire::SlotVerdict::GRANTED);
+  auto request = slot_request(1, 40'000);
+  EXPECT_EQ(submit(kStart, request).verdict, wire::SlotVerdict::GRANTED);
 }
 
 // ---------------------------------------------------------------- forecasts
--- a/tests/unit/target_health_test.cc
+++ b/tests/unit/target_health_test.cc
@@ -12,18 +12,18 @@
 
 TEST(TargetHealth, CountsWaitingPromptsAndStreams) {
   TargetHealth health;
-  SendingMark first{1000, false};
-  SendingMark second{500, false};
-  health.begin(kStart, first);
-  health.begin(kStart, second);
+  AttemptState first{1000, false};
+  AttemptState second{500, false};
+  health.begin_attempt(kStart, first);
+  health.begin_attempt(kStart, second);
   EXPECT_EQ(health.in_flight(), 2);
   EXPECT_DOUBLE_EQ(health.waiting_tokens(), 1500);
   health.note_first_event(kStart, first);
   health.note_first_event(kStart, first);
   EXPECT_EQ(health.streaming(), 1) << "later events change nothing";
   EXPECT_DOUBLE_EQ(health.waiting_tokens(), 500);
-  health.end(first);
-  health.end(second);
+  health.end_attempt(first);
+  health.end_attempt(second);
   EXPECT_EQ(health.in_flight(), 0);
   EXPECT_EQ(health.streaming(), 0);
   EXPECT_DOUBLE_EQ(health.waiting_tokens(), 0);
@@ -31,10 +31,10 @@
 
 TEST(TargetHealth, IsQuietOnlyWhenAStreamPausesForTooLong) {
   TargetHealth health;
-  SendingMark mark{1000, false};
-  health.begin(kStart, mark);
+  AttemptState attempt{1000, false};
+  health.begin_attempt(kStart, attempt);
   EXPECT_FALSE(health.is_quiet(kStart + seconds(5), kLongestPause)) << "prompts may take long to read";
-  health.note_first_event(kStart, mark);
+  health.note_first_event(kStart, attempt);
   EXPECT_FALSE(health.is_quiet(kStart + milliseconds(290), kLongestPause));
   EXPECT_TRUE(health.is_quiet(kStart + milliseconds(310), kLongestPause));
   health.note_progress(kStart + milliseconds(320));
@@ -43,11 +43,11 @@
 
 TEST(TargetHealth, BelievesOtherEntriesWhereItHasNoStreamOfItsOwn) {
   TargetHealth health;
-  OthersLoad others;
+  OtherEntriesLoad others;
   others.in_flight = 3;
   others.streaming = 2;
   others.last_progress = kStart;
-  health.set_others(others);
+  health.set_other_entries_load(others);
   EXPECT_EQ(health.total_in_flight(), 3);
   EXPECT_FALSE(health.is_quiet(kStart + milliseconds(400), kLongestPause)) << "their news are late";
   EXPECT_TRUE(health.is_quiet(kStart + milliseconds(600), kLongestPause));
--- a/tests/unit/zone_evacuations_test.cc
+++ b/tests/unit/zone_evacuations_test.cc
@@ -175,12 +175,12 @@
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->group, "g2");
   }
-  EXPECT_FALSE(dispatcher.is_emptied("s", "m"));
+  EXPECT_FALSE(dispatcher.are_all_servers_evacuated("s", "m"));
   auto both = evacuated("a", 2);
   both.zones.emplace_back("b");
   dispatcher.update_evacuations(both);
   EXPECT_FALSE(dispatcher.choose(kStart + seconds(9), service, {"m", {}, 10}, {}).target);
-  EXPECT_TRUE(dispatcher.is_emptied("s", "m"));
+  EXPECT_TRUE(dispatcher.are_all_servers_evacuated("s", "m"));
 }
 
 TEST(Dispatcher, ChoosesNoPlainInstanceInAnEvacuatedZone) {
