--- a/src/core/fleet/dispatcher.cc
+++ b/src/core/fleet/dispatcher.cc
@@ -457,7 +457,7 @@
 
 void Dispatcher::restart_silence_timers(TimePoint now) {
   for (auto& [key, health] : health_) {
-    health.restart_silence_timers(now);
+    health.restart_silence_timer(now);
   }
 }
 
--- a/src/core/fleet/target_health.cc
+++ b/src/core/fleet/target_health.cc
@@ -36,7 +36,7 @@
   }
 }
 
-void TargetHealth::restart_silence_timers(TimePoint now) {
+void TargetHealth::restart_silence_timer(TimePoint now) {
   busy_since_ = now;
   streaming_since_ = now;
 }
--- a/src/core/fleet/target_health.h
+++ b/src/core/fleet/target_health.h
@@ -39,7 +39,7 @@
   void set_permits(int permits) { permits_ = permits; }
   bool has_permit() const { return permits_ > 0; }
   /// Silence counts from now on: until now this entry itself did not look.
-  void restart_silence_timers(TimePoint now);
+  void restart_silence_timer(TimePoint now);
   void avoid_until(TimePoint until) { avoid_until_ = until; }
 
   int in_flight() const { return in_flight_; }
--- a/tests/unit/server_notices_test.cc
+++ b/tests/unit/server_notices_test.cc
@@ -51,10 +51,10 @@
   EXPECT_EQ(retry_after_text(seconds(30)), "30");
   EXPECT_EQ(retry_after_text(milliseconds(2050)), "2.05");
   for (int wait_ms = 1; wait_ms < 4000; ++wait_ms) {
-    const auto parsed = parse_retry_after(retry_after_text(milliseconds(wait_ms)));
-    EXPECT_EQ(parsed.reading, RetryAfterReading::kExact);
-    EXPECT_GE(parsed.rest, milliseconds(wait_ms));
-    EXPECT_LE(parsed.rest, milliseconds(wait_ms + 10));
+    const auto round_trip = parse_retry_after(retry_after_text(milliseconds(wait_ms)));
+    EXPECT_EQ(round_trip.reading, RetryAfterReading::kExact);
+    EXPECT_GE(round_trip.rest, milliseconds(wait_ms));
+    EXPECT_LE(round_trip.rest, milliseconds(wait_ms + 10));
   }
 }
 
