--- a/src/core/fleet/blocked_requests.cc
+++ b/src/core/fleet/blocked_requests.cc
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// How long an entry's own sight blocks a request. The leader decides within a fraction of a second; an election takes
-/// one to two.
+/// How long the observations of an entry alone block a request. The leader normally decides within a fraction of a
+/// second; an election takes one to two seconds.
 constexpr Duration kLocalBlockTime = seconds(10);
-/// Ends told to a new leader. Blocks stand in the state that it inherits; these are of requests that are not blocked
-/// yet.
+/// Maximum ends reported to a new leader. Blocked requests are part of the state that it inherits; these ends concern
+/// requests that are not blocked yet.
 constexpr size_t kMaxRecentEnds = 64;
-/// Unreported ends kept while nobody leads.
+/// Maximum unreported ends kept while there is no leader.
 constexpr size_t kMaxUnreportedEnds = 1024;
 
 wire::RequestServerEnd make_report(TimePoint now, const ServerEnd& end) {
@@ -49,7 +49,7 @@
   }
   for (const auto& [request, row] : rows_) {
     if (!updated_rows.contains(request)) {
-      ends_.forget(request);  // Freed: what was seen of it before is settled.
+      ends_.forget(request);  // Unblocked: earlier ends no longer count.
     }
   }
   rows_ = std::move(updated_rows);
@@ -84,7 +84,7 @@
   }
   ends_.forget_old(end.at);
   if (end.certainty == Certainty::kLikely) {
-    return ends_.count(end.request);  // The leader hears the servers' reports, which may show the contrary.
+    return ends_.count(end.request);  // The leader also gets the servers' reports, which may refute it.
   }
   const size_t count = ends_.note(end);
   if (count >= kServerEndsToBlock) {
--- a/src/core/fleet/blocked_requests.h
+++ b/src/core/fleet/blocked_requests.h
@@ -11,53 +11,57 @@
 
 namespace larchlever::fleet {
 
-/// A request under which this many servers ended is sent to no further one.
+/// Number of servers that must end while running a request before the request is blocked.
 constexpr size_t kServerEndsToBlock = 3;
 
-/// An entry's knowledge of requests that end servers: what it saw itself, to be reported to the leader, and what the
-/// leader decided from the words of all entries.
+/// An entry's view of requests that end the servers that run them. Combines the ends that this entry observed, which it
+/// reports to the leader, with the decisions that the leader published from the reports of all entries.
 ///
-/// While the leader's decision is on its way, or nobody leads, the entry's own sight decides: three ends seen here are
-/// enough. A request that a server answered here of late ends none: where several servers end at once for another
-/// reason, popular requests run at many of them. An entry that is told of the block of such a request objects to it.
-/// Single-threaded, deterministic.
+/// While the leader's decision is pending, or there is no leader, the entry's own observations decide: three ends
+/// observed here block a request. A request that a server answered recently is not held responsible for an end: when
+/// several servers end at once for another reason, popular requests are running on many of them. If the leader blocks
+/// such a request, the entry reports that it was answered. Single-threaded, deterministic.
 class BlockedRequests {
  public:
   enum class Verdict {
-    kAllowed,   ///< To be sent as any other.
-    kTrialDue,  ///< Blocked, but the leader may grant one sending.
+    kAllowed,   ///< May be sent like any other request.
+    kTrialDue,  ///< Blocked, but the leader may grant one trial attempt.
     kBlocked
   };
 
-  /// Takes the leader's rows.
+  /// Replaces the published rows with the latest ones from the leader.
   void update(TimePoint now, const std::vector<wire::BlockedRequest>& rows);
   Verdict verdict_for(TimePoint now, requests::RequestFingerprint request) const;
-  /// How long from now the request is blocked at least; zero for one that is not.
+  /// Minimum time for which the request stays blocked; zero if it is not blocked.
   Duration remaining_block_time(TimePoint now, requests::RequestFingerprint request) const;
 
-  /// A server ended while this entry's request ran there. Returns how many ends count against the request here.
+  /// A server ended while it ran this request for the entry. Returns the number of ends that this entry counts against
+  /// the request.
   size_t note_server_end(const ServerEnd& end);
-  /// A server ran the request and answered.
+  /// A server ran the request and answered it.
   void note_answered(TimePoint now, requests::RequestFingerprint request);
-  /// What the leader was not told yet; called once for each report.
+  /// Removes and returns what was not reported to the leader yet.
   std::vector<wire::RequestServerEnd> take_unreported_ends(TimePoint now);
   std::vector<int64_t> take_answered_requests();
-  /// The newest ends known here, for a leader that has just begun.
+  /// The most recent ends observed here, for a newly elected leader.
   std::vector<wire::RequestServerEnd> recent_ends(TimePoint now) const;
   bool has_unreported() const { return !unreported_ends_.empty() || !unreported_answered_.empty(); }
 
  private:
   struct ReceivedRow {
     wire::BlockedRequest row;
+    /// When this version of the row first arrived.
     TimePoint received_at{};
   };
 
+  /// Clears what counts against the request and queues a report that it was answered.
   void report_answered(requests::RequestFingerprint request);
 
   ServerEnds ends_;
   requests::RecentlyAnswered recently_answered_;
   std::map<requests::RequestFingerprint, ReceivedRow> rows_;
   std::vector<ServerEnd> unreported_ends_;
+  /// Fingerprints.
   std::vector<int64_t> unreported_answered_;
 };
 
--- a/src/core/fleet/dispatcher.cc
+++ b/src/core/fleet/dispatcher.cc
@@ -11,31 +11,31 @@
 
 namespace {
 
-/// A target that made progress more recently than this for another request is not taken for dead.
+/// A failure does not count against a target that made progress for another request more recently than this.
 constexpr Duration kRecentProgressAge = milliseconds(700);
 /// Progress older than this is not reported.
 constexpr Duration kMaxReportedProgressAge = seconds(3);
-/// A healthy group's pause may be this much of the cost model's longest pass, and this time on the way.
+/// Tolerance for pauses of a healthy group: this percentage of the longest pass of the cost model, plus network delay.
 constexpr int kPauseTolerancePercent = 120;
 constexpr Duration kPauseSlack = milliseconds(40);
 constexpr Duration kDefaultLongestPause = seconds(1);
-/// A group whose streams pause for this many times the longest pause stands still.
+/// A group counts as stalled after this multiple of the longest expected pause.
 constexpr int kStallPauseMultiple = 2;
-/// Share of the budget that entries use: they learn of each other with a delay.
+/// Fraction of the retry budget that entries use, because they learn about each other with a delay.
 constexpr double kUsableBudgetShare = 0.7;
-/// Share of a head's slots that may be filled: the loads of other entries are known with a delay.
+/// Fraction of a head's slots that may be filled, because the load of other entries is known with a delay.
 constexpr double kUsableSlotShare = 0.92;
-/// What a target in another zone costs, in requests in flight, and in milliseconds to the first event.
+/// Penalty for a target in another zone, in requests in flight and in milliseconds to the first event.
 constexpr double kOtherZonePenaltyRequests = 1.0;
 constexpr double kOtherZonePenaltyMs = 2.0;
-/// Not every entry uses its part of the free places: this many times as many are handed out.
+/// Factor by which permits exceed the free slots, because not every entry uses its share.
 constexpr double kPermitOverbooking = 2.0;
-/// Loads of other entries are this old, and permits are drawn anew as often.
+/// Update interval of other entries' loads; permits are recalculated as often.
 constexpr Duration kPermitRefreshInterval = milliseconds(100);
-/// How long loads of other entries count: as many as four answers to an entry that asks for them.
+/// How long reported loads of other entries are valid: four update intervals of an entry that requests them.
 constexpr Duration kReportedLoadLifetime = seconds(1);
-/// Groups drawn by lot, of which the best is taken: were all entries to take the best of all by what they last heard,
-/// they would all take the same one.
+/// Number of randomly sampled groups, of which the best one is chosen. If all entries chose the best of all groups from
+/// the same reported loads, they would all choose the same one.
 constexpr size_t kSampledGroups = 3;
 
 }  // namespace
@@ -150,8 +150,8 @@
 }
 
 void Dispatcher::expire_reported_loads(TimePoint now) {
-  // Loads are told only while nobody leads. Kept beyond that, streams that others had once would seem to stand still,
-  // and their group would be left alone for good: nothing sent there, nothing is seen to the contrary.
+  // Loads are reported only while there is no leader. If kept longer, streams that other entries once had would look
+  // stalled, and the group would be avoided forever, because without new requests nothing would show that it works.
   if (loads_reported_at_ != TimePoint::min() && now - loads_reported_at_ > kReportedLoadLifetime) {
     clear_reported_loads();
   }
@@ -300,7 +300,7 @@
     list.emplace_back(&group, head);
   }
   if (open.empty()) {
-    open = std::move(quiet);  // Better than none: all may pause for a reason of their own.
+    open = std::move(quiet);  // Better than no target: all groups may pause for a legitimate reason.
   }
   DispatchDecision choice;
   if (open.empty()) {
@@ -396,7 +396,7 @@
 std::optional<TimePoint> Dispatcher::all_backing_off_until(TimePoint now, const std::string& service,
                                                            const std::string& model) const {
   if (notices_.size() == 0) {
-    return std::nullopt;  // Asked for each request: servers are looked at only where one has asked for rest.
+    return std::nullopt;  // Fast path, because this is called for each request.
   }
   TimePoint first = TimePoint::max();
   for (const auto* server : available_servers(service, model)) {
--- a/src/core/fleet/dispatcher.h
+++ b/src/core/fleet/dispatcher.h
@@ -24,144 +24,152 @@
 
 /// Where a request may be sent: a plain instance, or the head of an open group.
 struct DispatchTarget {
-  /// The group's name, or the instance's incarnation where there is no group. Load and failures are counted under it,
-  /// so that nothing of an earlier start is held against a later.
+  /// The group's name, or the instance's incarnation if it is in no group. Load and failures are counted under this
+  /// key, so those of an earlier incarnation do not affect a later one.
   std::string key;
   std::string service;
   std::string group;
   std::string instance_id;
   std::string address;
-  /// Requests in flight there when it was chosen, this one not counted.
+  /// Requests in flight at the target when it was chosen, without this one.
   int in_flight = 0;
-  /// The start of the server that the request is meant for: its id, and its birth where it tells one.
+  /// The server incarnation that the request is meant for: the instance id, with its start time if the instance reports
+  /// one.
   std::string incarnation = {};
-  /// Zones of the servers that the request reaches.
+  /// Zones of the servers that process the request.
   std::vector<std::string> zones = {};
 };
 
-/// What a request asks of a service; model, latency and tokens are ignored for plain ones.
+/// Requirements of a request. Plain services ignore model, latency and tokens.
 struct RequestRequirements {
   std::string model;
-  /// Time to the first event that its route aims at.
+  /// Target for the time to the first event, from the route.
   Duration target_latency{};
   double prompt_tokens = 0;
-  /// Zones of its home regions; null when it may run anywhere.
+  /// Zones of the allowed regions; null if the request may run anywhere.
   const std::set<std::string>* allowed_zones = nullptr;
 };
 
 enum class DispatchFailure { kNone, kNoTarget, kAllBusy };
 
-/// How long a target is avoided after it failed; the leader has decided about it by then.
+/// How long a target is avoided after a failure; the leader has decided about it by then.
 constexpr Duration kAvoidanceTime = seconds(2);
 
-/// Who decides whether a plain server that takes only so many requests a second gets one more.
+/// Who decides whether a rate-limited plain server may get another request.
 enum class RateAuthority {
-  kLeader,      ///< Counts for all entries; to be asked.
-  kLocalShare,  ///< This entry, by its part of the rate, while no leader answers.
+  kLeader,      ///< Counts requests of all entries and must be asked.
+  kLocalShare,  ///< This entry, using its share of the rate while no leader is reachable.
 };
 
 struct DispatchDecision {
   std::optional<DispatchTarget> target;
   DispatchFailure failure = DispatchFailure::kNone;
-  /// Where the leader has to be asked: plain servers that are better than `target`, or all there are, the best first.
+  /// Rate-limited plain servers for which the leader must be asked, best first: those better than `target`, or all of
+  /// them if there is no `target`.
   std::vector<DispatchTarget> rated_targets;
-  /// Without a target and where only rates hold the request back: when this entry's next turn comes.
+  /// When this entry may next send, if there is no target and only rate limits prevent sending.
   std::optional<TimePoint> next_allowed_at;
 };
 
-/// An entry's choice of where each request goes, by the fleet's state, the load that all entries report, and what it
-/// saw itself. Single-threaded, deterministic for a given seed.
+/// Chooses the target of each request at an entry, based on the fleet state, the load reported by all entries, and the
+/// entry's own observations. Single-threaded, deterministic for a given seed.
 class Dispatcher {
  public:
   Dispatcher(const FleetOptions& options, std::string zone, uint64_t seed);
 
-  /// Takes the leader's state. Returns the keys of targets whose server started again: what is under way there is lost.
+  /// Updates the fleet state from the leader. Returns the keys of targets whose server restarted; their in-flight
+  /// requests are lost.
   std::vector<std::string> update_state(const wire::FleetState& state);
   void update_services(const std::map<std::string, document::ServiceSpec>& services);
-  /// What all entries, this one included, have under way per group, as of `now`.
+  /// Updates the total in-flight load of each group over all entries, including this one, as of `now`.
   void update_loads(TimePoint now, const std::vector<wire::GroupLoad>& totals);
-  /// Takes the zones whose servers get no requests.
+  /// Updates the zones whose servers get no requests.
   void update_evacuations(const wire::ZoneEvacuations& evacuations) { evacuations_ = evacuations; }
   void set_serving_nodes(int count) { serving_nodes_ = count < 1 ? 1 : count; }
 
-  /// The service of a route for one request, drawn by weight.
+  /// Chooses one of the services of the route at random, by weight.
   const std::string& choose_service(const document::Route& route);
-  /// The least loaded target that is not excluded. Groups are filled only so far that the demand's objective
-  /// is expected to hold.
+  /// Chooses the least loaded target that is not excluded. Groups get requests only as long as they are expected to
+  /// meet the latency target.
   DispatchDecision choose(TimePoint now, const document::ServiceSpec& service, const RequestRequirements& requirements,
                           const std::set<std::string>& excluded, RateAuthority authority = RateAuthority::kLocalShare);
-  /// The leader has no room at the server until then: others are preferred.
+  /// The leader cannot grant a request to the server before `until`; other servers are preferred until then.
   void note_rate_limited_until(TimePoint until, const DispatchTarget& target) {
     rate_limited_until_[target.incarnation] = until;
   }
-  /// The head of an open group that is not avoided; nothing when this entry knows of none of that name.
+  /// The head of the open group, unless the group is avoided or unknown to this entry.
   std::optional<DispatchTarget> target_of_group(TimePoint now, const std::string& group);
-  /// This entry stood still until now, and what its targets sent meanwhile was not read: their silence is its own.
+  /// Restarts the silence timers of all targets after this entry was paused: it read no responses meanwhile, so the
+  /// silence is not the fault of the targets.
   void restart_silence_timers(TimePoint now);
-  /// Groups of a model that this entry avoids, whose streams pause too long, or whose head rests or leaves.
+  /// Groups of a model that are avoided, whose streams pause too long, or whose head asked for a backoff or is shutting
+  /// down.
   std::vector<std::string> groups_to_avoid(TimePoint now, const std::string& service, const std::string& model);
-  /// A request for a model arrived, with its own statement of prompt and answer, in tokens.
+  /// Records a request for a model, with the prompt and answer sizes that it states, in tokens.
   void record_demand(const std::string& service, const RequestRequirements& requirements,
                      const engine::RequestSizes& sizes);
-  /// A request for a model aims at no pause between events longer than `gap`: no pass of its groups is let grow longer.
+  /// Records the objective of a request that pauses between events do not exceed `gap`. Groups of the model are
+  /// expected to keep the smallest objective.
   void record_gap_objective(const std::string& service, const std::string& model, Duration gap);
   /// Groups whose streams at this entry pause too long.
   std::vector<std::string> quiet_groups(TimePoint now) const;
-  /// Totals of what `record_demand` was told since the start, to be reported.
+  /// Demand totals since the start, to be reported to the leader.
   std::vector<wire::ModelDemand> demand_totals() const;
-  /// Brackets one sending; the load counts between them.
+  /// Marks the start and the end of a request attempt, during which it counts as load.
   void begin_attempt(TimePoint now, const DispatchTarget& target, const AttemptState& attempt = {});
   void end_attempt(const DispatchTarget& target, const AttemptState& attempt = {});
-  /// The target answered or made progress.
+  /// The target responded or made progress.
   void note_progress(TimePoint now, const DispatchTarget& target);
-  /// The sending's first event arrived.
+  /// The first event of the attempt arrived.
   void note_first_event(TimePoint now, const DispatchTarget& target, AttemptState& attempt);
-  /// The target refused, reset or stood still. True when it is now to be avoided: what else is under way there will not
-  /// come back either.
+  /// The target refused or reset the connection, or stalled. Returns true if the target is now avoided; its other
+  /// in-flight requests will not be answered either.
   bool note_failure(TimePoint now, const DispatchTarget& target);
 
-  /// Groups where requests of this entry wait although none made progress for longer than `patience`, and
-  /// `timeout_per_request` for each that waits: a group that got many at once reads all their prompts first. Less
-  /// patience is shown where streams had begun.
+  /// Groups where requests of this entry are in flight but none made progress for longer than `base_timeout` plus
+  /// `timeout_per_request` for each of them: a group that gets many requests at once first processes all their prompts.
+  /// The timeout is shorter if streams have started.
   std::vector<DispatchTarget> stalled_groups(TimePoint now, Duration base_timeout, Duration timeout_per_request) const;
-  /// What the target's server asked for in its answer. `note_leaving` returns true when that is news.
+  /// Records a Retry-After delay or a shutdown announcement in a response. `note_leaving` returns true for the first
+  /// announcement.
   void note_retry_after(TimePoint now, const DispatchTarget& target, Duration delay) {
     notices_.note_retry_after(now, target.incarnation, delay);
   }
   bool note_leaving(TimePoint now, const DispatchTarget& target) {
     return notices_.note_leaving(now, target.incarnation);
   }
-  /// What an answer said of its server's limit. True when the limit changes.
+  /// Records the rate limit in a response. Returns true if the known limit changed.
   bool note_limit(const LimitObservation& observation);
-  /// A limit changed since it was last taken to be reported.
+  /// Whether a limit changed since limits were last taken for a report.
   bool has_unreported_limits() const { return !unreported_limits_.empty(); }
-  /// What this entry knows of limits by itself: what changed since the last call, and all of it.
+  /// Limits observed by this entry: those that changed since the last call, and all of them.
   std::vector<LimitObservation> take_changed_limits(TimePoint now);
   std::vector<LimitObservation> take_all_limits(TimePoint now);
-  /// Whether the target's server takes requests of this entry now: it neither rests nor leaves, and its zone is not
-  /// evacuated.
+  /// Whether the target may be sent requests now: its server did not ask for a backoff or announce its shutdown, and
+  /// its zones are not evacuated.
   bool may_send(TimePoint now, const DispatchTarget& target) const;
-  /// Every server that runs the model stands in an evacuated zone; for plain services the model is empty.
-  /// Where `allowed_zones` is not null, only servers there count.
+  /// Whether all servers of the model are in evacuated zones; the model is empty for plain services. If `allowed_zones`
+  /// is not null, only servers in these zones count.
   bool are_all_servers_evacuated(const std::string& service, const std::string& model,
                                  const std::set<std::string>* allowed_zones = nullptr) const;
-  /// When the first of the servers that serve the model rests no longer, if all of them rest now; for plain services
-  /// the model is empty. Servers that leave do not count.
+  /// If all servers of the model currently back off, the time when the first backoff ends; the model is empty for plain
+  /// services. Servers that are shutting down do not count.
   std::optional<TimePoint> all_backing_off_until(TimePoint now, const std::string& service,
                                                  const std::string& model) const;
 
-  /// The group is to be avoided for a while.
+  /// Avoids the target for `kAvoidanceTime`.
   void avoid_target(TimePoint now, const std::string& key) { health_[key].avoid_until(now + kAvoidanceTime); }
 
-  /// Counts a request, and says whether one more sending of it fits this entry's part of the retry budget.
+  /// The retry budget: `note_request` counts a request, `try_take_retry` consumes a retry if this entry's share of the
+  /// budget allows it.
   void note_request(TimePoint now, const std::string& service);
   bool try_take_retry(TimePoint now, const std::string& service);
-  /// How many more `try_take_retry` would grant now.
+  /// How many retries `try_take_retry` would grant now.
   int remaining_retries(TimePoint now, const std::string& service);
 
-  /// This entry's in-flight requests per group, to be reported.
+  /// This entry's load per group, to be reported to the leader.
   std::vector<wire::GroupLoad> group_loads(TimePoint now) const;
-  /// The same for those that changed since the last call.
+  /// The same for groups whose load changed since the last call.
   std::vector<wire::GroupLoad> take_changed_group_loads(TimePoint now);
   /// Groups that this entry avoids now.
   std::vector<wire::GroupFailure> group_failures(TimePoint now) const;
@@ -172,57 +180,64 @@
     std::deque<TimePoint> retries;
   };
 
-  /// Forgets the health of targets that exist no more.
+  /// Removes the health records of targets that no longer exist.
   void remove_unknown_targets();
+  /// Removes rate state of servers that are no longer rate-limited.
   void remove_unrated_servers();
   void clear_reported_loads();
-  /// Forgets what other entries had under way when nobody told of it lately.
+  /// Clears the load of other entries if it was not updated recently.
   void expire_reported_loads(TimePoint now);
+  /// Load of a plain instance in requests in flight, with a penalty for another zone and a random tie-breaker.
   double instance_cost(const std::string& key, const std::string& zone);
-  /// Longest pause between events of a healthy group of this service and model.
+  /// Maximum expected pause between events of a healthy group of this service and model.
   Duration longest_pause(const std::string& service, const std::string& model) const;
-  /// The instance of that id, if it takes requests.
+  /// The instance with this id if it is available, otherwise null.
   const wire::Instance* find_available_instance(const std::string& id) const;
-  /// The head of the group, if the group serves that model and its head takes requests.
+  /// The head of the group if the group is open and serves this model and the head is available, otherwise null.
   const wire::Instance* available_head(const wire::EngineGroup& group, const std::string& service,
                                        const std::string& model) const;
   bool is_available(const wire::Instance& instance) const;
-  /// The request has no homes, or the group's servers all stand in them.
+  /// Whether all servers of the group are in zones that the request allows.
   static bool is_in_allowed_zones(const RequestRequirements& requirements, const wire::EngineGroup& group,
                                   const wire::Instance& head);
-  /// Zones that a request to the group reaches; its head's for a group formed by an earlier version.
+  /// Zones of the group's members. Groups formed by an earlier version do not list them; the zone of the head is used
+  /// then.
   static std::vector<std::string> group_zones(const wire::EngineGroup& group, const wire::Instance& head);
-  /// The limit that the incarnation names, by its answers here and by what other entries reported.
+  /// The rate limit of the incarnation: the lower one of this entry's observation and the limit that the leader
+  /// published.
   std::optional<double> known_limit(const std::string& incarnation) const;
-  /// Requests a second that the instance takes from all entries; 0 for any number.
+  /// Requests per second that the instance accepts from all entries; 0 means no limit.
   double rate_limit_of(const document::ServiceSpec& service, const wire::Instance& instance,
                        const std::string& incarnation) const;
   void note_rated_attempt(TimePoint now, const document::ServiceSpec& service, const wire::Instance& instance);
-  /// Servers that take the requests of a service, heads of open groups where it has a model.
+  /// Available servers of a service; heads of open groups if a model is given.
   std::vector<const wire::Instance*> available_servers(const std::string& service, const std::string& model) const;
   /// An open group and its head.
   using OpenGroup = std::pair<const wire::EngineGroup*, const wire::Instance*>;
   DispatchTarget make_target(const wire::EngineGroup& group, const wire::Instance& head);
-  /// Expected time to the first event there, in milliseconds.
+  /// Expected time to the first event of the group, in milliseconds, with a penalty for another zone.
   double group_cost_ms(const document::ServiceSpec& service, const RequestRequirements& requirements,
                        const OpenGroup& candidate) const;
   size_t cheapest_of_sample(const document::ServiceSpec& service, const RequestRequirements& requirements,
                             std::vector<OpenGroup>& open);
-  /// Draws this entry's part of the free places of each group of the model, each of which holds `most`. All entries
-  /// know the same free places at the same time: were each to take them, a group would get many times what it has room
-  /// for.
+  /// Recalculates this entry's random share of the free slots of each group of the model, each of which holds
+  /// `in_flight_limit` requests. All entries see the same free slots at the same time; without shares, a group would
+  /// get many times the requests that it has room for.
   void refresh_permits(TimePoint now, const std::string& service, const std::string& model, int in_flight_limit);
   DispatchDecision choose_group(TimePoint now, const document::ServiceSpec& service,
                                 const RequestRequirements& requirements, const std::set<std::string>& excluded);
+  /// Maximum requests in flight per group that meets the latency target.
   int max_in_flight(const document::ServiceSpec& service, const RequestRequirements& requirements) const;
   /// A plain instance that may get the request.
   struct InstanceCandidate {
     const wire::Instance* instance = nullptr;
     std::string incarnation;
     double rate = 0;
+    /// Avoided, or it stopped reporting to the control replicas.
     bool is_suspect = false;
     double cost = 0;
   };
+  /// Available instances, best first.
   std::vector<InstanceCandidate> rank_instances(TimePoint now, const document::ServiceSpec& service,
                                                 const RequestRequirements& requirements,
                                                 const std::set<std::string>& excluded);
@@ -232,7 +247,7 @@
                                    RateAuthority authority);
   DispatchDecision choose_by_local_share(TimePoint now, const document::ServiceSpec& service,
                                          const std::vector<InstanceCandidate>& candidates);
-  /// Names the rated servers that the leader is to be asked for, where one of them is the best choice.
+  /// Lists the rate-limited servers for which the leader must be asked, if one of them is the best candidate.
   DispatchDecision choose_for_leader_admission(TimePoint now, const std::vector<InstanceCandidate>& candidates);
   void drop_expired(TimePoint now, RetryHistory& history) const;
   void mark_load_changed(const DispatchTarget& target);
@@ -246,27 +261,27 @@
   std::vector<wire::EngineGroup> groups_;
   ServerNotices notices_;
   ServerLimits limits_;
-  /// The limits that the leader holds, by all entries' reports.
+  /// Rate limits published by the leader, from the reports of all entries, by incarnation.
   std::map<std::string, double> reported_limits_;
   /// Incarnations whose limits changed since they were last reported.
   std::set<std::string> unreported_limits_;
-  /// Until when the leader has no room at rated servers.
+  /// When the leader may grant requests to a rate-limited server again, by incarnation.
   std::map<std::string, TimePoint> rate_limited_until_;
   wire::ZoneEvacuations evacuations_;
   RateShares rate_shares_;
   std::map<std::string, TargetHealth> health_;
-  /// Targets whose load differs from what was last told.
+  /// Groups whose load changed since it was last reported.
   std::set<std::string> changed_groups_;
-  /// Longest pauses by service and model, from the cost models in force.
+  /// Longest pauses by service and model, from the current cost models.
   std::map<std::pair<std::string, std::string>, Duration> longest_pauses_;
-  /// The strictest objective for pauses that requests had, by service and model.
+  /// Smallest objective for pauses of all requests, by service and model.
   std::map<std::pair<std::string, std::string>, Duration> min_gap_objectives_;
   std::map<std::string, RetryHistory> retry_histories_;
-  /// When permits for a service's model were last drawn.
+  /// When permits were last recalculated, by service and model.
   std::map<std::pair<std::string, std::string>, TimePoint> permits_refreshed_at_;
-  /// When the loads of other entries were last told; `TimePoint::min()` when none are held.
+  /// When the loads of other entries were last reported; `TimePoint::min()` if there are none.
   TimePoint loads_reported_at_ = TimePoint::min();
-  /// Sizes of the requests for each model, by service and model.
+  /// Estimated request sizes, by service and model.
   std::map<std::pair<std::string, std::string>, engine::SizeEstimate> size_estimates_;
   std::map<std::pair<std::string, std::string>, wire::ModelDemand> demand_by_model_;
 };
--- a/src/core/fleet/dispatcher_rates.cc
+++ b/src/core/fleet/dispatcher_rates.cc
@@ -1,4 +1,4 @@
-// The part of Dispatcher that chooses plain servers, and that knows how many requests a second servers take.
+// The part of Dispatcher that chooses plain servers and applies the rate limits of servers.
 
 #include <algorithm>
 #include <utility>
@@ -30,7 +30,7 @@
       continue;
     }
     candidate.rate = rate_limit_of(service, instance, candidate.incarnation);
-    // Doubtful instances are better than none: they may only be cut off from the control replicas.
+    // Suspect instances are better than none: they may only be unable to reach the control replicas.
     candidate.is_suspect = instance.silent || health_[candidate.incarnation].is_avoided(now);
     candidate.cost = instance_cost(candidate.incarnation, instance.zone);
     result.push_back(std::move(candidate));
@@ -137,7 +137,7 @@
   const bool is_known = limits_.has_observation(incarnation);
   const bool is_relevant = observation.per_second || is_known || reported_limits_.contains(incarnation);
   if (!is_relevant) {
-    return false;  // Most servers never name a limit: nothing is kept of them.
+    return false;  // Most servers never state a limit; no state is kept for them.
   }
   const auto previous = limits_.limit_of(incarnation);
   limits_.observe(observation);
--- a/src/core/fleet/rate_shares.cc
+++ b/src/core/fleet/rate_shares.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Part of a server's rate that entries share out while no leader counts for all of them.
+/// Fraction of a server's rate that is distributed among entries while no leader counts requests.
 constexpr double kSharedRateFraction = 0.5;
-/// How long a turn may be used.
+/// Maximum duration of a turn.
 constexpr Duration kMaxTurnDuration = milliseconds(250);
 
 }  // namespace
@@ -33,7 +33,7 @@
     found = schedules_.emplace(incarnation, draw_next_turn(now, interval)).first;
   }
   TurnSchedule& schedule = found->second;
-  // A turn drawn for another rate, or for another number of entries, is worth another part of a request.
+  // A turn drawn for another rate or number of entries stands for a different share of the rate, so it is replaced.
   if (schedule.interval != interval || now >= schedule.next_allowed_at + std::min(interval, kMaxTurnDuration)) {
     schedule = draw_next_turn(now, interval);
   }
--- a/src/core/fleet/rate_shares.h
+++ b/src/core/fleet/rate_shares.h
@@ -9,36 +9,38 @@
 
 namespace larchlever::fleet {
 
-/// One entry's part of the requests a second that a server takes from all entries, while no leader counts for them.
+/// One entry's share of the request rate that a server accepts from all entries, used while no leader counts requests
+/// centrally.
 ///
-/// Each entry has a turn once in a while, the first at a moment drawn by lot: entries learn of a rate, and lose their
-/// leader, at the same moment, and no part of a request can be sent. A turn that was not used lapses, so that turns
-/// never pile up. Half of the rate is shared out, so that turns which fall together stay within what the server takes;
-/// the rest is for requests that a leader grants to entries that hear it. Deterministic for a given seed.
+/// Each entry gets one turn per interval and may send one request in a turn. The first turn comes after a random delay,
+/// because all entries learn of a rate limit, and lose their leader, at the same moment. An unused turn expires, so
+/// turns do not accumulate. Only half of the rate is distributed, so that coinciding turns stay within the server's
+/// limit; the other half is left for requests that a leader grants to entries that can reach it. Deterministic for a
+/// given seed.
 class RateShares {
  public:
   explicit RateShares(uint64_t seed) : random_(seed) {}
 
-  /// When this entry, one of `entries`, may send to the server next; `now` while it has its turn. `per_second` is what
-  /// the server takes in all; 0 is no limit.
+  /// When this entry, one of `entries`, may next send to the server; `now` during its turn. `per_second` is the total
+  /// rate that the server accepts; 0 means no limit.
   TimePoint next_allowed_at(TimePoint now, const std::string& incarnation, double per_second, int entries);
   bool may_send(TimePoint now, const std::string& incarnation, double per_second, int entries) {
     return next_allowed_at(now, incarnation, per_second, entries) <= now;
   }
   void note_sent(TimePoint now, const std::string& incarnation, double per_second, int entries);
-  /// Forgets the servers that take any number of requests again.
+  /// Removes the servers that are no longer rate-limited.
   void retain_servers(const std::set<std::string>& rated);
   bool empty() const { return schedules_.empty(); }
 
  private:
   struct TurnSchedule {
     TimePoint next_allowed_at{};
-    /// Time from one turn to the next.
+    /// Time between the starts of two consecutive turns.
     Duration interval{};
   };
 
   static Duration turn_interval(double per_second, int entries);
-  /// Draws when the first turn comes, within the first interval.
+  /// Draws the start of the next turn uniformly from one interval.
   TurnSchedule draw_next_turn(TimePoint now, Duration interval);
 
   std::mt19937_64 random_;
--- a/src/core/fleet/request_blocker.cc
+++ b/src/core/fleet/request_blocker.cc
@@ -9,17 +9,17 @@
 
 namespace {
 
-/// Waits before the first and the second trial. A caller that retries has given up by the first; the second is for
-/// whoever is called again after a repair.
+/// Delays before the first and the second trial. A retrying caller has given up by the first one; the second one is for
+/// requests that are sent again after a repair.
 constexpr std::array kTrialDelays{Duration(seconds(30)), Duration(std::chrono::minutes(2))};
-/// After the last trial the request stays blocked for this long, then nothing is known of it any more.
+/// After the last trial, the request stays blocked for this long and is then removed.
 constexpr Duration kFinalBlockTime = std::chrono::hours(1);
-/// A trial that brought no word for this long has failed: longer than callers wait for an answer.
+/// A trial without a result counts as failed after this time, which is longer than callers wait for an answer.
 constexpr Duration kTrialTimeout = seconds(15);
 constexpr size_t kMaxBlockedRequests = 1024;
-/// A repeat that brought no word for this long harms nobody: a harmful request ends its server within half a second.
+/// A retry without a result counts as harmless after this time: a harmful request ends its server within half a second.
 constexpr Duration kRetryTimeout = seconds(1);
-/// A server that lives reports each second or two; one that is not heard for this long has ended.
+/// A live server reports every one or two seconds; one that has not reported for this long has ended.
 constexpr Duration kServerReportTimeout = seconds(30);
 
 }  // namespace
@@ -153,7 +153,7 @@
       set_phase(now, blocked, Phase::kTrialDue);
       changed = true;
     } else if (blocked.phase == Phase::kTrialDue && age >= kFinalBlockTime) {
-      item = blocked_.erase(item);  // Nobody sent it any more.
+      item = blocked_.erase(item);  // The request was not sent again.
       changed = true;
       continue;
     } else if (blocked.phase == Phase::kTrialRunning && age >= kTrialTimeout) {
--- a/src/core/fleet/request_blocker.h
+++ b/src/core/fleet/request_blocker.h
@@ -10,35 +10,39 @@
 
 namespace larchlever::fleet {
 
-/// The leader's decision which requests are sent to no server any more, since they end those that run them.
+/// The leader's decision on which requests are no longer sent to any server because they end the servers that run them.
 ///
-/// Load pattern: a caller sends one request again and again to all entries; each time it ends a server, and cuts all
-/// that runs beside it. Entries report every end with the requests that ran there. The third end under one request
-/// blocks it everywhere. It may be wrongly blocked, or its cause be mended at the servers: after a while one copy is
-/// tried, alone, and if its server answers the request is free again.
+/// Failure scenario: a caller repeatedly sends the same request to all entries. Each attempt ends a server and
+/// interrupts every other request running there. Entries report each end together with the requests that were running.
+/// The third end blocks the request on all entries. The block may be wrong, or the cause may be fixed on the servers,
+/// so a single trial attempt is made after a delay; if its server answers, the request is unblocked.
 ///
-/// Limits: three ends, since a request that only ran beside the harmful one is cut once or twice before that one is
-/// known; two trials, so that a harmful request ends five servers in an hour however often it comes; 1,024 blocked
-/// requests, those blocked last, some 20 KB in a copy of the state. Blocks outlast a leadership as rows of the
-/// published state. Single-threaded, deterministic.
+/// Limits: three ends are required because a harmless request that runs next to the harmful one may be interrupted once
+/// or twice before the harmful one is identified. There are at most two trials, so a harmful request ends at most five
+/// servers per hour however often it is sent. At most 1,024 requests are blocked, the most recent ones, which takes
+/// about 20 KB in a copy of the state. Blocks survive a change of leader as rows of the published state.
+/// Single-threaded, deterministic.
 class RequestBlocker {
  public:
-  /// A leadership begins with the rows of the state it inherits; the wait for a trial begins anew.
+  /// Starts a new leadership with the rows of the inherited state. The delay before a trial starts again.
   void start(TimePoint now, const std::vector<wire::BlockedRequest>& inherited);
-  /// Adds rows of a copy that arrived later.
+  /// Adds rows from a copy of the state that arrived after `start`.
   void add_inherited(TimePoint now, const std::vector<wire::BlockedRequest>& rows);
-  /// A server ended while it ran the request. True when the rows changed; so with all that follow.
+  /// A server ended while it ran the request. Returns true if the rows changed, as do the functions below that return
+  /// bool, except `grant_retry`.
   bool note_server_end(const ServerEnd& end);
-  /// An incarnation of a server was heard: ends of it that were only likely are none, and who was blocked for them is
-  /// free.
+  /// A server incarnation sent a report. Ends of it that were only likely are withdrawn, and requests that were blocked
+  /// because of them are unblocked.
   bool note_incarnation_alive(TimePoint now, const std::string& incarnation);
-  /// A server ran the request and answered.
+  /// A server ran the request and answered it.
   bool note_answered(requests::RequestFingerprint request);
-  /// Whether a request whose answer was lost may be sent again. One under which servers ended goes to one server at a
-  /// time, whichever entries ask: copies that end their servers at once would otherwise all go on to second ones.
+  /// Whether a request whose answer was lost may be retried. Retries of a request that ended servers run on one server
+  /// at a time across all entries; otherwise, copies that end their servers simultaneously would all be retried on
+  /// further servers.
   bool grant_retry(TimePoint now, requests::RequestFingerprint request);
-  /// Grants the trial of a blocked request that is due, once.
+  /// Grants the trial of a blocked request, once, if it is due.
   bool grant_trial(TimePoint now, requests::RequestFingerprint request);
+  /// Advances phases and removes expired state.
   bool tick(TimePoint now);
   std::vector<wire::BlockedRequest> rows() const;
 
@@ -47,21 +51,22 @@
   struct BlockState {
     int trials = 0;
     Phase phase = Phase::kWaiting;
-    /// When the phase began.
+    /// Start of the phase.
     TimePoint since{};
-    /// An earlier leadership counted the ends that it rests on, so those counted here say nothing against it.
+    /// The ends that caused the block were counted under an earlier leader, so ends counted here cannot refute it.
     bool is_inherited = false;
   };
 
   BlockState& block(TimePoint now, requests::RequestFingerprint request, int trials);
+  /// Delay before the next trial, or before the block ends if no trial is left.
   static Duration wait_time(const BlockState& blocked);
   static void set_phase(TimePoint now, BlockState& blocked, Phase phase);
 
   ServerEnds ends_;
   std::map<requests::RequestFingerprint, BlockState> blocked_;
-  /// Repeats of requests under which servers ended: when the last one was granted, until it is answered.
+  /// When the last retry was granted, for requests that ended servers and have not been answered since.
   std::map<requests::RequestFingerprint, TimePoint> granted_retries_;
-  /// Incarnations that likely ended, and when: what each report of a server is compared with.
+  /// When incarnations likely ended, for comparison with later reports of the same incarnations.
   std::map<std::string, TimePoint> likely_ended_at_;
 };
 
--- a/src/core/fleet/request_pacer.cc
+++ b/src/core/fleet/request_pacer.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Turns are taken this late without loss: several reviews of waiting requests.
+/// Maximum lateness that does not reduce the rate; several review intervals of waiting requests.
 constexpr Duration kMaxLateness = milliseconds(20);
 
 Duration interval(double per_second) {
--- a/src/core/fleet/request_pacer.h
+++ b/src/core/fleet/request_pacer.h
@@ -4,16 +4,18 @@
 
 namespace larchlever::fleet {
 
-/// Spaces requests evenly at a rate, at one place that sees all of them: in any time t no more than rate x t pass, and
-/// one. What comes a few milliseconds after its turn loses nothing of the rate. Single-threaded, deterministic.
+/// Spaces requests evenly at a given rate, for a single process that sees all requests. In any time t at most rate * t
+/// + 1 requests pass, apart from what late requests catch up: a request that comes up to 20 ms after its time does not
+/// delay the next one. Single-threaded, deterministic.
 class RequestPacer {
  public:
-  /// When the next request may pass, not before `now`. The rate may change from call to call; it is above 0.
+  /// When the next request is allowed, not before `now`. The rate may change between calls; it must be above 0.
   TimePoint next_allowed_at(TimePoint now, double per_second);
-  /// A request passes.
+  /// Records a request that is sent now.
   void note_request(TimePoint now, double per_second);
 
  private:
+  /// Scales the remaining wait if the rate changed.
   void adopt_rate(TimePoint now, double per_second);
 
   double rate_per_second_ = 0;
--- a/src/core/fleet/server_limits.cc
+++ b/src/core/fleet/server_limits.cc
@@ -4,9 +4,9 @@
 
 namespace {
 
-/// Reports of a limit that has ended arrive within this time.
+/// How long the end of a limit is kept: delayed reports of the limit arrive within this time.
 constexpr Duration kEndedLimitLifetime = seconds(10);
-/// A server that names a limit answers more often than this, unless it is gone.
+/// How long a limit is kept without a new observation: a running server responds more often than this.
 constexpr Duration kLimitLifetime = std::chrono::hours(1);
 
 }  // namespace
--- a/src/core/fleet/server_limits.h
+++ b/src/core/fleet/server_limits.h
@@ -9,27 +9,28 @@
 
 namespace larchlever::fleet {
 
-/// What an answer of a server said of its limit.
+/// The request rate limit that a server's response stated, or the absence of one.
 struct LimitObservation {
   std::string incarnation;
-  /// Requests a second that it takes from all entries together; nothing when it named no limit.
+  /// Requests per second that the server accepts from all entries together; empty if the response stated no limit.
   std::optional<double> per_second;
-  /// The arrival of an answer that names a limit; the sending of the request for one that names none, so that an answer
-  /// which was overtaken ends no limit.
+  /// When a response that states a limit arrived. For a response without a limit: when its request was sent, so that a
+  /// delayed response does not remove a limit that was stated after it.
   TimePoint observed_at{};
 };
 
-/// The limits that servers name, by the newest observation of each. A limit belongs to one incarnation: a later start
-/// has named none. Entries keep what they were told, the leader what all entries were.
+/// The request rate limits that servers state in responses; the most recent observation per incarnation applies. A new
+/// incarnation starts without a limit. Entries keep their own observations, the leader keeps those of all entries.
 /// Single-threaded, deterministic.
 class ServerLimits {
  public:
-  /// True when no newer observation of that incarnation is held.
+  /// Records the observation; returns false if a newer one is known for that incarnation.
   bool observe(const LimitObservation& observation);
-  /// Something was observed of that incarnation, the end of a limit included.
+  /// Whether any observation is kept for the incarnation, including the end of a limit.
   bool has_observation(const std::string& incarnation) const { return newest_observations_.contains(incarnation); }
+  /// Requests per second, if the server has a limit.
   std::optional<double> limit_of(const std::string& incarnation) const;
-  /// What is held, ends of limits included while an older observation may still be under way elsewhere.
+  /// All observations kept. The end of a limit is kept while older observations may still arrive from other entries.
   std::vector<LimitObservation> observations(TimePoint now);
 
  private:
--- a/src/core/fleet/server_notices.cc
+++ b/src/core/fleet/server_notices.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A server that leaves has ended long before; the longest drains take minutes.
+/// Shutdown notices are kept this long; the longest drains take minutes.
 constexpr Duration kLeavingNoticeLifetime = std::chrono::hours(1);
 
 }  // namespace
--- a/src/core/fleet/server_rate_limiter.h
+++ b/src/core/fleet/server_rate_limiter.h
@@ -16,33 +16,33 @@
 
 namespace larchlever::fleet {
 
-/// One start of a server that takes only so many requests a second, from all entries together: since it is cold, just
-/// started or back after a while without work, or since it names a limit in its answers.
+/// One incarnation of a server with a request rate limit that applies to all entries together: because it is cold (just
+/// started, or idle for a while), or because its responses state a limit.
 struct RateLimitedServer {
   std::string incarnation;
   bool is_cold = false;
   std::optional<double> limit_per_second;
 };
 
-/// The lowest rate that binds the server, in requests a second; 0 for none.
+/// The strictest rate limit of the server in requests per second; 0 for none.
 double effective_rate_limit(const document::ServiceSpec& service, const RateLimitedServer& server);
 
-/// The leader's count of the requests that rated servers get from all entries together.
+/// The leader's rate limiters for requests from all entries to rate-limited servers.
 ///
-/// Load pattern: by what is under way there, a server that gets few requests looks like the best target of all, so that
-/// everything would go to it at once.
-/// Limits: counts are kept by incarnation, so that a head keeps its count when its group is formed anew. They are lost
-/// with the leadership: a new leader may grant one request more to each server. Single-threaded, deterministic.
+/// Failure scenario: judged by requests in flight alone, a server that gets few requests looks like the best target, so
+/// all requests would be sent to it at once. Limits: state is kept per incarnation, so a head keeps its limiter state
+/// when its group is re-formed. The state is lost on a change of leader; a new leader may grant one extra request per
+/// server. Single-threaded, deterministic.
 class ServerRateLimiter {
  public:
-  /// All rated servers; others take any number of requests.
+  /// Sets all rate-limited servers; other servers are not limited.
   void set_servers(const std::vector<RateLimitedServer>& servers);
   void clear() { limiters_.clear(); }
-  /// When the server has room for a request, not before `now`.
+  /// When the server may get its next request, not before `now`.
   TimePoint next_allowed_at(TimePoint now, const document::ServiceSpec& service, const std::string& incarnation);
-  /// A request goes there.
+  /// Records a request that is sent to the server.
   void note_request(TimePoint now, const document::ServiceSpec& service, const std::string& incarnation);
-  /// The limit that the server names; nothing for one that names none.
+  /// The limit that the server's responses state; empty for none.
   std::optional<double> limit_of(const std::string& incarnation) const;
 
  private:
--- a/src/core/fleet/sliding_window_limiter.h
+++ b/src/core/fleet/sliding_window_limiter.h
@@ -6,11 +6,11 @@
 
 namespace larchlever::fleet {
 
-/// Counts requests of the last second against a rate, at one place that sees all of them; below one a second, those of
-/// the time in which one may pass. A rate of 0 is no limit. Single-threaded, deterministic.
+/// Sliding-window rate limiter for a single process that sees all requests. The window is one second; for rates below
+/// one per second, it is the time for one request. A rate of 0 means no limit. Single-threaded, deterministic.
 class SlidingWindowLimiter {
  public:
-  /// When the next request may pass, not before `now`.
+  /// When the next request is allowed, not before `now`.
   TimePoint next_allowed_at(TimePoint now, double per_second);
   bool allows_request(TimePoint now, double per_second) { return next_allowed_at(now, per_second) <= now; }
   void note_request(TimePoint now) { request_times_.push_back(now); }
--- a/src/core/fleet/slot_scheduler.cc
+++ b/src/core/fleet/slot_scheduler.cc
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Part of the objective for pauses that a forecast pass may take; the rest is for the network and for what the cost
-/// model leaves out.
+/// Fraction of the objective for pauses that a forecast engine pass may take; the rest is for the network and for
+/// effects that the cost model omits.
 constexpr double kMaxPassShareOfGap = 0.85;
-/// Requests that wait are looked at again this often; a pass of a group takes many times as long.
+/// Interval between reviews of waiting requests; an engine pass takes many times as long.
 constexpr Duration kReviewInterval = milliseconds(5);
 
-/// Callers that limits hold back are told to come back within this time, even if more are waiting: a limit seldom lasts
-/// longer.
+/// Maximum retry delay given to callers that are refused because of rate limits, even if more callers are waiting: a
+/// limit seldom lasts longer.
 constexpr Duration kMaxRetryAfter = seconds(30);
 
 Duration time_for_requests(double requests, double per_second) {
@@ -202,7 +202,7 @@
 
 SlotScheduler::QueueKey SlotScheduler::queue_key(const WaitingRequest& waiting) {
   QueueKey key{model_key(waiting), waiting.request.allowed_zones, waiting.request.rated_servers};
-  std::sort(key.rated_servers.begin(), key.rated_servers.end());  // Each entry prefers others of them.
+  std::sort(key.rated_servers.begin(), key.rated_servers.end());  // Entries list them in different orders.
   return key;
 }
 
@@ -365,7 +365,7 @@
   const bool is_plain_service = model == nullptr;
   const SlotCandidate candidate =
       is_plain_service ? best_server(now, service, waiting) : best_group(now, service, *model, waiting);
-  // Late is better than never at the end of its patience, and for who would be late anywhere.
+  // A late answer is allowed at the queue deadline, and for requests that no group could serve in time.
   const bool may_be_late = late_answers == LateAnswers::kAllowed ||
                            (!is_plain_service && is_objective_unreachable(*service.engine, *model, waiting));
   if (candidate.feasibility == Feasibility::kInTime || (candidate.feasibility == Feasibility::kLate && may_be_late)) {
@@ -395,7 +395,7 @@
   const bool has_other_servers = asks_for_plain_server(waiting) && waiting.request.patience_ms <= 0;
   if (has_other_servers) {
     add_decision(waiting, wire::SlotVerdict::BUSY,
-                 decisions);  // Its caller is not refused, and has no place in the line.
+                 decisions);  // The entry uses another server; the request is not queued.
     return true;
   }
   if (is_last_chance) {
@@ -438,7 +438,7 @@
   };
   std::stable_sort(waiting_requests_.begin(), waiting_requests_.end(),
                    [&order](const auto& left, const auto& right) { return order(left) < order(right); });
-  // First all that can be in time: room that one of them has use for goes to nobody late.
+  // First decide all requests that can be in time, so that late requests do not use capacity that these need.
   std::erase_if(waiting_requests_,
                 [&](auto& waiting) { return decide_request(now, document, waiting, LateAnswers::kNotYet, decisions); });
   refuse_beyond_queue_deadline(now, decisions);
@@ -456,7 +456,7 @@
     decide_waiting(now, document, decisions);
     return decisions;
   }
-  // A request for whose model nobody waits goes at once; behind others it waits for the next review.
+  // A request for whose servers no other request waits is decided immediately; otherwise it waits for the next review.
   for (auto& arrival : std::exchange(new_requests_, {})) {
     if (!decide_request(now, document, arrival, LateAnswers::kNotYet, decisions)) {
       waiting_requests_.push_back(std::move(arrival));
--- a/src/core/fleet/target_health.cc
+++ b/src/core/fleet/target_health.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// What others saw is known this much later.
+/// Delay with which the progress seen by other entries is known here.
 constexpr Duration kReportDelay = milliseconds(250);
-/// Events of several streams that arrive within this time come of one pass.
+/// Events of several streams that arrive within this time belong to the same engine pass.
 constexpr Duration kSamePassWindow = milliseconds(5);
-/// Streams are overdue after a pause this many deviations above the mean one. Never sooner than the floor, which covers
-/// a resent packet of a nearby server.
+/// Streams are overdue after a pause of the mean plus this many deviations, but not before the minimum, which covers a
+/// packet retransmission from a nearby server.
 constexpr int kOverdueDeviations = 4;
 constexpr Duration kMinOverduePause = milliseconds(80);
 
@@ -50,7 +50,7 @@
     waiting_tokens_ -= attempt.prompt_tokens;
   }
   if (in_flight_ == 0) {
-    waiting_tokens_ = 0;  // Rounding must not add up.
+    waiting_tokens_ = 0;  // Prevents accumulation of rounding errors.
   }
 }
 
--- a/src/core/fleet/target_health.h
+++ b/src/core/fleet/target_health.h
@@ -7,26 +7,26 @@
 
 namespace larchlever::fleet {
 
-/// One sending of a request, from when it leaves to its end.
+/// State of one request attempt, from dispatch to completion.
 struct AttemptState {
   double prompt_tokens = 0;
-  /// Its first event arrived.
+  /// The first event of the response has arrived.
   bool is_streaming = false;
 };
 
-/// Stands for the age of progress that nobody saw of late.
+/// Reported instead of the age of the last progress when there was none recently.
 constexpr int32_t kUnknownProgressAge = -1;
 
-/// What other entries have under way at a target, as the leader last told.
+/// Load of all other entries on a target, from the leader's last report.
 struct OtherEntriesLoad {
   int in_flight = 0;
   int streaming = 0;
   double waiting_tokens = 0;
-  /// When any of them last saw progress; the origin of time when none did of late.
+  /// When any other entry last saw progress; `TimePoint::min()` if none did recently.
   TimePoint last_progress = TimePoint::min();
 };
 
-/// Load and signs of life of one target (a plain instance, or a group's head), as one entry sees them.
+/// Load and liveness of one target (a plain instance, or the head of a group) as observed by one entry.
 /// Single-threaded, deterministic.
 class TargetHealth {
  public:
@@ -35,10 +35,11 @@
   void note_progress(TimePoint now);
   void end_attempt(const AttemptState& attempt);
   void set_other_entries_load(const OtherEntriesLoad& others) { other_entries_ = others; }
-  /// How many more requests this entry may send there until its part of the free places is drawn anew.
+  /// Number of further requests that this entry may send to the target until its share of the free slots is
+  /// recalculated.
   void set_permits(int permits) { permits_ = permits; }
   bool has_permit() const { return permits_ > 0; }
-  /// Silence counts from now on: until now this entry itself did not look.
+  /// Measures silence from now on, because this entry was paused until now and read no responses.
   void restart_silence_timer(TimePoint now);
   void avoid_until(TimePoint until) { avoid_until_ = until; }
 
@@ -46,17 +47,18 @@
   int streaming() const { return streaming_; }
   double waiting_tokens() const { return waiting_tokens_; }
   int total_in_flight() const { return in_flight_ + other_entries_.in_flight; }
-  /// Prompt tokens, over all entries, of requests that wait for their first event.
+  /// Prompt tokens of requests that wait for their first event, over all entries.
   double total_waiting_tokens() const { return waiting_tokens_ + other_entries_.waiting_tokens; }
   TimePoint last_progress() const { return last_progress_; }
   bool is_avoided(TimePoint now) const { return now < avoid_until_; }
   bool progressed_within(TimePoint now, Duration age) const;
-  /// Streams go on there, yet none brought anything for longer than `longest_pause`, whoever watches.
+  /// There are active streams, but none produced an event for longer than `longest_pause`. Uses the other entries'
+  /// reports if this entry has no stream there.
   bool is_quiet(TimePoint now, Duration longest_pause) const;
-  /// Streams of this entry go on there, and bring nothing for clearly longer than they used to, if `longest_pause`
-  /// allows no less.
+  /// This entry has active streams, and none produced an event for clearly longer than the usual pause, or for longer
+  /// than `longest_pause`.
   bool is_overdue(TimePoint now, Duration longest_pause) const;
-  /// This entry's own requests have waited this long since it last saw progress; zero when it has none there.
+  /// How long this entry's requests have waited since the last progress; zero if there are none.
   Duration silence(TimePoint now) const;
 
  private:
@@ -64,11 +66,11 @@
   int streaming_ = 0;
   double waiting_tokens_ = 0;
   int permits_ = 0;
-  /// Since when at least one request, or one stream, has been under way.
+  /// Start of the current period with at least one request in flight, or one stream.
   TimePoint busy_since_ = TimePoint::min();
   TimePoint streaming_since_ = TimePoint::min();
   TimePoint last_progress_ = TimePoint::min();
-  /// Times between two signs of progress while streams went on.
+  /// Intervals between progress events while streams were active.
   requests::LatencyEstimate pauses_;
   TimePoint avoid_until_ = TimePoint::min();
   OtherEntriesLoad other_entries_;
--- a/src/core/fleet/weight_load_limiter.cc
+++ b/src/core/fleet/weight_load_limiter.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Loads ordered by the previous leader count in the same window; this long none is added to them.
+/// Delay before the first load after a leader change: loads that the previous leader ordered count in the same window.
 constexpr Duration kTakeoverLoadDelay = seconds(3);
 
 }  // namespace
@@ -26,8 +26,8 @@
   }
   const auto max_concurrent = static_cast<size_t>(engine.loads_at_once);
   if (!traffic_seen_) {
-    // The more of the fleet is loaded, the more are begun at once: the store's throughput stays the same, and fewer
-    // are left for when they are dear.
+    // The limit grows with the number of loaded servers: the throughput of the store stays the same, and fewer loads
+    // are left for the time when they are expensive.
     return loads_in_progress < max_concurrent + loaded_servers;
   }
   if (loads_in_progress >= max_concurrent) {
