--- a/src/core/fleet/blocked_requests.cc
+++ b/src/core/fleet/blocked_requests.cc
@@ -49,7 +49,7 @@
   }
   for (const auto& [request, row] : rows_) {
     if (!updated_rows.contains(request)) {
-      ends_.forget(request);  // Unblocked: earlier ends no longer count.
+      server_ends_.forget(request);  // Unblocked: earlier ends no longer count.
     }
   }
   rows_ = std::move(updated_rows);
@@ -61,7 +61,7 @@
     return found->second.row.trial_due ? Verdict::kTrialDue : Verdict::kBlocked;
   }
   const bool is_blocked_locally =
-      ends_.count(request) >= kServerEndsToBlock && now - ends_.last_end(request) < kLocalBlockTime;
+      server_ends_.count(request) >= kServerEndsToBlock && now - server_ends_.last_end(request) < kLocalBlockTime;
   return is_blocked_locally ? Verdict::kBlocked : Verdict::kAllowed;
 }
 
@@ -71,7 +71,7 @@
     const Duration wait = milliseconds(found->second.row.wait_ms);
     return std::max(Duration::zero(), found->second.received_at + wait - now);
   }
-  return verdict_for(now, request) == Verdict::kBlocked ? ends_.last_end(request) + kLocalBlockTime - now
+  return verdict_for(now, request) == Verdict::kBlocked ? server_ends_.last_end(request) + kLocalBlockTime - now
                                                         : Duration::zero();
 }
 
@@ -82,26 +82,26 @@
   if (unreported_ends_.size() < kMaxUnreportedEnds) {
     unreported_ends_.push_back(end);
   }
-  ends_.forget_old(end.at);
+  server_ends_.forget_old(end.at);
   if (end.certainty == Certainty::kLikely) {
-    return ends_.count(end.request);  // The leader also gets the servers' reports, which may refute it.
+    return server_ends_.count(end.request);  // The leader also gets the servers' reports, which may refute it.
   }
-  const size_t count = ends_.note(end);
+  const size_t count = server_ends_.note(end);
   if (count >= kServerEndsToBlock) {
-    ends_.explain(end.request);
+    server_ends_.explain(end.request);
   }
   return count;
 }
 
 void BlockedRequests::note_answered(TimePoint now, requests::RequestFingerprint request) {
   recently_answered_.note(now, request);
-  if (ends_.is_suspect(request) || rows_.contains(request)) {
+  if (server_ends_.is_suspect(request) || rows_.contains(request)) {
     report_answered(request);
   }
 }
 
 void BlockedRequests::report_answered(requests::RequestFingerprint request) {
-  ends_.forget(request);
+  server_ends_.forget(request);
   std::erase_if(unreported_ends_, [request](const ServerEnd& end) { return end.request == request; });
   unreported_answered_.push_back(request.value());
 }
@@ -113,7 +113,7 @@
 std::vector<int64_t> BlockedRequests::take_answered_requests() { return std::exchange(unreported_answered_, {}); }
 
 std::vector<wire::RequestServerEnd> BlockedRequests::recent_ends(TimePoint now) const {
-  return make_reports(now, ends_.newest(kMaxRecentEnds));
+  return make_reports(now, server_ends_.newest(kMaxRecentEnds));
 }
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/blocked_requests.h
+++ b/src/core/fleet/blocked_requests.h
@@ -57,7 +57,7 @@
   /// Clears what counts against the request and queues a report that it was answered.
   void report_answered(requests::RequestFingerprint request);
 
-  ServerEnds ends_;
+  ServerEnds server_ends_;
   requests::RecentlyAnswered recently_answered_;
   std::map<requests::RequestFingerprint, ReceivedRow> rows_;
   std::vector<ServerEnd> unreported_ends_;
--- a/src/core/fleet/dispatcher.cc
+++ b/src/core/fleet/dispatcher.cc
@@ -41,7 +41,7 @@
 }  // namespace
 
 Dispatcher::Dispatcher(const FleetOptions& options, std::string zone, uint64_t seed)
-    : options_(options), zone_(std::move(zone)), random_(seed), rate_shares_(seed) {}
+    : options_(options), zone_(std::move(zone)), random_engine_(seed), rate_shares_(seed) {}
 
 std::vector<std::string> Dispatcher::update_state(const wire::FleetState& state) {
   const auto previous = std::exchange(instances_, {});
@@ -55,10 +55,10 @@
     }
     instances_[instance.id] = instance;
   }
-  reported_limits_.clear();
+  published_limits_.clear();
   for (const auto& instance : state.instances) {
     if (const auto limit = limit_of(instance)) {
-      reported_limits_[incarnation_of(instance)] = *limit;
+      published_limits_[incarnation_of(instance)] = *limit;
     }
   }
   for (const auto& group : groups_) {
@@ -68,7 +68,7 @@
   }
   groups_ = state.groups;
   remove_unknown_targets();
-  remove_unrated_servers();
+  remove_unlimited_servers();
   return restarted_keys;
 }
 
@@ -162,7 +162,7 @@
   for (const auto& target : route.services) {
     total += target.weight;
   }
-  double draw = std::uniform_real_distribution<double>(0, total)(random_);
+  double draw = std::uniform_real_distribution<double>(0, total)(random_engine_);
   for (const auto& target : route.services) {
     draw -= target.weight;
     if (target.weight > 0 && draw <= 0) {
@@ -173,7 +173,7 @@
 }
 
 double Dispatcher::instance_cost(const std::string& key, const std::string& zone) {
-  const double tie_break = std::uniform_real_distribution<double>(0, 1)(random_);
+  const double tie_break = std::uniform_real_distribution<double>(0, 1)(random_engine_);
   return health_[key].total_in_flight() + (zone == zone_ ? 0.0 : kOtherZonePenaltyRequests) + tie_break;
 }
 
@@ -234,7 +234,7 @@
 
 size_t Dispatcher::cheapest_of_sample(const document::ServiceSpec& service, const RequestRequirements& requirements,
                                       std::vector<OpenGroup>& open) {
-  std::shuffle(open.begin(), open.end(), random_);
+  std::shuffle(open.begin(), open.end(), random_engine_);
   size_t best = 0;
   double best_cost = group_cost_ms(service, requirements, open[0]);
   for (size_t index = 1; index < std::min(open.size(), kSampledGroups); ++index) {
@@ -262,7 +262,8 @@
     const double permit_share =
         std::max(0.0, kPermitOverbooking * (in_flight_limit - health.total_in_flight()) / serving_nodes_);
     const double whole_permits = std::floor(permit_share);
-    const bool has_extra_permit = std::uniform_real_distribution<double>(0, 1)(random_) < permit_share - whole_permits;
+    const bool has_extra_permit =
+        std::uniform_real_distribution<double>(0, 1)(random_engine_) < permit_share - whole_permits;
     health.set_permits(static_cast<int>(whole_permits) + (has_extra_permit ? 1 : 0));
   }
 }
@@ -290,8 +291,8 @@
       continue;
     }
     const std::string incarnation = incarnation_of(*head);
-    const double rate = rate_limit_of(service, *head, incarnation);
-    const TimePoint allowed_at = rate_shares_.next_allowed_at(now, incarnation, rate, serving_nodes_);
+    const double rate_per_second = rate_limit_of(service, *head, incarnation);
+    const TimePoint allowed_at = rate_shares_.next_allowed_at(now, incarnation, rate_per_second, serving_nodes_);
     if (allowed_at > now) {
       next_allowed_at = std::min(allowed_at, next_allowed_at.value_or(allowed_at));
       continue;
@@ -302,22 +303,22 @@
   if (open.empty()) {
     open = std::move(quiet);  // Better than no target: all groups may pause for a legitimate reason.
   }
-  DispatchDecision choice;
+  DispatchDecision decision;
   if (open.empty()) {
-    choice.failure = any_full || next_allowed_at ? DispatchFailure::kAllBusy : DispatchFailure::kNoTarget;
-    choice.next_allowed_at = any_full ? std::nullopt : next_allowed_at;
-    return choice;
+    decision.failure = any_full || next_allowed_at ? DispatchFailure::kAllBusy : DispatchFailure::kNoTarget;
+    decision.next_allowed_at = any_full ? std::nullopt : next_allowed_at;
+    return decision;
   }
   const size_t best = cheapest_of_sample(service, requirements, open);
   const auto& [group, head] = open[best];
-  note_rated_attempt(now, service, *head);
-  choice.target = make_target(*group, *head);
-  return choice;
+  note_rate_limited_attempt(now, service, *head);
+  decision.target = make_target(*group, *head);
+  return decision;
 }
 
-DispatchDecision Dispatcher::choose(TimePoint now, const document::ServiceSpec& service,
-                                    const RequestRequirements& requirements, const std::set<std::string>& excluded,
-                                    RateAuthority authority) {
+DispatchDecision Dispatcher::choose_target(TimePoint now, const document::ServiceSpec& service,
+                                           const RequestRequirements& requirements,
+                                           const std::set<std::string>& excluded, RateAuthority authority) {
   expire_reported_loads(now);
   return service.engine ? choose_group(now, service, requirements, excluded)
                         : choose_instance(now, service, requirements, excluded, authority);
@@ -490,7 +491,7 @@
     if (health.streaming() > 0) {
       allowed = std::min(allowed, kStallPauseMultiple * longest_pause(group.service_name, group.model));
     }
-    if (health.silence(now) > allowed) {
+    if (health.silence_duration(now) > allowed) {
       result.push_back(
           DispatchTarget{group.name, group.service_name, group.name, group.members.front(), "", health.in_flight()});
     }
--- a/src/core/fleet/dispatcher.h
+++ b/src/core/fleet/dispatcher.h
@@ -66,7 +66,7 @@
   DispatchFailure failure = DispatchFailure::kNone;
   /// Rate-limited plain servers for which the leader must be asked, best first: those better than `target`, or all of
   /// them if there is no `target`.
-  std::vector<DispatchTarget> rated_targets;
+  std::vector<DispatchTarget> rate_limited_targets;
   /// When this entry may next send, if there is no target and only rate limits prevent sending.
   std::optional<TimePoint> next_allowed_at;
 };
@@ -91,8 +91,9 @@
   const std::string& choose_service(const document::Route& route);
   /// Chooses the least loaded target that is not excluded. Groups get requests only as long as they are expected to
   /// meet the latency target.
-  DispatchDecision choose(TimePoint now, const document::ServiceSpec& service, const RequestRequirements& requirements,
-                          const std::set<std::string>& excluded, RateAuthority authority = RateAuthority::kLocalShare);
+  DispatchDecision choose_target(TimePoint now, const document::ServiceSpec& service,
+                                 const RequestRequirements& requirements, const std::set<std::string>& excluded,
+                                 RateAuthority authority = RateAuthority::kLocalShare);
   /// The leader cannot grant a request to the server before `until`; other servers are preferred until then.
   void note_rate_limited_until(TimePoint until, const DispatchTarget& target) {
     rate_limited_until_[target.incarnation] = until;
@@ -183,7 +184,7 @@
   /// Removes the health records of targets that no longer exist.
   void remove_unknown_targets();
   /// Removes rate state of servers that are no longer rate-limited.
-  void remove_unrated_servers();
+  void remove_unlimited_servers();
   void clear_reported_loads();
   /// Clears the load of other entries if it was not updated recently.
   void expire_reported_loads(TimePoint now);
@@ -209,7 +210,7 @@
   /// Requests per second that the instance accepts from all entries; 0 means no limit.
   double rate_limit_of(const document::ServiceSpec& service, const wire::Instance& instance,
                        const std::string& incarnation) const;
-  void note_rated_attempt(TimePoint now, const document::ServiceSpec& service, const wire::Instance& instance);
+  void note_rate_limited_attempt(TimePoint now, const document::ServiceSpec& service, const wire::Instance& instance);
   /// Available servers of a service; heads of open groups if a model is given.
   std::vector<const wire::Instance*> available_servers(const std::string& service, const std::string& model) const;
   /// An open group and its head.
@@ -232,7 +233,7 @@
   struct InstanceCandidate {
     const wire::Instance* instance = nullptr;
     std::string incarnation;
-    double rate = 0;
+    double rate_per_second = 0;
     /// Avoided, or it stopped reporting to the control replicas.
     bool is_suspect = false;
     double cost = 0;
@@ -255,14 +256,14 @@
 
   FleetOptions options_;
   std::string zone_;
-  std::mt19937_64 random_;
+  std::mt19937_64 random_engine_;
   int serving_nodes_ = 1;
   std::map<std::string, wire::Instance> instances_;
   std::vector<wire::EngineGroup> groups_;
   ServerNotices notices_;
-  ServerLimits limits_;
+  ServerLimits observed_limits_;
   /// Rate limits published by the leader, from the reports of all entries, by incarnation.
-  std::map<std::string, double> reported_limits_;
+  std::map<std::string, double> published_limits_;
   /// Incarnations whose limits changed since they were last reported.
   std::set<std::string> unreported_limits_;
   /// When the leader may grant requests to a rate-limited server again, by incarnation.
--- a/src/core/fleet/dispatcher_rates.cc
+++ b/src/core/fleet/dispatcher_rates.cc
@@ -29,7 +29,7 @@
     if (excluded.contains(candidate.incarnation) || !notices_.may_send(now, candidate.incarnation)) {
       continue;
     }
-    candidate.rate = rate_limit_of(service, instance, candidate.incarnation);
+    candidate.rate_per_second = rate_limit_of(service, instance, candidate.incarnation);
     // Suspect instances are better than none: they may only be unable to reach the control replicas.
     candidate.is_suspect = instance.silent || health_[candidate.incarnation].is_avoided(now);
     candidate.cost = instance_cost(candidate.incarnation, instance.zone);
@@ -50,20 +50,20 @@
 
 DispatchDecision Dispatcher::choose_by_local_share(TimePoint now, const document::ServiceSpec& service,
                                                    const std::vector<InstanceCandidate>& candidates) {
-  DispatchDecision choice;
+  DispatchDecision decision;
   for (const auto& candidate : candidates) {
     const TimePoint allowed_at =
-        rate_shares_.next_allowed_at(now, candidate.incarnation, candidate.rate, serving_nodes_);
+        rate_shares_.next_allowed_at(now, candidate.incarnation, candidate.rate_per_second, serving_nodes_);
     if (allowed_at <= now) {
-      note_rated_attempt(now, service, *candidate.instance);
-      choice.target = make_target(candidate);
-      choice.next_allowed_at.reset();
-      return choice;
+      note_rate_limited_attempt(now, service, *candidate.instance);
+      decision.target = make_target(candidate);
+      decision.next_allowed_at.reset();
+      return decision;
     }
-    choice.next_allowed_at = std::min(allowed_at, choice.next_allowed_at.value_or(allowed_at));
+    decision.next_allowed_at = std::min(allowed_at, decision.next_allowed_at.value_or(allowed_at));
   }
-  choice.failure = candidates.empty() ? DispatchFailure::kNoTarget : DispatchFailure::kAllBusy;
-  return choice;
+  decision.failure = candidates.empty() ? DispatchFailure::kNoTarget : DispatchFailure::kAllBusy;
+  return decision;
 }
 
 DispatchDecision Dispatcher::choose_for_leader_admission(TimePoint now,
@@ -72,19 +72,19 @@
     const auto until = rate_limited_until_.find(candidate.incarnation);
     return until == rate_limited_until_.end() || until->second <= now;
   };
-  DispatchDecision choice;
+  DispatchDecision decision;
   const auto unlimited =
-      std::find_if(candidates.begin(), candidates.end(), [](const auto& item) { return item.rate <= 0; });
+      std::find_if(candidates.begin(), candidates.end(), [](const auto& item) { return item.rate_per_second <= 0; });
   if (unlimited != candidates.end()) {
-    choice.target = make_target(*unlimited);
+    decision.target = make_target(*unlimited);
   }
   for (auto candidate = candidates.begin(); candidate != unlimited; ++candidate) {
     if (unlimited == candidates.end() || may_be_granted(*candidate)) {
-      choice.rated_targets.push_back(make_target(*candidate));
+      decision.rate_limited_targets.push_back(make_target(*candidate));
     }
   }
-  choice.failure = candidates.empty() ? DispatchFailure::kNoTarget : DispatchFailure::kNone;
-  return choice;
+  decision.failure = candidates.empty() ? DispatchFailure::kNoTarget : DispatchFailure::kNone;
+  return decision;
 }
 
 DispatchDecision Dispatcher::choose_instance(TimePoint now, const document::ServiceSpec& service,
@@ -97,7 +97,7 @@
 
 // -------------------------------------------------------------------- rates
 
-void Dispatcher::remove_unrated_servers() {
+void Dispatcher::remove_unlimited_servers() {
   if (rate_shares_.empty() && rate_limited_until_.empty()) {
     return;
   }
@@ -113,9 +113,9 @@
 }
 
 std::optional<double> Dispatcher::known_limit(const std::string& incarnation) const {
-  const auto own = limits_.limit_of(incarnation);
-  const auto reported = reported_limits_.find(incarnation);
-  if (reported == reported_limits_.end()) {
+  const auto own = observed_limits_.limit_of(incarnation);
+  const auto reported = published_limits_.find(incarnation);
+  if (reported == published_limits_.end()) {
     return own;
   }
   return own ? std::min(*own, reported->second) : reported->second;
@@ -126,22 +126,22 @@
   return effective_rate_limit(service, {incarnation, instance.cold, known_limit(incarnation)});
 }
 
-void Dispatcher::note_rated_attempt(TimePoint now, const document::ServiceSpec& service,
-                                    const wire::Instance& instance) {
+void Dispatcher::note_rate_limited_attempt(TimePoint now, const document::ServiceSpec& service,
+                                           const wire::Instance& instance) {
   const std::string incarnation = incarnation_of(instance);
   rate_shares_.note_sent(now, incarnation, rate_limit_of(service, instance, incarnation), serving_nodes_);
 }
 
 bool Dispatcher::note_limit(const LimitObservation& observation) {
   const std::string& incarnation = observation.incarnation;
-  const bool is_known = limits_.has_observation(incarnation);
-  const bool is_relevant = observation.per_second || is_known || reported_limits_.contains(incarnation);
+  const bool is_known = observed_limits_.has_observation(incarnation);
+  const bool is_relevant = observation.per_second || is_known || published_limits_.contains(incarnation);
   if (!is_relevant) {
     return false;  // Most servers never state a limit; no state is kept for them.
   }
-  const auto previous = limits_.limit_of(incarnation);
-  limits_.observe(observation);
-  const bool is_changed = !is_known || limits_.limit_of(incarnation) != previous;
+  const auto previous = observed_limits_.limit_of(incarnation);
+  observed_limits_.observe(observation);
+  const bool is_changed = !is_known || observed_limits_.limit_of(incarnation) != previous;
   if (is_changed) {
     unreported_limits_.insert(incarnation);
   }
@@ -152,7 +152,7 @@
   if (unreported_limits_.empty()) {
     return {};
   }
-  auto result = limits_.observations(now);
+  auto result = observed_limits_.observations(now);
   std::erase_if(result, [this](const auto& item) { return !unreported_limits_.contains(item.incarnation); });
   unreported_limits_.clear();
   return result;
@@ -160,7 +160,7 @@
 
 std::vector<LimitObservation> Dispatcher::take_all_limits(TimePoint now) {
   unreported_limits_.clear();
-  return limits_.observations(now);
+  return observed_limits_.observations(now);
 }
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/rate_shares.cc
+++ b/src/core/fleet/rate_shares.cc
@@ -13,21 +13,22 @@
 
 }  // namespace
 
-Duration RateShares::turn_interval(double per_second, int entries) {
-  const double interval_seconds = std::max(1, entries) / (per_second * kSharedRateFraction);
+Duration RateShares::turn_interval(double requests_per_second, int entry_count) {
+  const double interval_seconds = std::max(1, entry_count) / (requests_per_second * kSharedRateFraction);
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(interval_seconds));
 }
 
 RateShares::TurnSchedule RateShares::draw_next_turn(TimePoint now, Duration interval) {
   const auto max_delay = std::max<int64_t>(1, interval.count());
-  return {now + Duration(std::uniform_int_distribution<int64_t>(1, max_delay)(random_)), interval};
+  return {now + Duration(std::uniform_int_distribution<int64_t>(1, max_delay)(random_engine_)), interval};
 }
 
-TimePoint RateShares::next_allowed_at(TimePoint now, const std::string& incarnation, double per_second, int entries) {
-  if (per_second <= 0) {
+TimePoint RateShares::next_allowed_at(TimePoint now, const std::string& incarnation, double requests_per_second,
+                                      int entry_count) {
+  if (requests_per_second <= 0) {
     return now;
   }
-  const Duration interval = turn_interval(per_second, entries);
+  const Duration interval = turn_interval(requests_per_second, entry_count);
   auto found = schedules_.find(incarnation);
   if (found == schedules_.end()) {
     found = schedules_.emplace(incarnation, draw_next_turn(now, interval)).first;
@@ -40,9 +41,9 @@
   return std::max(now, schedule.next_allowed_at);
 }
 
-void RateShares::note_sent(TimePoint now, const std::string& incarnation, double per_second, int entries) {
-  if (per_second > 0) {
-    const Duration interval = turn_interval(per_second, entries);
+void RateShares::note_sent(TimePoint now, const std::string& incarnation, double requests_per_second, int entry_count) {
+  if (requests_per_second > 0) {
+    const Duration interval = turn_interval(requests_per_second, entry_count);
     schedules_[incarnation] = {now + interval, interval};
   }
 }
--- a/src/core/fleet/rate_shares.h
+++ b/src/core/fleet/rate_shares.h
@@ -19,15 +19,15 @@
 /// given seed.
 class RateShares {
  public:
-  explicit RateShares(uint64_t seed) : random_(seed) {}
+  explicit RateShares(uint64_t seed) : random_engine_(seed) {}
 
-  /// When this entry, one of `entries`, may next send to the server; `now` during its turn. `per_second` is the total
-  /// rate that the server accepts; 0 means no limit.
-  TimePoint next_allowed_at(TimePoint now, const std::string& incarnation, double per_second, int entries);
-  bool may_send(TimePoint now, const std::string& incarnation, double per_second, int entries) {
-    return next_allowed_at(now, incarnation, per_second, entries) <= now;
+  /// When this entry, one of `entries`, may next send to the server; `now` during its turn. `requests_per_second` is
+  /// the total rate that the server accepts; 0 means no limit.
+  TimePoint next_allowed_at(TimePoint now, const std::string& incarnation, double requests_per_second, int entry_count);
+  bool may_send(TimePoint now, const std::string& incarnation, double requests_per_second, int entry_count) {
+    return next_allowed_at(now, incarnation, requests_per_second, entry_count) <= now;
   }
-  void note_sent(TimePoint now, const std::string& incarnation, double per_second, int entries);
+  void note_sent(TimePoint now, const std::string& incarnation, double requests_per_second, int entry_count);
   /// Removes the servers that are no longer rate-limited.
   void retain_servers(const std::set<std::string>& rated);
   bool empty() const { return schedules_.empty(); }
@@ -39,11 +39,11 @@
     Duration interval{};
   };
 
-  static Duration turn_interval(double per_second, int entries);
+  static Duration turn_interval(double requests_per_second, int entry_count);
   /// Draws the start of the next turn uniformly from one interval.
   TurnSchedule draw_next_turn(TimePoint now, Duration interval);
 
-  std::mt19937_64 random_;
+  std::mt19937_64 random_engine_;
   std::map<std::string, TurnSchedule> schedules_;
 };
 
--- a/src/core/fleet/request_blocker.cc
+++ b/src/core/fleet/request_blocker.cc
@@ -31,11 +31,11 @@
 
 void RequestBlocker::set_phase(TimePoint now, BlockState& blocked, Phase phase) {
   blocked.phase = phase;
-  blocked.since = now;
+  blocked.phase_started_at = now;
 }
 
 void RequestBlocker::start(TimePoint now, const std::vector<wire::BlockedRequest>& inherited) {
-  ends_ = ServerEnds();
+  server_ends_ = ServerEnds();
   blocked_.clear();
   granted_retries_.clear();
   likely_ended_at_.clear();
@@ -54,7 +54,7 @@
 RequestBlocker::BlockState& RequestBlocker::block(TimePoint now, requests::RequestFingerprint request, int trials) {
   if (blocked_.size() >= kMaxBlockedRequests) {
     const auto oldest = std::min_element(blocked_.begin(), blocked_.end(), [](const auto& left, const auto& right) {
-      return left.second.since < right.second.since;
+      return left.second.phase_started_at < right.second.phase_started_at;
     });
     blocked_.erase(oldest);
   }
@@ -69,11 +69,11 @@
     return false;
   }
   bool changed = false;
-  for (const auto request : ends_.refute(incarnation, now)) {
+  for (const auto request : server_ends_.refute(incarnation, now)) {
     const auto blocked = blocked_.find(request);
     const bool was_blocked_by_its_end =
         blocked != blocked_.end() && blocked->second.trials == 0 && !blocked->second.is_inherited;
-    if (was_blocked_by_its_end && ends_.count(request) < kServerEndsToBlock) {
+    if (was_blocked_by_its_end && server_ends_.count(request) < kServerEndsToBlock) {
       blocked_.erase(blocked);
       changed = true;
     }
@@ -85,10 +85,10 @@
   if (end.certainty == Certainty::kLikely) {
     likely_ended_at_[end.instance_id] = end.at;
   }
-  const size_t count = ends_.note(end);
+  const size_t count = server_ends_.note(end);
   const auto known = blocked_.find(end.request);
   if (known != blocked_.end()) {
-    ends_.explain(end.request);
+    server_ends_.explain(end.request);
     const bool was_trial = known->second.phase == Phase::kTrialRunning;
     if (was_trial) {
       set_phase(end.at, known->second, Phase::kWaiting);
@@ -99,12 +99,12 @@
     return false;
   }
   block(end.at, end.request, 0);
-  ends_.explain(end.request);
+  server_ends_.explain(end.request);
   return true;
 }
 
 bool RequestBlocker::note_answered(requests::RequestFingerprint request) {
-  ends_.forget(request);
+  server_ends_.forget(request);
   granted_retries_.erase(request);
   return blocked_.erase(request) > 0;
 }
@@ -113,7 +113,7 @@
   if (blocked_.contains(request)) {
     return false;
   }
-  if (!ends_.is_suspect(request)) {
+  if (!server_ends_.is_suspect(request)) {
     return true;
   }
   const auto [granted, is_first] = granted_retries_.try_emplace(request, now);
@@ -135,13 +135,13 @@
 }
 
 bool RequestBlocker::tick(TimePoint now) {
-  ends_.forget_old(now);
+  server_ends_.forget_old(now);
   std::erase_if(granted_retries_, [now](const auto& item) { return now - item.second >= kRetryTimeout; });
   std::erase_if(likely_ended_at_, [now](const auto& item) { return now - item.second > kServerReportTimeout; });
   bool changed = false;
   for (auto item = blocked_.begin(); item != blocked_.end();) {
     BlockState& blocked = item->second;
-    const Duration age = now - blocked.since;
+    const Duration age = now - blocked.phase_started_at;
     const bool has_trials_left = static_cast<size_t>(blocked.trials) < kTrialDelays.size();
     const bool is_wait_over = blocked.phase == Phase::kWaiting && age >= wait_time(blocked);
     if (is_wait_over && !has_trials_left) {
--- a/src/core/fleet/request_blocker.h
+++ b/src/core/fleet/request_blocker.h
@@ -52,7 +52,7 @@
     int trials = 0;
     Phase phase = Phase::kWaiting;
     /// Start of the phase.
-    TimePoint since{};
+    TimePoint phase_started_at{};
     /// The ends that caused the block were counted under an earlier leader, so ends counted here cannot refute it.
     bool is_inherited = false;
   };
@@ -62,7 +62,7 @@
   static Duration wait_time(const BlockState& blocked);
   static void set_phase(TimePoint now, BlockState& blocked, Phase phase);
 
-  ServerEnds ends_;
+  ServerEnds server_ends_;
   std::map<requests::RequestFingerprint, BlockState> blocked_;
   /// When the last retry was granted, for requests that ended servers and have not been answered since.
   std::map<requests::RequestFingerprint, TimePoint> granted_retries_;
--- a/src/core/fleet/request_pacer.h
+++ b/src/core/fleet/request_pacer.h
@@ -10,15 +10,15 @@
 class RequestPacer {
  public:
   /// When the next request is allowed, not before `now`. The rate may change between calls; it must be above 0.
-  TimePoint next_allowed_at(TimePoint now, double per_second);
+  TimePoint next_allowed_at(TimePoint now, double requests_per_second);
   /// Records a request that is sent now.
-  void note_request(TimePoint now, double per_second);
+  void note_request(TimePoint now, double requests_per_second);
 
  private:
   /// Scales the remaining wait if the rate changed.
-  void adopt_rate(TimePoint now, double per_second);
+  void adopt_rate(TimePoint now, double requests_per_second);
 
-  double rate_per_second_ = 0;
+  double requests_per_second_ = 0;
   TimePoint next_allowed_at_ = TimePoint::min();
 };
 
--- a/src/core/fleet/sliding_window_limiter.h
+++ b/src/core/fleet/sliding_window_limiter.h
@@ -11,8 +11,10 @@
 class SlidingWindowLimiter {
  public:
   /// When the next request is allowed, not before `now`.
-  TimePoint next_allowed_at(TimePoint now, double per_second);
-  bool allows_request(TimePoint now, double per_second) { return next_allowed_at(now, per_second) <= now; }
+  TimePoint next_allowed_at(TimePoint now, double requests_per_second);
+  bool allows_request(TimePoint now, double requests_per_second) {
+    return next_allowed_at(now, requests_per_second) <= now;
+  }
   void note_request(TimePoint now) { request_times_.push_back(now); }
 
  private:
--- a/src/core/fleet/slot_scheduler.cc
+++ b/src/core/fleet/slot_scheduler.cc
@@ -21,8 +21,8 @@
 /// limit seldom lasts longer.
 constexpr Duration kMaxRetryAfter = seconds(30);
 
-Duration time_for_requests(double requests, double per_second) {
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(requests / per_second));
+Duration time_for_requests(double requests, double requests_per_second) {
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(requests / requests_per_second));
 }
 
 Duration scale_duration(Duration duration, double factor) {
@@ -34,14 +34,14 @@
 void SlotScheduler::start(int64_t term) {
   term_ = term;
   groups_.clear();
-  silence_ = SilenceWatch();
+  silence_watch_ = SilenceWatch();
   open_groups_.clear();
   nodes_.clear();
   new_requests_.clear();
   waiting_requests_.clear();
   blocked_queues_.clear();
   retry_after_until_.clear();
-  rates_.clear();
+  rate_limiter_.clear();
 }
 
 void SlotScheduler::set_groups(const std::vector<wire::EngineGroup>& groups,
@@ -54,7 +54,7 @@
     group.model = row.model;
     group.is_open = row.phase == wire::GroupPhase::OPEN && !group.has_failed;
     const auto head = heads.find(row.name);
-    group.rated_head = head == heads.end() ? "" : head->second;
+    group.rate_limited_head = head == heads.end() ? "" : head->second;
     group.zones = row.zones;
   }
   std::erase_if(groups_,
@@ -100,13 +100,13 @@
     for (const auto& [group, in_flight] : before) {
       if (!named.contains(group)) {
         set_load(node, group, 0);
-        silence_.note_streams(node_name, group, 0);
+        silence_watch_.note_streams(node_name, group, 0);
       }
     }
   }
   for (const auto& load : loads) {
     set_load(node, load.group, load.in_flight);
-    silence_.note_streams(node_name, load.group, load.streaming);
+    silence_watch_.note_streams(node_name, load.group, load.streaming);
   }
   while (grants_term == term_ && !node.unreported_grants.empty() &&
          node.unreported_grants.front().first <= grants_seen) {
@@ -118,7 +118,7 @@
 std::vector<std::string> SlotScheduler::find_failed_groups(TimePoint now,
                                                            const document::ConfigurationDocument& document) {
   std::vector<std::string> result;
-  for (const auto& name : silence_.quiet_groups()) {
+  for (const auto& name : silence_watch_.quiet_groups()) {
     const auto found = groups_.find(name);
     if (found == groups_.end() || !found->second.is_open) {
       continue;
@@ -130,9 +130,9 @@
     if (model == nullptr) {
       continue;
     }
-    const auto next = group.clock.forecast(now, *service->second.engine, *model, group.in_flight, 0);
-    const Duration longest_pass = std::max(next.longest_pass, group.clock.longest_recent_pass());
-    if (silence_.stands_still(now, name, longest_pass)) {
+    const auto next = group.pass_clock.forecast(now, *service->second.engine, *model, group.in_flight, 0);
+    const Duration longest_pass = std::max(next.longest_pass, group.pass_clock.longest_recent_pass());
+    if (silence_watch_.stands_still(now, name, longest_pass)) {
       group.has_failed = true;
       group.is_open = false;
       result.push_back(name);
@@ -157,7 +157,7 @@
 }
 
 void SlotScheduler::forget_node(const std::string& node_name) {
-  silence_.forget_node(node_name);
+  silence_watch_.forget_node(node_name);
   const auto found = nodes_.find(node_name);
   if (found == nodes_.end()) {
     return;
@@ -178,7 +178,7 @@
   WaitingRequest waiting;
   waiting.node = node;
   waiting.request = request;
-  waiting.arrived = now;
+  waiting.arrived_at = now;
   waiting.queue_deadline = now + milliseconds(request.patience_ms);
   if (request.gap_ms > 0) {
     const Duration gap = milliseconds(request.gap_ms);
@@ -190,7 +190,7 @@
 
 bool SlotScheduler::has_missed_objective(TimePoint now, const WaitingRequest& waiting) {
   const auto& request = waiting.request;
-  return request.first_event_ms > 0 && now >= waiting.arrived + milliseconds(request.first_event_ms);
+  return request.first_event_ms > 0 && now >= waiting.arrived_at + milliseconds(request.first_event_ms);
 }
 
 bool SlotScheduler::is_in_allowed_zones(const WaitingRequest& waiting, const TrackedGroup& group) {
@@ -215,7 +215,7 @@
                                                         const WaitingRequest& waiting) {
   SlotCandidate best;
   for (const auto& server : waiting.request.rated_servers) {
-    if (rates_.next_allowed_at(now, service, server) <= now) {
+    if (rate_limiter_.next_allowed_at(now, service, server) <= now) {
       best.name = server;
       best.feasibility = Feasibility::kInTime;
       break;
@@ -231,18 +231,18 @@
   if (!asks_for_plain_server(waiting)) {
     for (const auto* item : open_groups_.at(model_key(waiting))) {
       if (may_use_group(waiting, item->first, item->second)) {
-        servers.push_back(item->second.rated_head);
+        servers.push_back(item->second.rate_limited_head);
       }
     }
   }
   LimitedServers result{TimePoint::max(), 0};
   for (const auto& server : servers) {
-    const auto limit = rates_.limit_of(server);
+    const auto limit = rate_limiter_.limit_of(server);
     if (!limit) {
       return std::nullopt;
     }
-    result.next_allowed_at = std::min(result.next_allowed_at, rates_.next_allowed_at(now, service, server));
-    result.per_second += *limit;
+    result.next_allowed_at = std::min(result.next_allowed_at, rate_limiter_.next_allowed_at(now, service, server));
+    result.requests_per_second += *limit;
   }
   return servers.empty() ? std::nullopt : std::optional(result);
 }
@@ -256,7 +256,7 @@
   const Duration longest_pass =
       gap == min_gap_objectives_.end() ? Duration::max() : scale_duration(gap->second, kMaxPassShareOfGap);
   const bool has_objective = request.first_event_ms > 0;
-  const Duration remaining_time = waiting.arrived + milliseconds(request.first_event_ms) - now;
+  const Duration remaining_time = waiting.arrived_at + milliseconds(request.first_event_ms) - now;
   const auto open = open_groups_.find(model_key(waiting));
   SlotCandidate best;
   if (open == open_groups_.end()) {
@@ -265,14 +265,14 @@
   for (auto* item : open->second) {
     auto& [name, group] = *item;
     const bool is_eligible = group.in_flight < engine.slots && may_use_group(waiting, name, group);
-    if (!is_eligible || rates_.next_allowed_at(now, service, group.rated_head) > now) {
+    if (!is_eligible || rate_limiter_.next_allowed_at(now, service, group.rate_limited_head) > now) {
       continue;
     }
-    const auto forecast = group.clock.forecast(now, engine, model, group.in_flight, request.prompt_tokens);
+    const auto forecast = group.pass_clock.forecast(now, engine, model, group.in_flight, request.prompt_tokens);
     if (group.in_flight > 0 && forecast.longest_pass > longest_pass) {
       continue;
     }
-    const bool is_quiet_group = silence_.is_quiet(now, name);
+    const bool is_quiet_group = silence_watch_.is_quiet(now, name);
     const bool is_better = std::pair(is_quiet_group, forecast.first_event) < std::pair(best.is_quiet, best.first_event);
     if (best.feasibility == Feasibility::kNone || is_better) {
       best.name = name;
@@ -289,7 +289,7 @@
                                              const WaitingRequest& waiting) {
   const auto& request = waiting.request;
   const Duration idle_first_event =
-      engine::PassClock().forecast(waiting.arrived, engine, model, 0, request.prompt_tokens).first_event;
+      engine::PassClock().forecast(waiting.arrived_at, engine, model, 0, request.prompt_tokens).first_event;
   return request.first_event_ms > 0 && idle_first_event > milliseconds(request.first_event_ms);
 }
 
@@ -312,8 +312,9 @@
   }
   const auto& limited = *blocked->second;
   TimePoint& retry_at = retry_after_until_[queue];
-  const TimePoint turn = std::max(limited.next_allowed_at + time_for_requests(requests_ahead, limited.per_second),
-                                  retry_at + time_for_requests(1, limited.per_second));
+  const TimePoint turn =
+      std::max(limited.next_allowed_at + time_for_requests(requests_ahead, limited.requests_per_second),
+               retry_at + time_for_requests(1, limited.requests_per_second));
   retry_at = std::min(turn, now + kMaxRetryAfter);
   const auto wait = std::chrono::ceil<milliseconds>(std::max<Duration>(retry_at - now, milliseconds(1)));
   decisions.back().grant.__set_retry_after_ms(static_cast<int32_t>(wait.count()));
@@ -323,9 +324,9 @@
                                      const document::ModelSpec& model, const WaitingRequest& waiting,
                                      const SlotCandidate& candidate, std::vector<SlotDecision>& decisions) {
   TrackedGroup& group = groups_.at(candidate.name);
-  group.clock.add(now, *service.engine, model, group.in_flight, waiting.request.prompt_tokens);
+  group.pass_clock.add(now, *service.engine, model, group.in_flight, waiting.request.prompt_tokens);
   ++group.in_flight;
-  rates_.note_request(now, service, group.rated_head);
+  rate_limiter_.note_request(now, service, group.rate_limited_head);
   NodeLoads& node = nodes_[waiting.node];
   add_decision(waiting, wire::SlotVerdict::GRANTED, decisions);
   auto& grant = decisions.back().grant;
@@ -338,7 +339,7 @@
 void SlotScheduler::grant_server_slot(TimePoint now, const document::ServiceSpec& service,
                                       const WaitingRequest& waiting, const SlotCandidate& candidate,
                                       std::vector<SlotDecision>& decisions) {
-  rates_.note_request(now, service, candidate.name);
+  rate_limiter_.note_request(now, service, candidate.name);
   add_decision(waiting, wire::SlotVerdict::GRANTED, decisions);
   decisions.back().grant.__set_server(candidate.name);
 }
@@ -419,7 +420,7 @@
     }
     const auto& limited = *blocked->second;
     int& before = requests_ahead[queue];
-    if (limited.next_allowed_at + time_for_requests(before, limited.per_second) <= waiting.queue_deadline) {
+    if (limited.next_allowed_at + time_for_requests(before, limited.requests_per_second) <= waiting.queue_deadline) {
       ++before;
       return false;
     }
@@ -428,13 +429,13 @@
   });
 }
 
-void SlotScheduler::decide_waiting(TimePoint now, const document::ConfigurationDocument& document,
-                                   std::vector<SlotDecision>& decisions) {
+void SlotScheduler::decide_waiting_requests(TimePoint now, const document::ConfigurationDocument& document,
+                                            std::vector<SlotDecision>& decisions) {
   next_review_ = now + kReviewInterval;
   blocked_queues_.clear();
   std::erase_if(retry_after_until_, [now](const auto& item) { return item.second <= now; });
   const auto order = [now](const WaitingRequest& item) {
-    return std::tuple(item.request.priority, has_missed_objective(now, item), item.arrived);
+    return std::tuple(item.request.priority, has_missed_objective(now, item), item.arrived_at);
   };
   std::stable_sort(waiting_requests_.begin(), waiting_requests_.end(),
                    [&order](const auto& left, const auto& right) { return order(left) < order(right); });
@@ -453,7 +454,7 @@
     waiting_requests_.insert(waiting_requests_.end(), std::make_move_iterator(new_requests_.begin()),
                              std::make_move_iterator(new_requests_.end()));
     new_requests_.clear();
-    decide_waiting(now, document, decisions);
+    decide_waiting_requests(now, document, decisions);
     return decisions;
   }
   // A request for whose servers no other request waits is decided immediately; otherwise it waits for the next review.
--- a/src/core/fleet/slot_scheduler.h
+++ b/src/core/fleet/slot_scheduler.h
@@ -43,7 +43,7 @@
   /// Starts a new leadership in `term`. Loads are unknown until nodes report them.
   void start(int64_t term);
   /// Sets all servers with a request rate limit.
-  void set_rate_limited_servers(const std::vector<RateLimitedServer>& servers) { rates_.set_servers(servers); }
+  void set_rate_limited_servers(const std::vector<RateLimitedServer>& servers) { rate_limiter_.set_servers(servers); }
   /// Updates the groups; only open groups get requests. `heads` maps groups to the incarnations of heads that are
   /// rate-limited.
   void set_groups(const std::vector<wire::EngineGroup>& groups, const std::map<std::string, std::string>& heads = {});
@@ -54,7 +54,7 @@
   /// The complete list of groups whose streams at the node currently pause too long. If two nodes report a group, other
   /// groups are preferred.
   void note_quiet_groups(TimePoint now, const std::string& node, const std::vector<std::string>& groups) {
-    silence_.note_quiet(now, node, groups);
+    silence_watch_.note_quiet(now, node, groups);
   }
   /// Returns the groups found to be stalled since the last call. They get no more requests.
   std::vector<std::string> find_failed_groups(TimePoint now, const document::ConfigurationDocument& document);
@@ -81,10 +81,10 @@
     /// Found to be stalled. Stays set, because a re-formed group has a new name.
     bool has_failed = false;
     /// The head's incarnation if it is rate-limited, otherwise empty.
-    std::string rated_head;
+    std::string rate_limited_head;
     /// Zones of the members, sorted.
     std::vector<std::string> zones;
-    engine::PassClock clock;
+    engine::PassClock pass_clock;
   };
   struct NodeLoads {
     std::map<std::string, int> in_flight;
@@ -95,7 +95,7 @@
   struct WaitingRequest {
     std::string node;
     wire::SlotRequest request;
-    TimePoint arrived{};
+    TimePoint arrived_at{};
     TimePoint queue_deadline{};
     bool is_queued_sent = false;  ///< The entry was told that the request is queued.
   };
@@ -113,7 +113,7 @@
     /// When the first of them may get a request.
     TimePoint next_allowed_at{};
     /// Sum of their limits, in requests per second.
-    double per_second = 0;
+    double requests_per_second = 0;
   };
   using GroupItem = std::pair<const std::string, TrackedGroup>;
   enum class Feasibility { kInTime, kLate, kNone };
@@ -167,8 +167,8 @@
   /// Returns true if the decision is final.
   bool decide_request(TimePoint now, const document::ConfigurationDocument& document, WaitingRequest& waiting,
                       LateAnswers late_answers, std::vector<SlotDecision>& decisions);
-  void decide_waiting(TimePoint now, const document::ConfigurationDocument& document,
-                      std::vector<SlotDecision>& decisions);
+  void decide_waiting_requests(TimePoint now, const document::ConfigurationDocument& document,
+                               std::vector<SlotDecision>& decisions);
   /// Refuses requests that rate limits would delay beyond their queue deadline.
   void refuse_beyond_queue_deadline(TimePoint now, std::vector<SlotDecision>& decisions);
   /// Refuses a request. If rate limits are the cause, the answer states when to retry, which is after the retries of
@@ -185,7 +185,7 @@
 
   int64_t term_ = 0;
   std::map<std::string, TrackedGroup> groups_;
-  SilenceWatch silence_;
+  SilenceWatch silence_watch_;
   /// The open groups of each model.
   std::map<ModelKey, std::vector<GroupItem*>> open_groups_;
   std::map<std::string, NodeLoads> nodes_;
@@ -198,7 +198,7 @@
   std::map<QueueKey, std::optional<LimitedServers>> blocked_queues_;
   /// The latest retry time given to callers that were refused because of rate limits, by queue.
   std::map<QueueKey, TimePoint> retry_after_until_;
-  ServerRateLimiter rates_;
+  ServerRateLimiter rate_limiter_;
   TimePoint next_review_ = TimePoint::min();
   /// Smallest objective for pauses of all requests, by model.
   std::map<ModelKey, Duration> min_gap_objectives_;
--- a/src/core/fleet/target_health.h
+++ b/src/core/fleet/target_health.h
@@ -59,7 +59,7 @@
   /// than `longest_pause`.
   bool is_overdue(TimePoint now, Duration longest_pause) const;
   /// How long this entry's requests have waited since the last progress; zero if there are none.
-  Duration silence(TimePoint now) const;
+  Duration silence_duration(TimePoint now) const;
 
  private:
   int in_flight_ = 0;
@@ -71,7 +71,7 @@
   TimePoint streaming_since_ = TimePoint::min();
   TimePoint last_progress_ = TimePoint::min();
   /// Intervals between progress events while streams were active.
-  requests::LatencyEstimate pauses_;
+  requests::LatencyEstimate pause_estimate_;
   TimePoint avoid_until_ = TimePoint::min();
   OtherEntriesLoad other_entries_;
 };
--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -137,7 +137,7 @@
   const TimePoint now = monotonic_now();
   auto question = question_for(request, now, choice.target ? now : wait_until);
   std::vector<std::string> incarnations;
-  for (const auto& target : choice.rated_targets) {
+  for (const auto& target : choice.rate_limited_targets) {
     incarnations.push_back(target.incarnation);
   }
   question.__set_rated_servers(incarnations);
@@ -146,7 +146,7 @@
     co_return FoundTarget(CallerGone());
   }
   if (grant.verdict == wire::SlotVerdict::GRANTED) {
-    for (const auto& target : choice.rated_targets) {
+    for (const auto& target : choice.rate_limited_targets) {
       if (target.incarnation == grant.server && state_.dispatcher.may_send(monotonic_now(), target)) {
         co_return FoundTarget(target);
       }
@@ -157,7 +157,7 @@
     co_return FoundTarget(refusal_of(grant));
   }
   if (grant.verdict == wire::SlotVerdict::BUSY) {
-    for (const auto& target : choice.rated_targets) {
+    for (const auto& target : choice.rate_limited_targets) {
       state_.dispatcher.note_rate_limited_until(monotonic_now() + kNoTurnPause, target);
     }
   }
@@ -198,8 +198,8 @@
   asio::steady_timer timer(executor_);
   while (!request.caller_gone) {
     const TimePoint now = monotonic_now();
-    auto choice = state_.dispatcher.choose(now, *request.service, demand, request.excluded, authority);
-    if (!choice.rated_targets.empty()) {
+    auto choice = state_.dispatcher.choose_target(now, *request.service, demand, request.excluded, authority);
+    if (!choice.rate_limited_targets.empty()) {
       auto turn = co_await ask_for_turn(request, choice, wait_until);
       if (turn) {
         co_return std::move(*turn);
--- a/tests/unit/blocked_requests_test.cc
+++ b/tests/unit/blocked_requests_test.cc
@@ -165,9 +165,9 @@
   EXPECT_EQ(blocked.verdict_for(at(2), kHarmful), Verdict::kBlocked);
   EXPECT_EQ(blocked.verdict_for(at(2), kBystander), Verdict::kAllowed);
   EXPECT_EQ(blocked.remaining_block_time(at(2), kHarmful), seconds(29));
-  auto due = blocked_row(kHarmful);
-  due.trial_due = true;
-  blocked.update(at(31), {due});
+  auto due_row = blocked_row(kHarmful);
+  due_row.trial_due = true;
+  blocked.update(at(31), {due_row});
   EXPECT_EQ(blocked.verdict_for(at(32), kHarmful), Verdict::kTrialDue);
   blocked.update(at(33), {});
   EXPECT_EQ(blocked.verdict_for(at(33), kHarmful), Verdict::kAllowed);
--- a/tests/unit/cold_start_test.cc
+++ b/tests/unit/cold_start_test.cc
@@ -174,7 +174,7 @@
   service.cold_requests_per_second = kColdPerSecond;
   int at_cold = 0;
   for (TimePoint now = kStart; now < kStart + seconds(9); now += milliseconds(10)) {
-    const auto choice = dispatcher.choose(now, service, {}, {});
+    const auto choice = dispatcher.choose_target(now, service, {}, {});
     ASSERT_TRUE(choice.target);
     at_cold += choice.target->instance_id == "i1" ? 1 : 0;
   }
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -375,12 +375,12 @@
   state.instances = {instance("i1", "a:1")};
   state.instances[0].born_ms = 1000;
   EXPECT_TRUE(dispatcher.update_state(state).empty());
-  const auto before = dispatcher.choose(kStart, plain, {}, {}).target;
+  const auto before = dispatcher.choose_target(kStart, plain, {}, {}).target;
   ASSERT_TRUE(before);
   dispatcher.begin_attempt(kStart, *before);
   state.instances[0].born_ms = 2000;
   EXPECT_EQ(dispatcher.update_state(state), std::vector<std::string>{before->key});
-  const auto after = dispatcher.choose(kStart, plain, {}, {before->key}).target;
+  const auto after = dispatcher.choose_target(kStart, plain, {}, {before->key}).target;
   ASSERT_TRUE(after) << "what an earlier start did is not held against it";
   EXPECT_NE(after->key, before->key);
   EXPECT_EQ(after->in_flight, 0);
@@ -418,13 +418,13 @@
   dispatcher.update_state(two_groups());
   const RequestRequirements demand{"m", Duration::zero()};
   for (int count = 0; count < 18; ++count) {
-    const auto choice = dispatcher.choose(kStart, engine_service(), demand, {});
+    const auto choice = dispatcher.choose_target(kStart, engine_service(), demand, {});
     ASSERT_TRUE(choice.target) << count;
     EXPECT_TRUE(choice.target->instance_id == "i0" || choice.target->instance_id == "i2");
     dispatcher.begin_attempt(kStart, *choice.target);
   }
-  EXPECT_EQ(dispatcher.choose(kStart, engine_service(), demand, {}).failure, DispatchFailure::kAllBusy);
-  EXPECT_EQ(dispatcher.choose(kStart, engine_service(), {"other", {}}, {}).failure, DispatchFailure::kNoTarget);
+  EXPECT_EQ(dispatcher.choose_target(kStart, engine_service(), demand, {}).failure, DispatchFailure::kAllBusy);
+  EXPECT_EQ(dispatcher.choose_target(kStart, engine_service(), {"other", {}}, {}).failure, DispatchFailure::kNoTarget);
 }
 
 TEST(Dispatcher, TakesOnlyItsPartOfTheFreePlacesAtATime) {
@@ -433,8 +433,8 @@
   dispatcher.set_serving_nodes(20);
   const auto send_all = [&dispatcher](TimePoint now) {
     int sent = 0;
-    for (auto choice = dispatcher.choose(now, engine_service(), {"m", {}}, {}); choice.target;
-         choice = dispatcher.choose(now, engine_service(), {"m", {}}, {})) {
+    for (auto choice = dispatcher.choose_target(now, engine_service(), {"m", {}}, {}); choice.target;
+         choice = dispatcher.choose_target(now, engine_service(), {"m", {}}, {})) {
       dispatcher.begin_attempt(now, *choice.target);
       ++sent;
     }
@@ -459,7 +459,7 @@
   load.in_flight = 9;
   dispatcher.update_loads(kStart, {load});
   for (int count = 0; count < 5; ++count) {
-    EXPECT_EQ(dispatcher.choose(kStart, engine_service(), {"m", {}}, {}).target->group, "g1");
+    EXPECT_EQ(dispatcher.choose_target(kStart, engine_service(), {"m", {}}, {}).target->group, "g1");
   }
 }
 
@@ -482,7 +482,7 @@
   std::set<std::string> chosen;
   for (int round = 0; round < 50; ++round) {
     const TimePoint now = later + round * milliseconds(200);
-    if (const auto choice = dispatcher.choose(now, engine_service(), {"m", {}}, {}); choice.target) {
+    if (const auto choice = dispatcher.choose_target(now, engine_service(), {"m", {}}, {}); choice.target) {
       chosen.insert(choice.target->group);
     }
   }
--- a/tests/unit/home_regions_test.cc
+++ b/tests/unit/home_regions_test.cc
@@ -125,11 +125,11 @@
   const std::set<std::string> home = {"a1"};
   const std::set<std::string> nowhere = {"c1"};
   for (int number = 0; number < 20; ++number) {
-    const auto choice = dispatcher.choose(kStart, plain, {"", {}, 0, &home}, {});
+    const auto choice = dispatcher.choose_target(kStart, plain, {"", {}, 0, &home}, {});
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->instance_id, "p-a1");
   }
-  EXPECT_FALSE(dispatcher.choose(kStart, plain, {"", {}, 0, &nowhere}, {}).target);
+  EXPECT_FALSE(dispatcher.choose_target(kStart, plain, {"", {}, 0, &nowhere}, {}).target);
 }
 
 }  // namespace
--- a/tests/unit/server_notices_test.cc
+++ b/tests/unit/server_notices_test.cc
@@ -144,7 +144,7 @@
 TEST_F(DispatcherNotices, ARestingHeadGetsNothingAndTheLeaderIsTold) {
   dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
   for (int request = 0; request < 20; ++request) {
-    const auto choice = dispatcher_.choose(at(0.1 * request), service_, demand_, {});
+    const auto choice = dispatcher_.choose_target(at(0.1 * request), service_, demand_, {});
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->group, "g2");
   }
@@ -158,14 +158,14 @@
   dispatcher_.note_retry_after(at(1), target("g2"), seconds(3));
   EXPECT_EQ(dispatcher_.all_backing_off_until(at(1), "engines", "small"), at(3));
   EXPECT_FALSE(dispatcher_.all_backing_off_until(at(3), "engines", "small"));
-  EXPECT_FALSE(dispatcher_.choose(at(2), service_, demand_, {}).target);
+  EXPECT_FALSE(dispatcher_.choose_target(at(2), service_, demand_, {}).target);
 }
 
 TEST_F(DispatcherNotices, OnesThatLeaveAreNotWaitedFor) {
   dispatcher_.note_leaving(at(0), target("g1"));
   dispatcher_.note_leaving(at(0), target("g2"));
   EXPECT_FALSE(dispatcher_.all_backing_off_until(at(1), "engines", "small"));
-  EXPECT_FALSE(dispatcher_.choose(at(1), service_, demand_, {}).target);
+  EXPECT_FALSE(dispatcher_.choose_target(at(1), service_, demand_, {}).target);
 }
 
 // The rest outlasts the row: the head may come back in another group before the rest is over.
@@ -177,8 +177,8 @@
   state_.instances = {instance("i1")};
   state_.groups = {open_group("g3", "i1")};
   dispatcher_.update_state(state_);
-  EXPECT_FALSE(dispatcher_.choose(at(2), service_, demand_, {}).target);
-  EXPECT_TRUE(dispatcher_.choose(at(3.2), service_, demand_, {}).target);
+  EXPECT_FALSE(dispatcher_.choose_target(at(2), service_, demand_, {}).target);
+  EXPECT_TRUE(dispatcher_.choose_target(at(3.2), service_, demand_, {}).target);
 }
 
 TEST_F(DispatcherNotices, AServerThatStartedAgainAskedForNothing) {
--- a/tests/unit/server_rate_limiter_test.cc
+++ b/tests/unit/server_rate_limiter_test.cc
@@ -391,10 +391,10 @@
 TEST_F(RateLimitedDispatcher, NamesTheLimitedServerToTheLeaderOnlyWhereItIsBetter) {
   int limited_preferred = 0;
   for (int request = 0; request < 100; ++request) {
-    const auto choice = dispatcher_.choose(kStart, plain_service(), {}, {}, RateAuthority::kLeader);
+    const auto choice = dispatcher_.choose_target(kStart, plain_service(), {}, {}, RateAuthority::kLeader);
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->instance_id, "i2") << "nobody waits for a turn that another server does without";
-    limited_preferred += choice.rated_targets.empty() ? 0 : 1;
+    limited_preferred += choice.rate_limited_targets.empty() ? 0 : 1;
   }
   EXPECT_GT(limited_preferred, 20);
   EXPECT_LT(limited_preferred, 80);
@@ -405,15 +405,16 @@
   limited.incarnation = "i1";
   dispatcher_.note_rate_limited_until(kStart + seconds(1), limited);
   for (int request = 0; request < 50; ++request) {
-    EXPECT_TRUE(dispatcher_.choose(kStart, plain_service(), {}, {}, RateAuthority::kLeader).rated_targets.empty());
+    EXPECT_TRUE(dispatcher_.choose_target(kStart, plain_service(), {}, {}, RateAuthority::kLeader)
+                    .rate_limited_targets.empty());
   }
-  const auto only_limited = dispatcher_.choose(kStart, plain_service(), {}, {"i2"}, RateAuthority::kLeader);
-  ASSERT_EQ(only_limited.rated_targets.size(), 1U) << "the leader has a queue for those whom nobody else serves";
+  const auto only_limited = dispatcher_.choose_target(kStart, plain_service(), {}, {"i2"}, RateAuthority::kLeader);
+  ASSERT_EQ(only_limited.rate_limited_targets.size(), 1U) << "the leader has a queue for those whom nobody else serves";
   EXPECT_FALSE(only_limited.target);
 }
 
 TEST_F(RateLimitedDispatcher, TellsWhenItsNextTurnComesWhileNoLeaderCounts) {
-  const auto choice = dispatcher_.choose(kStart, plain_service(), {}, {"i2"});
+  const auto choice = dispatcher_.choose_target(kStart, plain_service(), {}, {"i2"});
   EXPECT_FALSE(choice.target);
   EXPECT_EQ(choice.failure, DispatchFailure::kAllBusy);
   ASSERT_TRUE(choice.next_allowed_at);
@@ -440,11 +441,11 @@
   EXPECT_EQ(dispatcher_.take_changed_limits(kStart).size(), 1U);
   EXPECT_TRUE(dispatcher_.take_changed_limits(kStart).empty());
   EXPECT_EQ(dispatcher_.take_all_limits(kStart).size(), 1U) << "for a new leader";
-  const auto choice = dispatcher_.choose(kStart, plain_service(), {}, {}, RateAuthority::kLeader);
+  const auto choice = dispatcher_.choose_target(kStart, plain_service(), {}, {}, RateAuthority::kLeader);
   EXPECT_FALSE(choice.target);
-  EXPECT_EQ(choice.rated_targets.size(), 2U);
+  EXPECT_EQ(choice.rate_limited_targets.size(), 2U);
   EXPECT_TRUE(dispatcher_.note_limit({"i2", std::nullopt, kStart + seconds(2)}));
-  EXPECT_TRUE(dispatcher_.choose(kStart, plain_service(), {}, {}, RateAuthority::kLeader).target);
+  EXPECT_TRUE(dispatcher_.choose_target(kStart, plain_service(), {}, {}, RateAuthority::kLeader).target);
 }
 
 }  // namespace
--- a/tests/unit/zone_evacuations_test.cc
+++ b/tests/unit/zone_evacuations_test.cc
@@ -171,7 +171,7 @@
   EXPECT_FALSE(dispatcher.target_of_group(kStart, "g1"));
   EXPECT_FALSE(dispatcher.target_of_group(kStart, "g3")) << "a member stands in the zone";
   for (int number = 0; number < 20; ++number) {
-    const auto choice = dispatcher.choose(kStart + milliseconds(200 * number), service, {"m", {}, 10}, {});
+    const auto choice = dispatcher.choose_target(kStart + milliseconds(200 * number), service, {"m", {}, 10}, {});
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->group, "g2");
   }
@@ -179,7 +179,7 @@
   auto both = evacuated("a", 2);
   both.zones.emplace_back("b");
   dispatcher.update_evacuations(both);
-  EXPECT_FALSE(dispatcher.choose(kStart + seconds(9), service, {"m", {}, 10}, {}).target);
+  EXPECT_FALSE(dispatcher.choose_target(kStart + seconds(9), service, {"m", {}, 10}, {}).target);
   EXPECT_TRUE(dispatcher.are_all_servers_evacuated("s", "m"));
 }
 
@@ -192,7 +192,7 @@
   document::ServiceSpec service;
   service.name = "s";
   for (int number = 0; number < 20; ++number) {
-    const auto choice = dispatcher.choose(kStart, service, {}, {});
+    const auto choice = dispatcher.choose_target(kStart, service, {}, {});
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->instance_id, "i2");
   }
