--- a/tests/unit/blocked_requests_test.cc
+++ b/tests/unit/blocked_requests_test.cc
@@ -31,7 +31,7 @@
   return blocker;
 }
 
-TEST(RequestBlocker, BlocksAfterThreeServersEnded) {
+TEST(RequestBlocker, BlocksRequestAfterThreeServerEnds) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
   EXPECT_FALSE(blocker.note_server_end(server_end(kHarmful, "i1", 1)));
@@ -43,7 +43,7 @@
   EXPECT_EQ(blocker.rows()[0].fingerprint, kHarmful.value());
 }
 
-TEST(RequestBlocker, CountsAServerAgainThatCameBackUnderItsId) {
+TEST(RequestBlocker, CountsRepeatedEndsOfARestartedServer) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
   blocker.note_server_end(server_end(kHarmful, "i1", 1));
@@ -51,7 +51,7 @@
   EXPECT_TRUE(blocker.note_server_end(server_end(kHarmful, "i1", 9)));
 }
 
-TEST(RequestBlocker, FreesWhoWasOnlyNear) {
+TEST(RequestBlocker, DoesNotBlockRequestsThatRanNextToABlockedOne) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
   for (const double time : {1.0, 2.0}) {
@@ -65,7 +65,7 @@
   EXPECT_EQ(blocker.rows().size(), 1U);
 }
 
-TEST(RequestBlocker, FreesWhoIsAnswered) {
+TEST(RequestBlocker, AnswerClearsEndsAndUnblocks) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
   blocker.note_server_end(server_end(kBystander, "i1", 1));
@@ -77,7 +77,7 @@
   EXPECT_TRUE(wrongly_blocked.rows().empty());
 }
 
-TEST(RequestBlocker, GrantsTwoTrialsAndThenNone) {
+TEST(RequestBlocker, GrantsAtMostTwoTrials) {
   auto blocker = blocker_with_blocked_request(1);
   int granted = 0;
   for (int second = 2; second < 3000; ++second) {
@@ -94,7 +94,7 @@
   EXPECT_TRUE(blocker.rows().empty()) << "after an hour nothing is known of it any more";
 }
 
-TEST(RequestBlocker, ATrialThatIsAnsweredFreesTheRequest) {
+TEST(RequestBlocker, AnsweredTrialUnblocksTheRequest) {
   auto blocker = blocker_with_blocked_request(1);
   EXPECT_FALSE(blocker.grant_trial(at(20), kHarmful)) << "too early";
   EXPECT_TRUE(blocker.tick(at(31.5)));
@@ -105,7 +105,7 @@
   EXPECT_TRUE(blocker.rows().empty());
 }
 
-TEST(RequestBlocker, ATrialWithoutAWordHasFailed) {
+TEST(RequestBlocker, TrialWithoutResultTimesOut) {
   auto blocker = blocker_with_blocked_request(1);
   blocker.tick(at(32));
   EXPECT_TRUE(blocker.grant_trial(at(32), kHarmful));
@@ -115,7 +115,7 @@
   EXPECT_TRUE(blocker.grant_trial(at(170), kHarmful)) << "the second one";
 }
 
-TEST(RequestBlocker, BlocksAndTrialsOutlastALeadership) {
+TEST(RequestBlocker, BlocksAndTrialsSurviveAChangeOfLeader) {
   auto before = blocker_with_blocked_request(1);
   before.tick(at(32));
   before.grant_trial(at(32), kHarmful);
@@ -127,7 +127,7 @@
   EXPECT_FALSE(after.grant_trial(at(64), kHarmful));
 }
 
-TEST(RequestBlocker, StaysBoundedUnderThousandsOfHarmfulRequests) {
+TEST(RequestBlocker, LimitsTheNumberOfBlockedRequests) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
   for (int number = 0; number < 5000; ++number) {
@@ -140,7 +140,7 @@
   EXPECT_EQ(blocker.rows().back().fingerprint, 100 + 4999) << "those blocked last stay";
 }
 
-TEST(ServerEnds, RemembersABoundedNumberOfRequests) {
+TEST(ServerEnds, LimitsTheNumberOfTrackedRequests) {
   ServerEnds ends;
   for (int number = 0; number < 10'000; ++number) {
     ends.note(server_end(RequestFingerprint(number), "i" + std::to_string(number), number * 0.001));
@@ -159,7 +159,7 @@
   return row;
 }
 
-TEST(BlockedRequests, ObeysTheLeadersRows) {
+TEST(BlockedRequests, FollowsTheRowsOfTheLeader) {
   BlockedRequests blocked;
   blocked.update(at(1), {blocked_row(kHarmful)});
   EXPECT_EQ(blocked.verdict_for(at(2), kHarmful), Verdict::kBlocked);
@@ -173,7 +173,7 @@
   EXPECT_EQ(blocked.verdict_for(at(33), kHarmful), Verdict::kAllowed);
 }
 
-TEST(BlockedRequests, BlocksByItsOwnSightWhileNobodyLeads) {
+TEST(BlockedRequests, BlocksByOwnObservationsWithoutALeader) {
   BlockedRequests blocked;
   blocked.note_server_end(server_end(kHarmful, "i1", 1));
   blocked.note_server_end(server_end(kHarmful, "i2", 1.2));
@@ -185,7 +185,7 @@
   EXPECT_EQ(blocked.recent_ends(at(2)).size(), 3U) << "but again to a new leader";
 }
 
-TEST(BlockedRequests, APopularRequestIsNotTakenForTheCauseOfEndsBesideIt) {
+TEST(BlockedRequests, RecentlyAnsweredRequestIsNotBlamedForServerEnds) {
   BlockedRequests blocked;
   blocked.note_answered(at(1), kBystander);
   for (const auto* instance : {"i1", "i2", "i3"}) {
@@ -197,7 +197,7 @@
   EXPECT_EQ(blocked.take_answered_requests(), std::vector<int64_t>{kBystander.value()});
 }
 
-TEST(BlockedRequests, ARequestThatTurnsHarmfulIsBlockedOnceItsAnswersAreOld) {
+TEST(BlockedRequests, BlocksARequestThatBecomesHarmfulOnceItsAnswersAreOld) {
   BlockedRequests blocked;
   blocked.note_answered(at(1), kHarmful);
   for (int number = 0; number < 3; ++number) {
--- a/tests/unit/cold_start_test.cc
+++ b/tests/unit/cold_start_test.cc
@@ -31,7 +31,7 @@
   return max_count;
 }
 
-TEST(SlidingWindowLimiter, HoldsTheRateInEverySecondOfABurst) {
+TEST(SlidingWindowLimiter, KeepsTheRateInEverySecondOfABurst) {
   SlidingWindowLimiter window;
   std::vector<TimePoint> sent;
   for (TimePoint now = kStart; now < kStart + seconds(5); now += milliseconds(3)) {
@@ -46,7 +46,7 @@
 }
 
 // A rate below one request a second was rounded up to one.
-TEST(SlidingWindowLimiter, HoldsARateBelowOneASecond) {
+TEST(SlidingWindowLimiter, KeepsARateBelowOneRequestPerSecond) {
   SlidingWindowLimiter window;
   size_t sent = 0;
   for (TimePoint now = kStart; now < kStart + seconds(10); now += milliseconds(10)) {
@@ -59,7 +59,7 @@
 }
 
 // Every entry has work for the server at any moment, and all learn at the same moment that it is cold.
-TEST(RateShares, AddUpToWhatTheServerBearsAtAnyNumberOfEntries) {
+TEST(RateShares, TotalStaysWithinTheColdLimitForAnyNumberOfEntries) {
   for (const int entries : {1, 3, 9, 84, 984}) {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
       std::vector<RateShares> shares;
@@ -82,7 +82,7 @@
 }
 
 // Turns drawn when the server was cold the last time have all passed: without new ones every entry would send at once.
-TEST(RateShares, AreDrawnAnewWhenTheServerTurnsColdAgain) {
+TEST(RateShares, NewTurnsAreDrawnWhenTheServerBecomesColdAgain) {
   constexpr int kEntries = 84;
   std::vector<RateShares> shares;
   for (uint64_t entry = 0; entry < kEntries; ++entry) {
@@ -126,7 +126,7 @@
   return group;
 }
 
-TEST(SlotScheduler, GrantsAColdHeadNoMoreThanItBearsAndTheRestElsewhere) {
+TEST(SlotScheduler, LimitsGrantsToAColdHeadAndUsesOtherGroups) {
   SlotScheduler scheduler;
   scheduler.start(1);
   scheduler.set_rate_limited_servers({{"cold-head", true, std::nullopt}});
@@ -155,7 +155,7 @@
   EXPECT_GT(at_warm, 400);
 }
 
-TEST(Dispatcher, SendsAColdServerOnlyItsShareWhileNoLeaderCounts) {
+TEST(Dispatcher, SendsAColdServerOnlyItsRateShareWithoutALeader) {
   Dispatcher dispatcher(FleetOptions(), "a", 1);
   dispatcher.set_serving_nodes(9);
   wire::FleetState state;
@@ -193,7 +193,7 @@
   return result;
 }
 
-TEST(InstanceDirectory, KnowsHowLongAServerIsColdByItsOwnWord) {
+TEST(InstanceDirectory, KeepsAServerColdForTheReportedTime) {
   InstanceDirectory directory{seconds(3)};
   directory.heard(kStart, report(1, 2000));
   EXPECT_TRUE(directory.find("i1")->cold);
@@ -205,7 +205,7 @@
 }
 
 // A report that was under way when the zone was restored says nothing of what became of its servers in between.
-TEST(InstanceDirectory, ExpectsServersOfARestoredZoneToBeColdUntilTheySayOtherwise) {
+TEST(InstanceDirectory, AssumesServersOfARestoredZoneAreColdUntilTheyReport) {
   InstanceDirectory directory{seconds(3)};
   directory.heard(kStart, report(1, 0));
   EXPECT_TRUE(directory.expect_cold(kStart, "north"));
--- a/tests/unit/server_limits_test.cc
+++ b/tests/unit/server_limits_test.cc
@@ -16,7 +16,7 @@
 
 const TimePoint kStart = TimePoint(seconds(100));
 
-TEST(Decimal, ReadsNumbersWithoutSignOrExponent) {
+TEST(Decimal, ParsesNumbersWithoutSignOrExponent) {
   EXPECT_EQ(parse_decimal("2.4"), 2.4);
   EXPECT_EQ(parse_decimal("0"), 0);
   EXPECT_EQ(parse_decimal("." + std::string(400, '0') + "1"), 0) << "too small for a double";
@@ -27,18 +27,18 @@
   EXPECT_FALSE(parse_decimal("-" + std::string(400, '9')));
 }
 
-TEST(ServerLimit, ReadsRequestsASecond) {
+TEST(ServerLimit, ParsesRequestsPerSecond) {
   EXPECT_EQ(parse_server_limit({"2.4"}).per_second, 2.4);
   EXPECT_EQ(parse_server_limit({"2.4"}).reading, ServerLimitReading::kExact);
 }
 
-TEST(ServerLimit, KeepsLimitsWithinWhatCanBeCounted) {
+TEST(ServerLimit, ClampsLimitsToTheSupportedRange) {
   EXPECT_EQ(parse_server_limit({"0"}).per_second, requests::kLowestLimit);
   EXPECT_EQ(parse_server_limit({"0"}).reading, ServerLimitReading::kRaised);
   EXPECT_EQ(parse_server_limit({std::string(400, '9')}).per_second, requests::kHighestLimit);
 }
 
-TEST(ServerLimit, SaysNothingWhereTheHeaderCannotBeRead) {
+TEST(ServerLimit, ReturnsNoLimitForAnInvalidHeader) {
   for (const char* text : {"", "x", "-1", "nan", "1e999"}) {
     EXPECT_EQ(parse_server_limit({text}).reading, ServerLimitReading::kUnreadable) << text;
     EXPECT_FALSE(parse_server_limit({text}).per_second) << text;
@@ -46,7 +46,7 @@
   EXPECT_FALSE(parse_server_limit({"2", "3"}).per_second) << "two headers";
 }
 
-TEST(ServerLimits, TheNewestObservationHolds) {
+TEST(ServerLimits, NewestObservationApplies) {
   ServerLimits limits;
   EXPECT_TRUE(limits.observe({"i1@5", 10.0, kStart}));
   EXPECT_TRUE(limits.observe({"i1@5", 2.4, kStart + seconds(1)}));
@@ -56,7 +56,7 @@
 }
 
 // An answer that was sent before the server named its limit arrives after one that names it.
-TEST(ServerLimits, AnAnswerThatWasOvertakenEndsNoLimit) {
+TEST(ServerLimits, DelayedAnswerDoesNotEndALimit) {
   ServerLimits limits;
   limits.observe({"i1", 2.4, kStart});
   EXPECT_FALSE(limits.observe({"i1", std::nullopt, kStart - milliseconds(5)}));
@@ -66,7 +66,7 @@
   EXPECT_FALSE(limits.observe({"i1", 2.4, kStart})) << "an older report does not bring it back";
 }
 
-TEST(ServerLimits, EndsAreForgottenAndLimitsKept) {
+TEST(ServerLimits, ExpiresEndedLimitsBeforeActiveOnes) {
   ServerLimits limits;
   limits.observe({"i1", 2.4, kStart});
   limits.observe({"i2", std::nullopt, kStart});
@@ -77,7 +77,7 @@
 }
 
 // The leader only takes observations in: those of servers that are long gone have to go by themselves.
-TEST(ServerLimits, OldObservationsAreForgottenWhileNewOnesArrive) {
+TEST(ServerLimits, ExpiresOldObservationsWhenNewOnesArrive) {
   ServerLimits limits;
   limits.observe({"i1", std::nullopt, kStart});
   limits.observe({"i2", 2.4, kStart});
--- a/tests/unit/server_notices_test.cc
+++ b/tests/unit/server_notices_test.cc
@@ -18,14 +18,14 @@
   return TimePoint(Duration(static_cast<int64_t>(seconds_from_start * 1e6) + 1'000'000'000));
 }
 
-TEST(RetryAfter, ReadsSecondsAndFractions) {
+TEST(RetryAfter, ParsesSecondsAndFractions) {
   EXPECT_EQ(parse_retry_after("3").rest, seconds(3));
   EXPECT_EQ(parse_retry_after("0").rest, Duration::zero());
   EXPECT_EQ(parse_retry_after("0.25").rest, milliseconds(250));
   EXPECT_EQ(parse_retry_after("3").reading, RetryAfterReading::kExact);
 }
 
-TEST(RetryAfter, TakesABoundedRestForWhatItCannotRead) {
+TEST(RetryAfter, UsesADefaultDelayForInvalidValues) {
   for (const char* text :
        {"", "soon", "-1", "-0", "3 s", "0x10", "nan", "inf", "1e3", "Wed, 21 Oct 2026 07:28:00 GMT"}) {
     const auto parsed = parse_retry_after(text);
@@ -34,7 +34,7 @@
   }
 }
 
-TEST(RetryAfter, CutsWhatIsTooLong) {
+TEST(RetryAfter, ClampsLongDelays) {
   for (const auto& text : {std::string("86400"), std::string("3601"), std::string(400, '9')}) {
     const auto parsed = parse_retry_after(text);
     EXPECT_EQ(parsed.reading, RetryAfterReading::kCut) << text;
@@ -43,7 +43,7 @@
 }
 
 // Who was refused in the last milliseconds of a rest was told "0.00", which is no time to come back after.
-TEST(RetryAfter, ACallerIsNeverToldToComeBackTooEarly) {
+TEST(RetryAfter, RoundsDelaysForCallersUp) {
   EXPECT_EQ(retry_after_text(milliseconds(3)), "0.01");
   EXPECT_EQ(retry_after_text(microseconds(1)), "0.01");
   EXPECT_EQ(retry_after_text(milliseconds(129)), "0.13");
@@ -58,7 +58,7 @@
   }
 }
 
-TEST(ServerNotices, KeepsTheLongestRestToItsEnd) {
+TEST(ServerNotices, KeepsTheLongestBackoffUntilItExpires) {
   ServerNotices notices;
   EXPECT_TRUE(notices.may_send(at(0), "i1@5"));
   notices.note_retry_after(at(0), "i1@5", seconds(3));
@@ -68,7 +68,7 @@
   EXPECT_TRUE(notices.may_send(at(3), "i1@5"));
 }
 
-TEST(ServerNotices, BindsOneIncarnation) {
+TEST(ServerNotices, AppliesToOneIncarnationOnly) {
   ServerNotices notices;
   notices.note_retry_after(at(0), "i1@5", seconds(3));
   notices.note_leaving(at(0), "i2@5");
@@ -76,7 +76,7 @@
   EXPECT_TRUE(notices.may_send(at(1), "i2@9"));
 }
 
-TEST(ServerNotices, LeavingIsForGoodAndNewsOnce) {
+TEST(ServerNotices, LeavingIsPermanentAndReportedOnce) {
   ServerNotices notices;
   EXPECT_TRUE(notices.note_leaving(at(0), "i1@5"));
   EXPECT_FALSE(notices.note_leaving(at(1), "i1@5"));
@@ -84,7 +84,7 @@
   EXPECT_FALSE(notices.may_send(at(600), "i1@5"));
 }
 
-TEST(ServerNotices, ForgetsWhatIsOver) {
+TEST(ServerNotices, RemovesExpiredNotices) {
   ServerNotices notices;
   for (int server = 0; server < 1000; ++server) {
     notices.note_retry_after(at(server), "i" + std::to_string(server), seconds(3));
@@ -141,7 +141,7 @@
   RequestRequirements demand_{"small", Duration::zero(), 100};
 };
 
-TEST_F(DispatcherNotices, ARestingHeadGetsNothingAndTheLeaderIsTold) {
+TEST_F(DispatcherNotices, HeadInBackoffGetsNoRequestsAndIsReportedToTheLeader) {
   dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
   for (int request = 0; request < 20; ++request) {
     const auto choice = dispatcher_.choose_target(at(0.1 * request), service_, demand_, {});
@@ -152,7 +152,7 @@
   EXPECT_TRUE(dispatcher_.groups_to_avoid(at(3), "engines", "small").empty());
 }
 
-TEST_F(DispatcherNotices, KnowsWhenTheFirstOfAllThatRestIsFree) {
+TEST_F(DispatcherNotices, ReturnsWhenTheFirstBackoffOfAllServersEnds) {
   dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
   EXPECT_FALSE(dispatcher_.all_backing_off_until(at(1), "engines", "small"));
   dispatcher_.note_retry_after(at(1), target("g2"), seconds(3));
@@ -161,7 +161,7 @@
   EXPECT_FALSE(dispatcher_.choose_target(at(2), service_, demand_, {}).target);
 }
 
-TEST_F(DispatcherNotices, OnesThatLeaveAreNotWaitedFor) {
+TEST_F(DispatcherNotices, DoesNotWaitForLeavingServers) {
   dispatcher_.note_leaving(at(0), target("g1"));
   dispatcher_.note_leaving(at(0), target("g2"));
   EXPECT_FALSE(dispatcher_.all_backing_off_until(at(1), "engines", "small"));
@@ -169,7 +169,7 @@
 }
 
 // The rest outlasts the row: the head may come back in another group before the rest is over.
-TEST_F(DispatcherNotices, ARestOutlastsTheGroup) {
+TEST_F(DispatcherNotices, BackoffSurvivesAChangeOfGroup) {
   dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
   state_.instances = {instance("i2")};
   state_.groups = {open_group("g2", "i2")};
@@ -181,7 +181,7 @@
   EXPECT_TRUE(dispatcher_.choose_target(at(3.2), service_, demand_, {}).target);
 }
 
-TEST_F(DispatcherNotices, AServerThatStartedAgainAskedForNothing) {
+TEST_F(DispatcherNotices, RestartedServerHasNoBackoff) {
   dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
   state_.instances[0].born_ms = kBornMs + 5;
   dispatcher_.update_state(state_);
--- a/tests/unit/server_rate_limiter_test.cc
+++ b/tests/unit/server_rate_limiter_test.cc
@@ -47,7 +47,7 @@
   }
 }
 
-TEST(RequestPacer, HoldsTheRateAndUsesIt) {
+TEST(RequestPacer, KeepsAndUsesTheRate) {
   for (const double per_second : kRatesPerSecond) {
     RequestPacer pacer;
     std::vector<TimePoint> sent;
@@ -58,7 +58,7 @@
 }
 
 // A server in greater need lowers its limit; what was earned at the earlier rate must not pass at once.
-TEST(RequestPacer, FollowsChangesOfTheRate) {
+TEST(RequestPacer, AdoptsRateChanges) {
   RequestPacer pacer;
   std::vector<TimePoint> sent;
   send_paced(pacer, 10, kStart, kStart + seconds(4), sent);
@@ -101,7 +101,7 @@
 };
 
 // However little each entry may send at once, it adds up over all that know of the limit.
-TEST(RateShares, AddUpToLessThanTheLimitAtAnyNumberOfEntries) {
+TEST(RateShares, TotalStaysBelowTheLimitForAnyNumberOfEntries) {
   for (const double per_second : {0.2, 2.4, 10.0}) {
     for (const int count : {1, 9, 84, 1000}) {
       for (uint64_t seed = 1; seed <= 5; ++seed) {
@@ -117,7 +117,7 @@
 
 // Turns that came while a leader granted, or that were drawn for a higher rate or for fewer entries, must not all be
 // used at the moment when the entries are on their own.
-TEST(RateShares, TurnsDoNotPileUp) {
+TEST(RateShares, UnusedTurnsDoNotAccumulate) {
   for (const int count : {9, 84, 1000}) {
     LeaderlessEntries entries(count, 3);
     std::vector<TimePoint> sent;
@@ -220,7 +220,7 @@
   std::map<int64_t, int32_t> refused_retry_after_ms_;
 };
 
-TEST_F(RateLimitedScheduler, ALimitedHeadGetsItsRateAndAnotherGroupTheRest) {
+TEST_F(RateLimitedScheduler, LimitedHeadGetsItsRateAndAnotherGroupTheRest) {
   for (const double per_second : {0.2, 2.4, 10.0}) {
     granted_.clear();
     scheduler_.start(1);
@@ -234,7 +234,7 @@
 }
 
 // A head whose group is formed anew is the same server, which takes as much as before.
-TEST_F(RateLimitedScheduler, AHeadKeepsItsCountWhenItsGroupIsFormedAnew) {
+TEST_F(RateLimitedScheduler, HeadKeepsItsLimiterStateWhenItsGroupIsReformed) {
   scheduler_.set_rate_limited_servers({{"h1", false, 0.4}});
   for (int round = 0; round < 40; ++round) {
     const std::string name = "g" + std::to_string(round);
@@ -249,7 +249,7 @@
   EXPECT_LE(granted, 2U);
 }
 
-TEST_F(RateLimitedScheduler, PlainServersGetTheirRatesWhicheverIsAskedFor) {
+TEST_F(RateLimitedScheduler, PlainServersGetTheirRatesWhenSeveralAreRequested) {
   scheduler_.set_rate_limited_servers({{"i1", false, 10.0}, {"i2@5", false, 2.4}});
   submit_continuously(kStart, kStart + seconds(12), [this] { return plain_slot_request({"i1", "i2@5"}, 60); });
   EXPECT_LE(max_in_any_window(granted_["i1"]), max_allowed_in_window(10));
@@ -258,7 +258,7 @@
 }
 
 // Callers that nobody can serve waited out their patience and were all told the same moment.
-TEST_F(RateLimitedScheduler, WhoseTurnComesTooLateIsRefusedAtOnceAndToldWhenItComes) {
+TEST_F(RateLimitedScheduler, RefusesRequestsBeyondTheirDeadlineWithStaggeredRetryTimes) {
   scheduler_.set_rate_limited_servers({{"i1", false, 1.0}});
   scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 300));
   collect_decisions(kStart);
@@ -277,7 +277,7 @@
   EXPECT_NEAR(retry_after_times_ms[2], 2995, 25);
 }
 
-TEST_F(RateLimitedScheduler, TheMoreUrgentAndThenTheOlderHaveTheFirstTurns) {
+TEST_F(RateLimitedScheduler, GrantsByPriorityThenByAge) {
   scheduler_.set_rate_limited_servers({{"i1", false, 10.0}});
   scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 150));
   collect_decisions(kStart);
@@ -295,7 +295,7 @@
   EXPECT_TRUE(refused_retry_after_ms_.contains(less_urgent));
 }
 
-TEST_F(RateLimitedScheduler, WhoHasAnotherServerIsNotKeptWaiting) {
+TEST_F(RateLimitedScheduler, RefusesAtOnceWhenTheEntryHasAnotherServer) {
   scheduler_.set_rate_limited_servers({{"i1", false, 1.0}});
   scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 0));
   scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 0));
@@ -304,7 +304,7 @@
   EXPECT_EQ(refused_retry_after_ms_.size(), 1U) << "answered in the same turn";
 }
 
-TEST_F(RateLimitedScheduler, AServerThatIsColdAndLimitedGetsTheLowerOfBoth) {
+TEST_F(RateLimitedScheduler, ColdLimitedServerGetsTheLowerRate) {
   document_.services["forms"].cold_requests_per_second = 2;
   scheduler_.set_rate_limited_servers({{"i1", true, 10.0}, {"i2", true, 0.5}});
   submit_continuously(kStart, kStart + seconds(12), [this] { return plain_slot_request({"i1", "i2"}, 20); });
@@ -315,7 +315,7 @@
 
 // A leader is lost in the middle: what it granted, what entries send on their own and what its successor grants, which
 // knows nothing of either, stay within the limit.
-TEST(ServerRateLimiter, ALimitHoldsOverAChangeOfLeader) {
+TEST(ServerRateLimiter, LimitHoldsDuringAChangeOfLeader) {
   const auto service = plain_service();
   for (const double per_second : {0.2, 2.4, 10.0}) {
     for (const int count : {9, 84, 1000}) {
@@ -353,7 +353,7 @@
 }
 
 // The limit that entries reported was lost with the server's next heartbeat, which does not tell it.
-TEST(InstanceDirectory, ALimitOutlastsReportsAndBelongsToOneStart) {
+TEST(InstanceDirectory, LimitSurvivesReportsAndAppliesToOneIncarnation) {
   InstanceDirectory directory{seconds(3)};
   auto report = plain_instance("i1", 5);
   directory.heard(kStart, report);
@@ -388,7 +388,7 @@
   Dispatcher dispatcher_{FleetOptions(), "a", 1};
 };
 
-TEST_F(RateLimitedDispatcher, NamesTheLimitedServerToTheLeaderOnlyWhereItIsBetter) {
+TEST_F(RateLimitedDispatcher, AsksTheLeaderForALimitedServerOnlyIfItIsBetter) {
   int limited_preferred = 0;
   for (int request = 0; request < 100; ++request) {
     const auto choice = dispatcher_.choose_target(kStart, plain_service(), {}, {}, RateAuthority::kLeader);
@@ -400,7 +400,7 @@
   EXPECT_LT(limited_preferred, 80);
 }
 
-TEST_F(RateLimitedDispatcher, DoesNotAskAgainWhileTheLeaderHasNoTurn) {
+TEST_F(RateLimitedDispatcher, DoesNotAskAgainWhileTheLeaderCannotGrant) {
   DispatchTarget limited;
   limited.incarnation = "i1";
   dispatcher_.note_rate_limited_until(kStart + seconds(1), limited);
@@ -413,7 +413,7 @@
   EXPECT_FALSE(only_limited.target);
 }
 
-TEST_F(RateLimitedDispatcher, TellsWhenItsNextTurnComesWhileNoLeaderCounts) {
+TEST_F(RateLimitedDispatcher, ReportsItsNextSendTimeWithoutALeader) {
   const auto choice = dispatcher_.choose_target(kStart, plain_service(), {}, {"i2"});
   EXPECT_FALSE(choice.target);
   EXPECT_EQ(choice.failure, DispatchFailure::kAllBusy);
@@ -423,7 +423,7 @@
 
 // Only the entry that had been told of a limit took notice of its end: where another one sent the request whose answer
 // named none, the limit held on for all.
-TEST_F(RateLimitedDispatcher, ReportsTheEndOfALimitThatOnlyOthersWereTold) {
+TEST_F(RateLimitedDispatcher, ReportsTheEndOfALimitObservedByOthers) {
   EXPECT_TRUE(dispatcher_.note_limit({"i1", std::nullopt, kStart}));
   const auto reported = dispatcher_.take_changed_limits(kStart);
   ASSERT_EQ(reported.size(), 1U);
@@ -434,7 +434,7 @@
 }
 
 // The entry that was told must not wait for the leader's state to hold what the server said.
-TEST_F(RateLimitedDispatcher, ObeysALimitThatItWasToldItselfAtOnce) {
+TEST_F(RateLimitedDispatcher, AppliesItsOwnLimitObservationAtOnce) {
   EXPECT_TRUE(dispatcher_.note_limit({"i2", 2.4, kStart}));
   EXPECT_FALSE(dispatcher_.note_limit({"i2", 2.4, kStart + seconds(1)})) << "no news";
   EXPECT_TRUE(dispatcher_.has_unreported_limits());
--- a/tests/unit/slot_scheduler_test.cc
+++ b/tests/unit/slot_scheduler_test.cc
@@ -71,7 +71,7 @@
   SlotScheduler scheduler_;
 };
 
-TEST_F(SlotSchedulerTest, SpreadsRequestsOfAllEntriesAtOnce) {
+TEST_F(SlotSchedulerTest, SpreadsSimultaneousRequestsOfAllEntries) {
   std::map<std::string, int> granted;
   for (int id = 0; id < 4; ++id) {
     const auto grant = submit(kStart, slot_request(id), "n" + std::to_string(id));
@@ -82,7 +82,7 @@
   EXPECT_EQ(granted["g2"], 2);
 }
 
-TEST_F(SlotSchedulerTest, LetsNoPassGrowBeyondTheObjectiveForPauses) {
+TEST_F(SlotSchedulerTest, KeepsPassesWithinTheObjectiveForPauses) {
   // Of 250 ms, 85 in 100 may be used: 50 ms write, so 8,000 tokens may be read in a pass.
   int granted = 0;
   for (int id = 0; id < 20; ++id) {
@@ -94,7 +94,7 @@
       << "the next pass has begun";
 }
 
-TEST_F(SlotSchedulerTest, NeverGrantsMoreThanTheSlots) {
+TEST_F(SlotSchedulerTest, NeverGrantsMoreThanTheSlotsOfAGroup) {
   int granted = 0;
   for (int id = 0; id < 60; ++id) {
     granted +=
@@ -119,7 +119,7 @@
   EXPECT_EQ(scheduler_.in_flight(grant.group), 0);
 }
 
-TEST_F(SlotSchedulerTest, ALostNodeGivesItsSlotsBack) {
+TEST_F(SlotSchedulerTest, ReleasesTheSlotsOfALostNode) {
   const auto grant = submit(kStart, slot_request(1));
   wire::GroupLoad load;
   load.group = "g1";
@@ -130,7 +130,7 @@
   EXPECT_EQ(scheduler_.in_flight(grant.group), 0);
 }
 
-TEST_F(SlotSchedulerTest, ARequestWithoutRoomWaitsAndIsRefusedWhenItsPatienceEnds) {
+TEST_F(SlotSchedulerTest, QueuesARequestWithoutRoomAndRefusesItAtItsDeadline) {
   wire::GroupLoad full;
   full.in_flight = 10;
   for (const auto* group : {"g1", "g2"}) {
@@ -145,7 +145,7 @@
   EXPECT_EQ(scheduler_.waiting_count(), 0U);
 }
 
-TEST_F(SlotSchedulerTest, RoomGoesToTheMostUrgentThatWaits) {
+TEST_F(SlotSchedulerTest, GrantsFreedSlotsByPriority) {
   wire::GroupLoad full;
   full.in_flight = 10;
   for (const auto* group : {"g1", "g2"}) {
@@ -165,7 +165,7 @@
   EXPECT_EQ(decisions.front().grant.id, 2);
 }
 
-TEST_F(SlotSchedulerTest, WhoCanOnlyBeLateLetsOthersGoFirstAndIsServedLateRatherThanRefused) {
+TEST_F(SlotSchedulerTest, ServesLateRequestsAfterTimelyOnesInsteadOfRefusingThem) {
   wire::GroupLoad full;
   full.in_flight = 10;
   for (const auto* group : {"g1", "g2"}) {
@@ -190,7 +190,7 @@
   EXPECT_EQ(decisions.front().grant.verdict, wire::SlotVerdict::GRANTED);
 }
 
-TEST_F(SlotSchedulerTest, LeavesTheDecisionToTheEntryWhereItKnowsNoGroup) {
+TEST_F(SlotSchedulerTest, LeavesTheDecisionToTheEntryIfNoGroupIsKnown) {
   auto request = slot_request(1);
   request.model = "other";
   EXPECT_EQ(submit(kStart, request).verdict, wire::SlotVerdict::UNDECIDED);
@@ -200,7 +200,7 @@
   EXPECT_EQ(submit(kStart, slot_request(2)).verdict, wire::SlotVerdict::UNDECIDED);
 }
 
-TEST_F(SlotSchedulerTest, SendsNothingToGroupsThatTheEntryAvoids) {
+TEST_F(SlotSchedulerTest, DoesNotGrantExcludedGroups) {
   for (int id = 0; id < 4; ++id) {
     auto request = slot_request(id);
     request.excluded_groups = {"g1"};
@@ -208,7 +208,7 @@
   }
 }
 
-TEST_F(SlotSchedulerTest, PrefersGroupsWhoseStreamsGoOn) {
+TEST_F(SlotSchedulerTest, PrefersGroupsWithActiveStreams) {
   scheduler_.note_quiet_groups(kStart, "n1", {"g1"});
   EXPECT_EQ(submit(kStart, slot_request(1)).group, "g1") << "one node's word is not enough";
   scheduler_.note_quiet_groups(kStart, "n2", {"g1"});
@@ -223,14 +223,14 @@
   EXPECT_EQ(submit(kStart + seconds(2), slot_request(7)).verdict, wire::SlotVerdict::GRANTED);
 }
 
-TEST_F(SlotSchedulerTest, APromptThatIsLateAnywhereIsNotHeldBack) {
+TEST_F(SlotSchedulerTest, DoesNotDelayPromptsThatAreLateInAnyGroup) {
   auto request = slot_request(1, 40'000);
   EXPECT_EQ(submit(kStart, request).verdict, wire::SlotVerdict::GRANTED);
 }
 
 // ---------------------------------------------------------------- forecasts
 
-TEST(PassClock, PromptsWaitForThePassUnderWayAndShareTheNext) {
+TEST(PassClock, PromptsWaitForTheCurrentPassAndShareTheNext) {
   const auto document = engine_document();
   const auto& engine = *document.services.at("s").engine;
   const auto& model = engine.models.front();
@@ -244,7 +244,7 @@
   EXPECT_EQ(clock.forecast(kStart + seconds(1), engine, model, 1, 0).longest_pass, milliseconds(50)) << "all was read";
 }
 
-TEST(PassClock, APassReadsNoMoreThanItsSteps) {
+TEST(PassClock, LimitsThePromptTokensOfAPass) {
   const auto document = engine_document();
   const auto& engine = *document.services.at("s").engine;
   const auto& model = engine.models.front();
@@ -254,7 +254,7 @@
   EXPECT_EQ(forecast.first_event, milliseconds(250 + 150));
 }
 
-TEST(PassClock, AStatedSizeBeyondTheMemoryBlocksNobodyForLong) {
+TEST(PassClock, CapsPromptSizesBeyondTheCapacity) {
   auto document = engine_document();
   auto& engine = *document.services.at("s").engine;
   engine.kv_capacity = 20'000;
@@ -267,7 +267,7 @@
       << "the engine turned it away: nothing runs, so only the pass under way is waited for";
 }
 
-TEST(RecentQuantile, AFewOutliersMoveNothingAndAChangeIsFollowed) {
+TEST(RecentQuantile, IgnoresOutliersAndFollowsChanges) {
   requests::RecentQuantile excess;
   EXPECT_EQ(excess.value(kStart, 0.75), Duration::zero());
   excess.note(kStart, seconds(2));
@@ -285,7 +285,7 @@
   EXPECT_EQ(excess.value(kStart + seconds(5), 0.75), Duration::zero()) << "old measurements say nothing";
 }
 
-TEST(LatencyEstimate, FollowsMeanAndSpread) {
+TEST(LatencyEstimate, EstimatesMeanAndDeviation) {
   requests::LatencyEstimate estimate;
   EXPECT_FALSE(estimate.is_measured());
   for (int count = 0; count < 200; ++count) {
--- a/tests/unit/target_health_test.cc
+++ b/tests/unit/target_health_test.cc
@@ -29,7 +29,7 @@
   EXPECT_DOUBLE_EQ(health.waiting_tokens(), 0);
 }
 
-TEST(TargetHealth, IsQuietOnlyWhenAStreamPausesForTooLong) {
+TEST(TargetHealth, IsQuietOnlyIfAStreamPausesTooLong) {
   TargetHealth health;
   AttemptState attempt{1000, false};
   health.begin_attempt(kStart, attempt);
@@ -41,7 +41,7 @@
   EXPECT_FALSE(health.is_quiet(kStart + milliseconds(600), kLongestPause));
 }
 
-TEST(TargetHealth, BelievesOtherEntriesWhereItHasNoStreamOfItsOwn) {
+TEST(TargetHealth, UsesOtherEntriesReportsWithoutOwnStreams) {
   TargetHealth health;
   OtherEntriesLoad others;
   others.in_flight = 3;
@@ -53,7 +53,7 @@
   EXPECT_TRUE(health.is_quiet(kStart + milliseconds(600), kLongestPause));
 }
 
-TEST(CostModel, AFirstEventWaitsForThePromptsBeforeIt) {
+TEST(CostModel, FirstEventWaitsForEarlierPrompts) {
   document::EngineSpec engine;
   engine.slots = 26;
   engine.step_ms = 6;
