--- a/tests/unit/blocked_requests_test.cc
+++ b/tests/unit/blocked_requests_test.cc
@@ -21,7 +21,7 @@
   return {request, instance, at(time)};
 }
 
-/// Three servers ended under the harmful request.
+/// A blocker for which three servers ended while running the harmful request.
 RequestBlocker blocker_with_blocked_request(double time) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
@@ -35,7 +35,7 @@
   RequestBlocker blocker;
   blocker.start(at(0), {});
   EXPECT_FALSE(blocker.note_server_end(server_end(kHarmful, "i1", 1)));
-  EXPECT_FALSE(blocker.note_server_end(server_end(kHarmful, "i1", 1.1))) << "two entries tell of one end";
+  EXPECT_FALSE(blocker.note_server_end(server_end(kHarmful, "i1", 1.1))) << "two entries report the same end";
   EXPECT_FALSE(blocker.note_server_end(server_end(kHarmful, "i2", 2)));
   EXPECT_TRUE(blocker.rows().empty());
   EXPECT_TRUE(blocker.note_server_end(server_end(kHarmful, "i3", 3)));
@@ -60,7 +60,8 @@
     blocker.note_server_end(server_end(kBystander, instance, time));
   }
   EXPECT_TRUE(blocker.note_server_end(server_end(kHarmful, "i3", 3)));
-  EXPECT_FALSE(blocker.note_server_end(server_end(kBystander, "i3", 3))) << "that end is explained";
+  EXPECT_FALSE(blocker.note_server_end(server_end(kBystander, "i3", 3)))
+      << "the end is attributed to the blocked request";
   EXPECT_FALSE(blocker.note_server_end(server_end(kBystander, "i4", 4)));
   EXPECT_EQ(blocker.rows().size(), 1U);
 }
@@ -84,19 +85,19 @@
     blocker.tick(at(second));
     if (blocker.grant_trial(at(second), kHarmful)) {
       ++granted;
-      EXPECT_FALSE(blocker.grant_trial(at(second), kHarmful)) << "one at a time";
+      EXPECT_FALSE(blocker.grant_trial(at(second), kHarmful)) << "only one trial at a time";
       EXPECT_TRUE(blocker.note_server_end(server_end(kHarmful, "t" + std::to_string(second), second + 0.2)));
     }
   }
   EXPECT_EQ(granted, 2);
   EXPECT_EQ(blocker.rows().size(), 1U);
   blocker.tick(at(4000));
-  EXPECT_TRUE(blocker.rows().empty()) << "after an hour nothing is known of it any more";
+  EXPECT_TRUE(blocker.rows().empty()) << "the block expires after an hour";
 }
 
 TEST(RequestBlocker, AnsweredTrialUnblocksTheRequest) {
   auto blocker = blocker_with_blocked_request(1);
-  EXPECT_FALSE(blocker.grant_trial(at(20), kHarmful)) << "too early";
+  EXPECT_FALSE(blocker.grant_trial(at(20), kHarmful)) << "before the first trial is due";
   EXPECT_TRUE(blocker.tick(at(31.5)));
   EXPECT_TRUE(blocker.rows()[0].trial_due);
   EXPECT_TRUE(blocker.grant_trial(at(32), kHarmful));
@@ -112,7 +113,7 @@
   EXPECT_TRUE(blocker.tick(at(48)));
   EXPECT_FALSE(blocker.grant_trial(at(60), kHarmful));
   blocker.tick(at(48 + 121));
-  EXPECT_TRUE(blocker.grant_trial(at(170), kHarmful)) << "the second one";
+  EXPECT_TRUE(blocker.grant_trial(at(170), kHarmful)) << "the second trial";
 }
 
 TEST(RequestBlocker, BlocksAndTrialsSurviveAChangeOfLeader) {
@@ -122,7 +123,7 @@
   RequestBlocker after;
   after.start(at(33), before.rows());
   ASSERT_EQ(after.rows().size(), 1U);
-  EXPECT_EQ(after.rows()[0].trials, 1) << "a trial that runs when the leader is lost is spent";
+  EXPECT_EQ(after.rows()[0].trials, 1) << "a trial that is running when the leader is lost counts";
   after.tick(at(64));
   EXPECT_FALSE(after.grant_trial(at(64), kHarmful));
 }
@@ -137,7 +138,7 @@
     }
   }
   EXPECT_EQ(blocker.rows().size(), 1024U);
-  EXPECT_EQ(blocker.rows().back().fingerprint, 100 + 4999) << "those blocked last stay";
+  EXPECT_EQ(blocker.rows().back().fingerprint, 100 + 4999) << "the most recently blocked requests are kept";
 }
 
 TEST(ServerEnds, LimitsTheNumberOfTrackedRequests) {
@@ -181,8 +182,8 @@
   blocked.note_server_end(server_end(kHarmful, "i3", 1.4));
   EXPECT_EQ(blocked.verdict_for(at(1.5), kHarmful), Verdict::kBlocked);
   EXPECT_EQ(blocked.take_unreported_ends(at(2)).size(), 3U);
-  EXPECT_TRUE(blocked.take_unreported_ends(at(2)).empty()) << "told once";
-  EXPECT_EQ(blocked.recent_ends(at(2)).size(), 3U) << "but again to a new leader";
+  EXPECT_TRUE(blocked.take_unreported_ends(at(2)).empty()) << "reported once";
+  EXPECT_EQ(blocked.recent_ends(at(2)).size(), 3U) << "but reported again to a new leader";
 }
 
 TEST(BlockedRequests, RecentlyAnsweredRequestIsNotBlamedForServerEnds) {
@@ -192,7 +193,7 @@
     EXPECT_EQ(blocked.note_server_end(server_end(kBystander, instance, 2)), 0U);
   }
   EXPECT_TRUE(blocked.take_unreported_ends(at(3)).empty());
-  // Other entries, which saw it for the first time, had it blocked.
+  // Entries that had never had an answer to the request caused the leader to block it.
   blocked.update(at(3), {blocked_row(kBystander)});
   EXPECT_EQ(blocked.take_answered_requests(), std::vector<int64_t>{kBystander.value()});
 }
--- a/tests/unit/cold_start_test.cc
+++ b/tests/unit/cold_start_test.cc
@@ -1,4 +1,4 @@
-// A zone of servers comes back cold under full load: how many requests reach one of them in a second.
+// Request rate at each server when a zone of servers comes back cold under full load.
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,8 @@
 
 const TimePoint kStart = TimePoint(seconds(100));
 constexpr double kColdPerSecond = 14;
-/// What such a server bears in any second, as its operators state it: half as much again, and five.
+/// Maximum requests that such a server accepts in any second, as stated by its operators: one and a half times the
+/// rate, plus five.
 constexpr size_t kMaxPerSecond = 26;
 
 size_t max_in_any_second(std::vector<TimePoint> times) {
@@ -41,11 +42,11 @@
     }
   }
   EXPECT_LE(max_in_any_second(sent), 14U);
-  EXPECT_GE(sent.size(), 14U * 5) << "what the server bears is used";
+  EXPECT_GE(sent.size(), 14U * 5) << "the full rate is used";
   EXPECT_TRUE(window.allows_request(kStart, 0)) << "no limit";
 }
 
-// A rate below one request a second was rounded up to one.
+// Guards against rounding a rate below one request per second up to one.
 TEST(SlidingWindowLimiter, KeepsARateBelowOneRequestPerSecond) {
   SlidingWindowLimiter window;
   size_t sent = 0;
@@ -58,7 +59,7 @@
   EXPECT_EQ(sent, 4U);
 }
 
-// Every entry has work for the server at any moment, and all learn at the same moment that it is cold.
+// Every entry always has requests for the server, and all entries learn at the same moment that it is cold.
 TEST(RateShares, TotalStaysWithinTheColdLimitForAnyNumberOfEntries) {
   for (const int entries : {1, 3, 9, 84, 984}) {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
@@ -76,12 +77,12 @@
         }
       }
       EXPECT_LE(max_in_any_second(sent), kMaxPerSecond) << entries << " entries, seed " << seed;
-      EXPECT_GT(sent.size(), 6U) << entries << " entries, seed " << seed << ": a cold server is not left idle";
+      EXPECT_GT(sent.size(), 6U) << entries << " entries, seed " << seed << ": the cold server gets some requests";
     }
   }
 }
 
-// Turns drawn when the server was cold the last time have all passed: without new ones every entry would send at once.
+// Turns drawn during the previous cold period are in the past: without new ones, every entry would send at once.
 TEST(RateShares, NewTurnsAreDrawnWhenTheServerBecomesColdAgain) {
   constexpr int kEntries = 84;
   std::vector<RateShares> shares;
@@ -178,7 +179,7 @@
     ASSERT_TRUE(choice.target);
     at_cold += choice.target->instance_id == "i1" ? 1 : 0;
   }
-  EXPECT_LE(at_cold, 8) << "a ninth of half of what it bears, over nine seconds, and the first";
+  EXPECT_LE(at_cold, 8) << "a ninth of half the rate over nine seconds, plus the first request";
   EXPECT_GE(at_cold, 1);
 }
 
@@ -197,14 +198,14 @@
   InstanceDirectory directory{seconds(3)};
   directory.heard(kStart, report(1, 2000));
   EXPECT_TRUE(directory.find("i1")->cold);
-  EXPECT_FALSE(directory.heard(kStart + seconds(1), report(2, 1000))) << "no news for anybody";
+  EXPECT_FALSE(directory.heard(kStart + seconds(1), report(2, 1000))) << "nothing changed";
   EXPECT_TRUE(directory.tick(kStart + milliseconds(2000)));
   EXPECT_FALSE(directory.find("i1")->cold);
-  EXPECT_TRUE(directory.heard(kStart + milliseconds(2100), report(3, 3000))) << "it may turn cold at any moment";
+  EXPECT_TRUE(directory.heard(kStart + milliseconds(2100), report(3, 3000))) << "it may become cold at any time";
   EXPECT_TRUE(directory.find("i1")->cold);
 }
 
-// A report that was under way when the zone was restored says nothing of what became of its servers in between.
+// A report that was sent before the zone was restored does not show whether the servers are cold now.
 TEST(InstanceDirectory, AssumesServersOfARestoredZoneAreColdUntilTheyReport) {
   InstanceDirectory directory{seconds(3)};
   directory.heard(kStart, report(1, 0));
--- a/tests/unit/server_limits_test.cc
+++ b/tests/unit/server_limits_test.cc
@@ -50,12 +50,12 @@
   ServerLimits limits;
   EXPECT_TRUE(limits.observe({"i1@5", 10.0, kStart}));
   EXPECT_TRUE(limits.observe({"i1@5", 2.4, kStart + seconds(1)}));
-  EXPECT_FALSE(limits.observe({"i1@5", 10.0, kStart + milliseconds(500)})) << "another entry's report came late";
+  EXPECT_FALSE(limits.observe({"i1@5", 10.0, kStart + milliseconds(500)})) << "a delayed report of another entry";
   EXPECT_EQ(limits.limit_of("i1@5"), 2.4);
-  EXPECT_FALSE(limits.limit_of("i1@9")) << "a later start has named none";
+  EXPECT_FALSE(limits.limit_of("i1@9")) << "a new incarnation has no limit";
 }
 
-// An answer that was sent before the server named its limit arrives after one that names it.
+// An answer that the server sent before it stated its limit may arrive after one that states it.
 TEST(ServerLimits, DelayedAnswerDoesNotEndALimit) {
   ServerLimits limits;
   limits.observe({"i1", 2.4, kStart});
@@ -63,7 +63,7 @@
   EXPECT_EQ(limits.limit_of("i1"), 2.4);
   EXPECT_TRUE(limits.observe({"i1", std::nullopt, kStart + milliseconds(5)}));
   EXPECT_FALSE(limits.limit_of("i1"));
-  EXPECT_FALSE(limits.observe({"i1", 2.4, kStart})) << "an older report does not bring it back";
+  EXPECT_FALSE(limits.observe({"i1", 2.4, kStart})) << "an older report does not restore the limit";
 }
 
 TEST(ServerLimits, ExpiresEndedLimitsBeforeActiveOnes) {
@@ -76,7 +76,7 @@
   EXPECT_EQ(later.front().incarnation, "i1");
 }
 
-// The leader only takes observations in: those of servers that are long gone have to go by themselves.
+// The leader only calls `observe`, so that call must also expire observations of servers that are gone.
 TEST(ServerLimits, ExpiresOldObservationsWhenNewOnesArrive) {
   ServerLimits limits;
   limits.observe({"i1", std::nullopt, kStart});
--- a/tests/unit/server_notices_test.cc
+++ b/tests/unit/server_notices_test.cc
@@ -42,7 +42,7 @@
   }
 }
 
-// Who was refused in the last milliseconds of a rest was told "0.00", which is no time to come back after.
+// Guards against rounding a remaining delay of a few milliseconds down to "0.00", which makes callers retry too early.
 TEST(RetryAfter, RoundsDelaysForCallersUp) {
   EXPECT_EQ(retry_after_text(milliseconds(3)), "0.01");
   EXPECT_EQ(retry_after_text(microseconds(1)), "0.01");
@@ -118,7 +118,7 @@
   return result;
 }
 
-/// Two open groups of one model, g1 and g2, led by i1 and i2.
+/// Two open groups of one model, g1 and g2, with heads i1 and i2.
 class DispatcherNotices : public testing::Test {
  protected:
   DispatcherNotices() {
@@ -168,7 +168,8 @@
   EXPECT_FALSE(dispatcher_.choose_target(at(1), service_, demand_, {}).target);
 }
 
-// The rest outlasts the row: the head may come back in another group before the rest is over.
+// A backoff is kept while its server is missing from the fleet state: the head may come back in another group before
+// the backoff ends.
 TEST_F(DispatcherNotices, BackoffSurvivesAChangeOfGroup) {
   dispatcher_.note_retry_after(at(0), target("g1"), seconds(3));
   state_.instances = {instance("i2")};
--- a/tests/unit/server_rate_limiter_test.cc
+++ b/tests/unit/server_rate_limiter_test.cc
@@ -1,5 +1,5 @@
-// Servers that take only so many requests a second, from all entries together: what reaches one of them, whoever
-// counts.
+// Servers with a request rate limit for all entries together: the requests that reach them, whether the leader or the
+// entries apply the limit.
 
 #include "core/fleet/server_rate_limiter.h"
 
@@ -21,7 +21,7 @@
 constexpr Duration kWindow = seconds(4);
 constexpr double kRatesPerSecond[] = {0.2, 2.4, 10, 200};
 
-/// The most of `times` in any four seconds.
+/// Maximum number of `times` in any window of four seconds.
 size_t max_in_any_window(std::vector<TimePoint> times) {
   std::sort(times.begin(), times.end());
   size_t max_count = 0;
@@ -34,10 +34,10 @@
   return max_count;
 }
 
-/// What a server that names a limit may get in four seconds.
+/// Maximum requests that a server with a limit may get in four seconds.
 size_t max_allowed_in_window(double per_second) { return static_cast<size_t>(1.5 * per_second * 4 + 5); }
 
-/// Sends whenever the pacer lets it, from `from` to `to`.
+/// Sends whenever the pacer allows it, between `from` and `to`.
 void send_paced(RequestPacer& pacer, double per_second, TimePoint from, TimePoint to, std::vector<TimePoint>& sent) {
   for (TimePoint now = from; now < to; now += milliseconds(1)) {
     while (pacer.next_allowed_at(now, per_second) <= now) {
@@ -57,7 +57,7 @@
   }
 }
 
-// A server in greater need lowers its limit; what was earned at the earlier rate must not pass at once.
+// A server that becomes overloaded lowers its limit; time accumulated at the earlier rate must not allow a burst.
 TEST(RequestPacer, AdoptsRateChanges) {
   RequestPacer pacer;
   std::vector<TimePoint> sent;
@@ -67,10 +67,10 @@
   EXPECT_LE(sent.size(), 3U);
   sent.clear();
   send_paced(pacer, 10, kStart + seconds(14), kStart + seconds(15), sent);
-  EXPECT_GE(sent.size(), 9U) << "a turn at the lower rate was seconds away";
+  EXPECT_GE(sent.size(), 9U) << "not delayed by the wait computed for the lower rate";
 }
 
-/// Entries that all have work for the server at any moment, and no leader.
+/// Entries that always have requests for the server, without a leader.
 class LeaderlessEntries {
  public:
   LeaderlessEntries(int count, uint64_t seed) {
@@ -84,7 +84,7 @@
       shares_.emplace_back(seed * 20'000 + static_cast<uint64_t>(entry));
     }
   }
-  /// Looks at all turns, and uses them if `uses` is set.
+  /// Checks whether each entry has its turn, and sends a request in the turn if `use_turns` is set.
   void run(double per_second, TimePoint from, TimePoint to, std::vector<TimePoint>& sent, bool use_turns = true) {
     for (TimePoint now = from; now < to; now += milliseconds(20)) {
       for (auto& share : shares_) {
@@ -100,7 +100,7 @@
   std::vector<RateShares> shares_;
 };
 
-// However little each entry may send at once, it adds up over all that know of the limit.
+// However little each entry may send at once, it adds up over all entries that know of the limit.
 TEST(RateShares, TotalStaysBelowTheLimitForAnyNumberOfEntries) {
   for (const double per_second : {0.2, 2.4, 10.0}) {
     for (const int count : {1, 9, 84, 1000}) {
@@ -115,22 +115,22 @@
   }
 }
 
-// Turns that came while a leader granted, or that were drawn for a higher rate or for fewer entries, must not all be
-// used at the moment when the entries are on their own.
+// Turns that went unused while a leader granted requests, or that were drawn for a higher rate or fewer entries, must
+// not all be used when the entries start to decide alone.
 TEST(RateShares, UnusedTurnsDoNotAccumulate) {
   for (const int count : {9, 84, 1000}) {
     LeaderlessEntries entries(count, 3);
     std::vector<TimePoint> sent;
     entries.run(10, kStart, kStart + seconds(1), sent, false);
     entries.run(10, kStart + seconds(60), kStart + seconds(61), sent);
-    EXPECT_LE(sent.size(), max_allowed_in_window(10) / 2) << count << " entries, turns of a minute ago";
+    EXPECT_LE(sent.size(), max_allowed_in_window(10) / 2) << count << " entries, turns expired a minute ago";
     sent.clear();
     entries.run(0.2, kStart + seconds(61), kStart + seconds(65), sent);
     EXPECT_LE(sent.size(), max_allowed_in_window(0.2)) << count << " entries, a lower limit";
     entries.add(count * 10, 4);
     sent.clear();
     entries.run(0.2, kStart + seconds(65), kStart + seconds(69), sent);
-    EXPECT_LE(sent.size(), max_allowed_in_window(0.2)) << count << " entries, ten times as many now";
+    EXPECT_LE(sent.size(), max_allowed_in_window(0.2)) << count << " entries, then ten times as many more";
   }
 }
 
@@ -167,7 +167,7 @@
   return group;
 }
 
-/// A leader's scheduler and the questions of one entry.
+/// A leader's scheduler and the slot requests of one entry.
 class RateLimitedScheduler : public testing::Test {
  protected:
   RateLimitedScheduler() { scheduler_.start(1); }
@@ -189,7 +189,7 @@
     request.__set_rated_servers(servers);
     return request;
   }
-  /// Asks a question each five milliseconds from `from` to `to`; records grants and refusals.
+  /// Submits a request every five milliseconds between `from` and `to`; records grants and refusals.
   template <typename MakeRequest>
   void submit_continuously(TimePoint from, TimePoint to, const MakeRequest& make_request) {
     for (TimePoint now = from; now < to; now += milliseconds(5)) {
@@ -216,7 +216,7 @@
   int64_t next_id_ = 0;
   std::map<std::string, std::vector<TimePoint>> granted_;
   std::vector<int64_t> granted_ids_;
-  /// Times to come back after, in milliseconds, by question; -1 for none.
+  /// Retry-after times in milliseconds by request id; -1 for none.
   std::map<int64_t, int32_t> refused_retry_after_ms_;
 };
 
@@ -228,12 +228,13 @@
     scheduler_.set_groups({open_group("a"), open_group("b")}, {{"a", "h1"}});
     submit_continuously(kStart, kStart + seconds(12), [this] { return slot_request(100); });
     EXPECT_LE(max_in_any_window(granted_["a"]), max_allowed_in_window(per_second));
-    EXPECT_GE(static_cast<double>(granted_["a"].size()), per_second * 12 * 0.8) << "its end has to be found out";
+    EXPECT_GE(static_cast<double>(granted_["a"].size()), per_second * 12 * 0.8)
+        << "without requests, the end of the limit would not be observed";
     EXPECT_TRUE(refused_retry_after_ms_.empty());
   }
 }
 
-// A head whose group is formed anew is the same server, which takes as much as before.
+// A head whose group is re-formed is the same server with the same limit.
 TEST_F(RateLimitedScheduler, HeadKeepsItsLimiterStateWhenItsGroupIsReformed) {
   scheduler_.set_rate_limited_servers({{"h1", false, 0.4}});
   for (int round = 0; round < 40; ++round) {
@@ -257,7 +258,8 @@
   EXPECT_GE(static_cast<double>(granted_["i1"].size() + granted_["i2@5"].size()), 12.4 * 12 * 0.9);
 }
 
-// Callers that nobody can serve waited out their patience and were all told the same moment.
+// Guards against making callers wait until their deadline although no server can take them, and against giving all of
+// them the same retry time.
 TEST_F(RateLimitedScheduler, RefusesRequestsBeyondTheirDeadlineWithStaggeredRetryTimes) {
   scheduler_.set_rate_limited_servers({{"i1", false, 1.0}});
   scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 300));
@@ -301,7 +303,7 @@
   scheduler_.add_request(kStart, "n1", plain_slot_request({"i1"}, 0));
   collect_decisions(kStart);
   EXPECT_EQ(granted_["i1"].size(), 1U);
-  EXPECT_EQ(refused_retry_after_ms_.size(), 1U) << "answered in the same turn";
+  EXPECT_EQ(refused_retry_after_ms_.size(), 1U) << "refused in the same call";
 }
 
 TEST_F(RateLimitedScheduler, ColdLimitedServerGetsTheLowerRate) {
@@ -313,8 +315,8 @@
   EXPECT_LE(granted_["i2"].size(), 7U);
 }
 
-// A leader is lost in the middle: what it granted, what entries send on their own and what its successor grants, which
-// knows nothing of either, stay within the limit.
+// Requests granted by a leader that is lost, sent by entries on their own, and granted by a successor without knowledge
+// of either must together stay within the limit.
 TEST(ServerRateLimiter, LimitHoldsDuringAChangeOfLeader) {
   const auto service = plain_service();
   for (const double per_second : {0.2, 2.4, 10.0}) {
@@ -352,20 +354,20 @@
   return instance;
 }
 
-// The limit that entries reported was lost with the server's next heartbeat, which does not tell it.
+// Guards against losing the reported limit with the server's next heartbeat, which does not contain it.
 TEST(InstanceDirectory, LimitSurvivesReportsAndAppliesToOneIncarnation) {
   InstanceDirectory directory{seconds(3)};
   auto report = plain_instance("i1", 5);
   directory.heard(kStart, report);
-  EXPECT_FALSE(directory.set_limit("i1@4", 2.4)) << "an earlier start";
+  EXPECT_FALSE(directory.set_limit("i1@4", 2.4)) << "an earlier incarnation";
   EXPECT_TRUE(directory.set_limit("i1@5", 2.4));
-  EXPECT_FALSE(directory.set_limit("i1@5", 2.4)) << "no news";
+  EXPECT_FALSE(directory.set_limit("i1@5", 2.4)) << "unchanged";
   ++report.call_number;
   EXPECT_FALSE(directory.heard(kStart + seconds(1), report));
   EXPECT_EQ(limit_of(*directory.find("i1")), 2.4);
   InstanceDirectory successor{seconds(3)};
   successor.start(kStart + seconds(2), directory.snapshot());
-  EXPECT_EQ(limit_of(*successor.find("i1")), 2.4) << "a new leader takes it over";
+  EXPECT_EQ(limit_of(*successor.find("i1")), 2.4) << "a new leader inherits it";
   report.born_ms = 9;
   directory.heard(kStart + seconds(3), report);
   EXPECT_FALSE(limit_of(*directory.find("i1")));
@@ -373,7 +375,7 @@
   EXPECT_FALSE(limit_of(*successor.find("i1")));
 }
 
-/// An entry that knows of two plain servers, the first of which is limited.
+/// An entry with two plain servers, the first of which has a limit.
 class RateLimitedDispatcher : public testing::Test {
  protected:
   RateLimitedDispatcher() {
@@ -393,7 +395,7 @@
   for (int request = 0; request < 100; ++request) {
     const auto choice = dispatcher_.choose_target(kStart, plain_service(), {}, {}, RateAuthority::kLeader);
     ASSERT_TRUE(choice.target);
-    EXPECT_EQ(choice.target->instance_id, "i2") << "nobody waits for a turn that another server does without";
+    EXPECT_EQ(choice.target->instance_id, "i2") << "an unlimited server can take the request";
     limited_preferred += choice.rate_limited_targets.empty() ? 0 : 1;
   }
   EXPECT_GT(limited_preferred, 20);
@@ -409,7 +411,7 @@
                     .rate_limited_targets.empty());
   }
   const auto only_limited = dispatcher_.choose_target(kStart, plain_service(), {}, {"i2"}, RateAuthority::kLeader);
-  ASSERT_EQ(only_limited.rate_limited_targets.size(), 1U) << "the leader has a queue for those whom nobody else serves";
+  ASSERT_EQ(only_limited.rate_limited_targets.size(), 1U) << "the leader queues requests that no other server can take";
   EXPECT_FALSE(only_limited.target);
 }
 
@@ -418,25 +420,25 @@
   EXPECT_FALSE(choice.target);
   EXPECT_EQ(choice.failure, DispatchFailure::kAllBusy);
   ASSERT_TRUE(choice.next_allowed_at);
-  EXPECT_LE(*choice.next_allowed_at, kStart + seconds(18)) << "a ninth of half a request a second";
+  EXPECT_LE(*choice.next_allowed_at, kStart + seconds(18)) << "a ninth of half of one request per second";
 }
 
-// Only the entry that had been told of a limit took notice of its end: where another one sent the request whose answer
-// named none, the limit held on for all.
+// Guards against ignoring the end of a limit at entries that did not observe the limit themselves: the limit then
+// stayed in force if such an entry got the answer without a limit.
 TEST_F(RateLimitedDispatcher, ReportsTheEndOfALimitObservedByOthers) {
   EXPECT_TRUE(dispatcher_.note_limit({"i1", std::nullopt, kStart}));
   const auto reported = dispatcher_.take_changed_limits(kStart);
   ASSERT_EQ(reported.size(), 1U);
   EXPECT_FALSE(reported.front().per_second);
-  EXPECT_FALSE(dispatcher_.note_limit({"i1", std::nullopt, kStart + milliseconds(10)})) << "told once";
-  EXPECT_FALSE(dispatcher_.note_limit({"i2", std::nullopt, kStart})) << "it never named one";
+  EXPECT_FALSE(dispatcher_.note_limit({"i1", std::nullopt, kStart + milliseconds(10)})) << "reported once";
+  EXPECT_FALSE(dispatcher_.note_limit({"i2", std::nullopt, kStart})) << "it never stated a limit";
   EXPECT_EQ(dispatcher_.take_all_limits(kStart).size(), 1U);
 }
 
-// The entry that was told must not wait for the leader's state to hold what the server said.
+// An entry must apply a limit that it observed before the leader publishes it.
 TEST_F(RateLimitedDispatcher, AppliesItsOwnLimitObservationAtOnce) {
   EXPECT_TRUE(dispatcher_.note_limit({"i2", 2.4, kStart}));
-  EXPECT_FALSE(dispatcher_.note_limit({"i2", 2.4, kStart + seconds(1)})) << "no news";
+  EXPECT_FALSE(dispatcher_.note_limit({"i2", 2.4, kStart + seconds(1)})) << "unchanged";
   EXPECT_TRUE(dispatcher_.has_unreported_limits());
   EXPECT_EQ(dispatcher_.take_changed_limits(kStart).size(), 1U);
   EXPECT_TRUE(dispatcher_.take_changed_limits(kStart).empty());
--- a/tests/unit/slot_scheduler_test.cc
+++ b/tests/unit/slot_scheduler_test.cc
@@ -13,7 +13,7 @@
 const TimePoint kStart = TimePoint(seconds(100));
 constexpr int64_t kTerm = 7;
 
-/// Ten slots; a pass writes for 50 ms and reads 50 tokens a millisecond.
+/// Ten slots per group. A pass takes 50 ms for decoding and processes 50 prompt tokens per additional millisecond.
 document::ConfigurationDocument engine_document() {
   document::ServiceSpec service;
   service.name = "s";
@@ -57,7 +57,7 @@
     scheduler_.set_groups({open_group("g1"), open_group("g2")});
   }
 
-  /// The last verdict on a request that is put now.
+  /// Submits a request and returns the last verdict on it.
   wire::SlotGrant submit(TimePoint now, const wire::SlotRequest& request, const std::string& node = "n1") {
     scheduler_.add_request(now, node, request);
     wire::SlotGrant verdict;
@@ -83,15 +83,15 @@
 }
 
 TEST_F(SlotSchedulerTest, KeepsPassesWithinTheObjectiveForPauses) {
-  // Of 250 ms, 85 in 100 may be used: 50 ms write, so 8,000 tokens may be read in a pass.
+  // 85% of 250 ms may be used. Decoding takes 50 ms, so a pass may process 8,000 prompt tokens.
   int granted = 0;
   for (int id = 0; id < 20; ++id) {
     granted += submit(kStart, slot_request(id, 2'500)).verdict == wire::SlotVerdict::GRANTED ? 1 : 0;
   }
-  EXPECT_EQ(granted, 8) << "one in the pass that begins at once, three in the next one, in each group";
+  EXPECT_EQ(granted, 8) << "per group: one in the pass that starts immediately, three in the next one";
   EXPECT_EQ(submit(kStart + milliseconds(50), slot_request(50, 2'500)).verdict, wire::SlotVerdict::QUEUED);
   EXPECT_EQ(submit(kStart + milliseconds(150), slot_request(51, 2'500)).verdict, wire::SlotVerdict::GRANTED)
-      << "the next pass has begun";
+      << "the next pass has started";
 }
 
 TEST_F(SlotSchedulerTest, NeverGrantsMoreThanTheSlotsOfAGroup) {
@@ -110,9 +110,9 @@
   load.group = grant.group;
   load.in_flight = 1;
   scheduler_.note_loads("n1", {load}, false, kTerm, 0);
-  EXPECT_EQ(scheduler_.in_flight(grant.group), 2) << "the report was made before the slot arrived";
+  EXPECT_EQ(scheduler_.in_flight(grant.group), 2) << "the report was sent before the grant arrived";
   scheduler_.note_loads("n1", {load}, false, kTerm - 1, grant.sequence);
-  EXPECT_EQ(scheduler_.in_flight(grant.group), 2) << "the number is another leader's";
+  EXPECT_EQ(scheduler_.in_flight(grant.group), 2) << "the sequence number belongs to another term";
   scheduler_.note_loads("n1", {load}, false, kTerm, grant.sequence);
   EXPECT_EQ(scheduler_.in_flight(grant.group), 1);
   scheduler_.note_loads("n1", {}, true, kTerm, grant.sequence);
@@ -138,7 +138,7 @@
     scheduler_.note_loads("n2", {full}, false, kTerm, 0);
   }
   EXPECT_EQ(submit(kStart, slot_request(1)).verdict, wire::SlotVerdict::QUEUED);
-  EXPECT_TRUE(scheduler_.decide(kStart + milliseconds(40), document_).empty()) << "told once";
+  EXPECT_TRUE(scheduler_.decide(kStart + milliseconds(40), document_).empty()) << "reported once";
   const auto decisions = scheduler_.decide(kStart + milliseconds(81), document_);
   ASSERT_EQ(decisions.size(), 1U);
   EXPECT_EQ(decisions.front().grant.verdict, wire::SlotVerdict::BUSY);
@@ -180,10 +180,11 @@
   scheduler_.note_loads("n2", {full}, false, kTerm, 0);
   auto decisions = scheduler_.decide(kStart + milliseconds(10), document_);
   ASSERT_EQ(decisions.size(), 1U);
-  EXPECT_EQ(decisions.front().grant.id, 2) << "it came later, and can be answered in time";
+  EXPECT_EQ(decisions.front().grant.id, 2) << "it arrived later but can be answered in time";
   full.in_flight = 8;
   scheduler_.note_loads("n2", {full}, false, kTerm, decisions.front().grant.sequence);
-  EXPECT_TRUE(scheduler_.decide(kStart + milliseconds(20), document_).empty()) << "room goes to those in time first";
+  EXPECT_TRUE(scheduler_.decide(kStart + milliseconds(20), document_).empty())
+      << "late requests wait until their deadline";
   decisions = scheduler_.decide(kStart + milliseconds(80), document_);
   ASSERT_EQ(decisions.size(), 1U);
   EXPECT_EQ(decisions.front().grant.id, 1);
@@ -210,16 +211,16 @@
 
 TEST_F(SlotSchedulerTest, PrefersGroupsWithActiveStreams) {
   scheduler_.note_quiet_groups(kStart, "n1", {"g1"});
-  EXPECT_EQ(submit(kStart, slot_request(1)).group, "g1") << "one node's word is not enough";
+  EXPECT_EQ(submit(kStart, slot_request(1)).group, "g1") << "the report of one node is not enough";
   scheduler_.note_quiet_groups(kStart, "n2", {"g1"});
   for (int id = 2; id < 5; ++id) {
     EXPECT_EQ(submit(kStart, slot_request(id)).group, "g2");
   }
   scheduler_.note_quiet_groups(kStart, "n1", {"g1", "g2"});
   scheduler_.note_quiet_groups(kStart, "n2", {"g1", "g2"});
-  EXPECT_EQ(submit(kStart, slot_request(5)).verdict, wire::SlotVerdict::GRANTED) << "better than none";
+  EXPECT_EQ(submit(kStart, slot_request(5)).verdict, wire::SlotVerdict::GRANTED) << "a quiet group is better than none";
   scheduler_.note_quiet_groups(kStart, "n2", {"g2"});
-  EXPECT_EQ(submit(kStart, slot_request(6)).group, "g1") << "its streams go on again";
+  EXPECT_EQ(submit(kStart, slot_request(6)).group, "g1") << "its streams are active again";
   EXPECT_EQ(submit(kStart + seconds(2), slot_request(7)).verdict, wire::SlotVerdict::GRANTED);
 }
 
@@ -237,11 +238,12 @@
   engine::PassClock clock;
   EXPECT_EQ(clock.forecast(kStart, engine, model, 0, 500).first_event, milliseconds(60));
   clock.add(kStart, engine, model, 1, 500);
-  // A pass without reading runs until 50 ms; the next one reads both prompts.
+  // The current pass processes no prompt and ends at 50 ms; the next one processes both prompts.
   const auto next = clock.forecast(kStart, engine, model, 1, 1'000);
   EXPECT_EQ(next.first_event, milliseconds(50 + 50 + 30));
   EXPECT_EQ(next.longest_pass, milliseconds(80));
-  EXPECT_EQ(clock.forecast(kStart + seconds(1), engine, model, 1, 0).longest_pass, milliseconds(50)) << "all was read";
+  EXPECT_EQ(clock.forecast(kStart + seconds(1), engine, model, 1, 0).longest_pass, milliseconds(50))
+      << "all prompts were processed";
 }
 
 TEST(PassClock, LimitsThePromptTokensOfAPass) {
@@ -264,7 +266,7 @@
   clock.add(kStart, engine, model, 0, 2e9);
   EXPECT_LE(clock.forecast(kStart, engine, model, 1, 0).first_event, milliseconds(3 * 250));
   EXPECT_EQ(clock.forecast(kStart + milliseconds(10), engine, model, 0, 500).first_event, milliseconds(240 + 60))
-      << "the engine turned it away: nothing runs, so only the pass under way is waited for";
+      << "the engine rejected it: nothing runs, so only the current pass delays the prompt";
 }
 
 TEST(RecentQuantile, IgnoresOutliersAndFollowsChanges) {
@@ -272,7 +274,7 @@
   EXPECT_EQ(excess.value(kStart, 0.75), Duration::zero());
   excess.note(kStart, seconds(2));
   excess.note(kStart, milliseconds(90));
-  EXPECT_EQ(excess.value(kStart, 0.75), milliseconds(90)) << "an outlier at first";
+  EXPECT_EQ(excess.value(kStart, 0.75), milliseconds(90)) << "the first sample is an outlier";
   for (int sample = 0; sample < 40; ++sample) {
     const bool is_outlier = sample % 5 == 0;
     excess.note(kStart, is_outlier ? milliseconds(1200) : milliseconds(90 + sample % 3));
@@ -282,7 +284,7 @@
     excess.note(kStart, milliseconds(150));
   }
   EXPECT_EQ(excess.value(kStart, 0.75), milliseconds(150));
-  EXPECT_EQ(excess.value(kStart + seconds(5), 0.75), Duration::zero()) << "old measurements say nothing";
+  EXPECT_EQ(excess.value(kStart + seconds(5), 0.75), Duration::zero()) << "old samples expire";
 }
 
 TEST(LatencyEstimate, EstimatesMeanAndDeviation) {
--- a/tests/unit/target_health_test.cc
+++ b/tests/unit/target_health_test.cc
@@ -33,7 +33,7 @@
   TargetHealth health;
   AttemptState attempt{1000, false};
   health.begin_attempt(kStart, attempt);
-  EXPECT_FALSE(health.is_quiet(kStart + seconds(5), kLongestPause)) << "prompts may take long to read";
+  EXPECT_FALSE(health.is_quiet(kStart + seconds(5), kLongestPause)) << "processing a prompt may take long";
   health.note_first_event(kStart, attempt);
   EXPECT_FALSE(health.is_quiet(kStart + milliseconds(290), kLongestPause));
   EXPECT_TRUE(health.is_quiet(kStart + milliseconds(310), kLongestPause));
@@ -49,7 +49,7 @@
   others.last_progress = kStart;
   health.set_other_entries_load(others);
   EXPECT_EQ(health.total_in_flight(), 3);
-  EXPECT_FALSE(health.is_quiet(kStart + milliseconds(400), kLongestPause)) << "their news are late";
+  EXPECT_FALSE(health.is_quiet(kStart + milliseconds(400), kLongestPause)) << "their reports arrive with a delay";
   EXPECT_TRUE(health.is_quiet(kStart + milliseconds(600), kLongestPause));
 }
 
@@ -67,7 +67,7 @@
   EXPECT_LT(alone, milliseconds(100));
   EXPECT_GT(engine::expected_first_event(engine, model, 0, 10'000, 1000), alone + milliseconds(200));
   EXPECT_GT(engine::expected_first_event(engine, model, 10, 0, 1000), alone);
-  EXPECT_GT(engine::longest_pass(engine, model), milliseconds(250)) << "each step may read a whole chunk";
+  EXPECT_GT(engine::longest_pass(engine, model), milliseconds(250)) << "each step may process a whole prompt chunk";
 }
 
 }  // namespace
