--- a/src/core/fleet/dispatcher.cc
+++ b/src/core/fleet/dispatcher.cc
@@ -17,7 +17,7 @@
 constexpr Duration kMaxReportedProgressAge = seconds(3);
 /// Tolerance for pauses of a healthy group: this percentage of the longest pass of the cost model, plus network delay.
 constexpr int kPauseTolerancePercent = 120;
-constexpr Duration kPauseSlack = milliseconds(40);
+constexpr Duration kNetworkPauseAllowance = milliseconds(40);
 constexpr Duration kDefaultLongestPause = seconds(1);
 /// A group counts as stalled after this multiple of the longest expected pause.
 constexpr int kStallPauseMultiple = 2;
@@ -92,7 +92,7 @@
     }
     for (const auto& model : service.engine->models) {
       longest_pauses_[{name, model.name}] =
-          engine::longest_pass(*service.engine, model) * kPauseTolerancePercent / 100 + kPauseSlack;
+          engine::longest_pass(*service.engine, model) * kPauseTolerancePercent / 100 + kNetworkPauseAllowance;
     }
   }
 }
@@ -102,8 +102,9 @@
   const auto from_cost_model = longest_pauses_.find(key);
   const auto from_objective = min_gap_objectives_.find(key);
   const Duration longest = from_cost_model == longest_pauses_.end() ? kDefaultLongestPause : from_cost_model->second;
-  return from_objective == min_gap_objectives_.end() ? longest
-                                                     : std::min(longest, from_objective->second + kPauseSlack);
+  return from_objective == min_gap_objectives_.end()
+             ? longest
+             : std::min(longest, from_objective->second + kNetworkPauseAllowance);
 }
 
 void Dispatcher::record_gap_objective(const std::string& service, const std::string& model, Duration gap) {
--- a/src/core/fleet/dispatcher_rates.cc
+++ b/src/core/fleet/dispatcher_rates.cc
@@ -101,15 +101,17 @@
   if (rate_shares_.empty() && rate_limited_until_.empty()) {
     return;
   }
-  std::set<std::string> rated;
+  std::set<std::string> rate_limited_incarnations;
   for (const auto& [id, instance] : instances_) {
     const std::string incarnation = incarnation_of(instance);
     if (instance.cold || known_limit(incarnation)) {
-      rated.insert(incarnation);
+      rate_limited_incarnations.insert(incarnation);
     }
   }
-  rate_shares_.retain_servers(rated);
-  std::erase_if(rate_limited_until_, [&rated](const auto& item) { return !rated.contains(item.first); });
+  rate_shares_.retain_servers(rate_limited_incarnations);
+  std::erase_if(rate_limited_until_, [&rate_limited_incarnations](const auto& item) {
+    return !rate_limited_incarnations.contains(item.first);
+  });
 }
 
 std::optional<double> Dispatcher::known_limit(const std::string& incarnation) const {
--- a/src/core/fleet/rate_shares.cc
+++ b/src/core/fleet/rate_shares.cc
@@ -48,8 +48,10 @@
   }
 }
 
-void RateShares::retain_servers(const std::set<std::string>& rated) {
-  std::erase_if(schedules_, [&rated](const auto& item) { return !rated.contains(item.first); });
+void RateShares::retain_servers(const std::set<std::string>& rate_limited_incarnations) {
+  std::erase_if(schedules_, [&rate_limited_incarnations](const auto& item) {
+    return !rate_limited_incarnations.contains(item.first);
+  });
 }
 
 }  // namespace larchlever::fleet
--- a/src/core/fleet/rate_shares.h
+++ b/src/core/fleet/rate_shares.h
@@ -29,7 +29,7 @@
   }
   void note_sent(TimePoint now, const std::string& incarnation, double requests_per_second, int entry_count);
   /// Removes the servers that are no longer rate-limited.
-  void retain_servers(const std::set<std::string>& rated);
+  void retain_servers(const std::set<std::string>& rate_limited_incarnations);
   bool empty() const { return schedules_.empty(); }
 
  private:
--- a/src/core/fleet/server_rate_limiter.cc
+++ b/src/core/fleet/server_rate_limiter.cc
@@ -16,12 +16,14 @@
 }
 
 void ServerRateLimiter::set_servers(const std::vector<RateLimitedServer>& servers) {
-  std::set<std::string> rated;
+  std::set<std::string> rate_limited_incarnations;
   for (const auto& server : servers) {
-    rated.insert(server.incarnation);
+    rate_limited_incarnations.insert(server.incarnation);
     limiters_[server.incarnation].server = server;
   }
-  std::erase_if(limiters_, [&rated](const auto& item) { return !rated.contains(item.first); });
+  std::erase_if(limiters_, [&rate_limited_incarnations](const auto& item) {
+    return !rate_limited_incarnations.contains(item.first);
+  });
 }
 
 TimePoint ServerRateLimiter::next_allowed_at(TimePoint now, const document::ServiceSpec& service,
--- a/src/core/fleet/slot_scheduler.cc
+++ b/src/core/fleet/slot_scheduler.cc
@@ -92,13 +92,13 @@
                                bool is_complete, int64_t grants_term, int64_t grants_seen) {
   NodeLoads& node = nodes_[node_name];
   if (is_complete) {
-    std::set<std::string> named;
+    std::set<std::string> reported_groups;
     for (const auto& load : loads) {
-      named.insert(load.group);
+      reported_groups.insert(load.group);
     }
-    const auto before = node.in_flight;
-    for (const auto& [group, in_flight] : before) {
-      if (!named.contains(group)) {
+    const auto previous_loads = node.in_flight;
+    for (const auto& [group, in_flight] : previous_loads) {
+      if (!reported_groups.contains(group)) {
         set_load(node, group, 0);
         silence_watch_.note_streams(node_name, group, 0);
       }
@@ -419,12 +419,13 @@
       return false;
     }
     const auto& limited = *blocked->second;
-    int& before = requests_ahead[queue];
-    if (limited.next_allowed_at + time_for_requests(before, limited.requests_per_second) <= waiting.queue_deadline) {
-      ++before;
+    int& requests_before = requests_ahead[queue];
+    if (limited.next_allowed_at + time_for_requests(requests_before, limited.requests_per_second) <=
+        waiting.queue_deadline) {
+      ++requests_before;
       return false;
     }
-    refuse(now, waiting, before, decisions);
+    refuse(now, waiting, requests_before, decisions);
     return true;
   });
 }
--- a/tests/unit/cold_start_test.cc
+++ b/tests/unit/cold_start_test.cc
@@ -15,7 +15,7 @@
 namespace {
 
 const TimePoint kStart = TimePoint(seconds(100));
-constexpr double kColdPerSecond = 14;
+constexpr double kColdRequestsPerSecond = 14;
 /// Maximum requests that such a server accepts in any second, as stated by its operators: one and a half times the
 /// rate, plus five.
 constexpr size_t kMaxPerSecond = 26;
@@ -36,7 +36,7 @@
   SlidingWindowLimiter window;
   std::vector<TimePoint> sent;
   for (TimePoint now = kStart; now < kStart + seconds(5); now += milliseconds(3)) {
-    if (window.allows_request(now, kColdPerSecond)) {
+    if (window.allows_request(now, kColdRequestsPerSecond)) {
       window.note_request(now);
       sent.push_back(now);
     }
@@ -70,8 +70,8 @@
       std::vector<TimePoint> sent;
       for (TimePoint now = kStart; now < kStart + seconds(6); now += milliseconds(10)) {
         for (auto& share : shares) {
-          if (share.may_send(now, "i1", kColdPerSecond, entries)) {
-            share.note_sent(now, "i1", kColdPerSecond, entries);
+          if (share.may_send(now, "i1", kColdRequestsPerSecond, entries)) {
+            share.note_sent(now, "i1", kColdRequestsPerSecond, entries);
             sent.push_back(now);
           }
         }
@@ -88,15 +88,15 @@
   std::vector<RateShares> shares;
   for (uint64_t entry = 0; entry < kEntries; ++entry) {
     shares.emplace_back(entry);
-    shares.back().may_send(kStart, "i1", kColdPerSecond, kEntries);
+    shares.back().may_send(kStart, "i1", kColdRequestsPerSecond, kEntries);
     shares.back().retain_servers({});
   }
   const TimePoint second_cold_start = kStart + seconds(20);
   size_t sent = 0;
   for (TimePoint now = second_cold_start; now < second_cold_start + seconds(1); now += milliseconds(10)) {
     for (auto& share : shares) {
-      if (share.may_send(now, "i1", kColdPerSecond, kEntries)) {
-        share.note_sent(now, "i1", kColdPerSecond, kEntries);
+      if (share.may_send(now, "i1", kColdRequestsPerSecond, kEntries)) {
+        share.note_sent(now, "i1", kColdRequestsPerSecond, kEntries);
         ++sent;
       }
     }
@@ -107,7 +107,7 @@
 document::ConfigurationDocument engine_document() {
   document::ServiceSpec service;
   service.name = "s";
-  service.cold_requests_per_second = kColdPerSecond;
+  service.cold_requests_per_second = kColdRequestsPerSecond;
   auto& engine = service.engine.emplace();
   engine.slots = 1000;
   engine.step_ms = 10;
@@ -133,8 +133,8 @@
   scheduler.set_rate_limited_servers({{"cold-head", true, std::nullopt}});
   scheduler.set_groups({open_group("cold"), open_group("warm")}, {{"cold", "cold-head"}});
   const auto document = engine_document();
-  std::vector<TimePoint> at_cold;
-  int at_warm = 0;
+  std::vector<TimePoint> cold_requests;
+  int warm_requests = 0;
   int64_t id = 0;
   for (TimePoint now = kStart; now < kStart + seconds(3); now += milliseconds(5)) {
     wire::SlotRequest request;
@@ -146,14 +146,14 @@
     scheduler.add_request(now, "n1", request);
     for (const auto& decision : scheduler.decide(now, document)) {
       if (decision.grant.verdict == wire::SlotVerdict::GRANTED) {
-        decision.grant.group == "cold" ? at_cold.push_back(now) : static_cast<void>(++at_warm);
+        decision.grant.group == "cold" ? cold_requests.push_back(now) : static_cast<void>(++warm_requests);
       }
     }
     scheduler.note_loads("n1", {}, true, 1, id);
   }
-  EXPECT_LE(max_in_any_second(at_cold), 14U);
-  EXPECT_GE(at_cold.size(), 14U);
-  EXPECT_GT(at_warm, 400);
+  EXPECT_LE(max_in_any_second(cold_requests), 14U);
+  EXPECT_GE(cold_requests.size(), 14U);
+  EXPECT_GT(warm_requests, 400);
 }
 
 TEST(Dispatcher, SendsAColdServerOnlyItsRateShareWithoutALeader) {
@@ -172,15 +172,15 @@
   dispatcher.update_state(state);
   document::ServiceSpec service;
   service.name = "s";
-  service.cold_requests_per_second = kColdPerSecond;
-  int at_cold = 0;
+  service.cold_requests_per_second = kColdRequestsPerSecond;
+  int cold_requests = 0;
   for (TimePoint now = kStart; now < kStart + seconds(9); now += milliseconds(10)) {
     const auto choice = dispatcher.choose_target(now, service, {}, {});
     ASSERT_TRUE(choice.target);
-    at_cold += choice.target->instance_id == "i1" ? 1 : 0;
+    cold_requests += choice.target->instance_id == "i1" ? 1 : 0;
   }
-  EXPECT_LE(at_cold, 8) << "a ninth of half the rate over nine seconds, plus the first request";
-  EXPECT_GE(at_cold, 1);
+  EXPECT_LE(cold_requests, 8) << "a ninth of half the rate over nine seconds, plus the first request";
+  EXPECT_GE(cold_requests, 1);
 }
 
 wire::Instance report(int64_t call_number, int cold_left_ms) {
--- a/tests/unit/slot_scheduler_test.cc
+++ b/tests/unit/slot_scheduler_test.cc
@@ -270,21 +270,21 @@
 }
 
 TEST(RecentQuantile, IgnoresOutliersAndFollowsChanges) {
-  requests::RecentQuantile excess;
-  EXPECT_EQ(excess.value(kStart, 0.75), Duration::zero());
-  excess.note(kStart, seconds(2));
-  excess.note(kStart, milliseconds(90));
-  EXPECT_EQ(excess.value(kStart, 0.75), milliseconds(90)) << "the first sample is an outlier";
+  requests::RecentQuantile samples;
+  EXPECT_EQ(samples.value(kStart, 0.75), Duration::zero());
+  samples.note(kStart, seconds(2));
+  samples.note(kStart, milliseconds(90));
+  EXPECT_EQ(samples.value(kStart, 0.75), milliseconds(90)) << "the first sample is an outlier";
   for (int sample = 0; sample < 40; ++sample) {
     const bool is_outlier = sample % 5 == 0;
-    excess.note(kStart, is_outlier ? milliseconds(1200) : milliseconds(90 + sample % 3));
+    samples.note(kStart, is_outlier ? milliseconds(1200) : milliseconds(90 + sample % 3));
   }
-  EXPECT_LE(excess.value(kStart, 0.75), milliseconds(92));
+  EXPECT_LE(samples.value(kStart, 0.75), milliseconds(92));
   for (int sample = 0; sample < 16; ++sample) {
-    excess.note(kStart, milliseconds(150));
+    samples.note(kStart, milliseconds(150));
   }
-  EXPECT_EQ(excess.value(kStart, 0.75), milliseconds(150));
-  EXPECT_EQ(excess.value(kStart + seconds(5), 0.75), Duration::zero()) << "old samples expire";
+  EXPECT_EQ(samples.value(kStart, 0.75), milliseconds(150));
+  EXPECT_EQ(samples.value(kStart + seconds(5), 0.75), Duration::zero()) << "old samples expire";
 }
 
 TEST(LatencyEstimate, EstimatesMeanAndDeviation) {
--- a/tests/unit/target_health_test.cc
+++ b/tests/unit/target_health_test.cc
@@ -62,11 +62,11 @@
   engine.steps_per_pass = 5;
   engine.chunk_tokens = 2048;
   const document::ModelSpec model{"m", 4, 1.0, 1.0, {}, {}};
-  const auto alone = engine::expected_first_event(engine, model, 0, 0, 1000);
-  EXPECT_GT(alone, milliseconds(50));
-  EXPECT_LT(alone, milliseconds(100));
-  EXPECT_GT(engine::expected_first_event(engine, model, 0, 10'000, 1000), alone + milliseconds(200));
-  EXPECT_GT(engine::expected_first_event(engine, model, 10, 0, 1000), alone);
+  const auto first_event_when_idle = engine::expected_first_event(engine, model, 0, 0, 1000);
+  EXPECT_GT(first_event_when_idle, milliseconds(50));
+  EXPECT_LT(first_event_when_idle, milliseconds(100));
+  EXPECT_GT(engine::expected_first_event(engine, model, 0, 10'000, 1000), first_event_when_idle + milliseconds(200));
+  EXPECT_GT(engine::expected_first_event(engine, model, 10, 0, 1000), first_event_when_idle);
   EXPECT_GT(engine::longest_pass(engine, model), milliseconds(250)) << "each step may process a whole prompt chunk";
 }
 
