--- a/src/core/fleet/blocked_requests.cc
+++ b/src/core/fleet/blocked_requests.cc
@@ -10,10 +10,10 @@
 /// How long the observations of an entry alone block a request. The leader normally decides within a fraction of a
 /// second; an election takes one to two seconds.
 constexpr Duration kLocalBlockTime = seconds(10);
-/// Maximum ends reported to a new leader. Blocked requests are part of the state that it inherits; these ends concern
-/// requests that are not blocked yet.
+/// Maximum server ends reported to a new leader. Blocked requests are part of the state that it inherits; these server
+/// ends concern requests that are not blocked yet.
 constexpr size_t kMaxRecentEnds = 64;
-/// Maximum unreported ends kept while there is no leader.
+/// Maximum unreported server ends kept while there is no leader.
 constexpr size_t kMaxUnreportedEnds = 1024;
 
 wire::RequestServerEnd make_report(TimePoint now, const ServerEnd& end) {
@@ -49,7 +49,7 @@
   }
   for (const auto& [request, row] : rows_) {
     if (!updated_rows.contains(request)) {
-      server_ends_.forget(request);  // Unblocked: earlier ends no longer count.
+      server_ends_.forget(request);  // Unblocked: earlier server ends no longer count.
     }
   }
   rows_ = std::move(updated_rows);
--- a/src/core/fleet/blocked_requests.h
+++ b/src/core/fleet/blocked_requests.h
@@ -11,14 +11,15 @@
 
 namespace larchlever::fleet {
 
-/// Number of servers that must end while running a request before the request is blocked.
+/// Number of server ends that block a request.
 constexpr size_t kServerEndsToBlock = 3;
 
-/// An entry's view of requests that end the servers that run them. Combines the ends that this entry observed, which it
-/// reports to the leader, with the decisions that the leader published from the reports of all entries.
+/// An entry's view of requests that terminate the servers that run them. Combines the server ends that this entry
+/// observed, which it reports to the leader, with the decisions that the leader published from the reports of all
+/// entries.
 ///
-/// While the leader's decision is pending, or there is no leader, the entry's own observations decide: three ends
-/// observed here block a request. A request that a server answered recently is not held responsible for an end: when
+/// While the leader's decision is pending, or there is no leader, the entry's own observations decide: three server
+/// ends observed here block a request. A request that a server answered recently is not blamed for a server end: when
 /// several servers end at once for another reason, popular requests are running on many of them. If the leader blocks
 /// such a request, the entry reports that it was answered. Single-threaded, deterministic.
 class BlockedRequests {
@@ -35,15 +36,15 @@
   /// Minimum time for which the request stays blocked; zero if it is not blocked.
   Duration remaining_block_time(TimePoint now, requests::RequestFingerprint request) const;
 
-  /// A server ended while it ran this request for the entry. Returns the number of ends that this entry counts against
-  /// the request.
+  /// A server terminated while it ran a request of this entry. Returns the number of server ends that count against the
+  /// request here.
   size_t note_server_end(const ServerEnd& end);
   /// A server ran the request and answered it.
   void note_answered(TimePoint now, requests::RequestFingerprint request);
   /// Removes and returns what was not reported to the leader yet.
   std::vector<wire::RequestServerEnd> take_unreported_ends(TimePoint now);
   std::vector<int64_t> take_answered_requests();
-  /// The most recent ends observed here, for a newly elected leader.
+  /// The most recent server ends observed here, for a newly elected leader.
   std::vector<wire::RequestServerEnd> recent_ends(TimePoint now) const;
   bool has_unreported() const { return !unreported_ends_.empty() || !unreported_answered_.empty(); }
 
@@ -54,7 +55,7 @@
     TimePoint received_at{};
   };
 
-  /// Clears what counts against the request and queues a report that it was answered.
+  /// Discards the server ends of the request and queues a report that it was answered.
   void report_answered(requests::RequestFingerprint request);
 
   ServerEnds server_ends_;
--- a/src/core/fleet/rate_shares.h
+++ b/src/core/fleet/rate_shares.h
@@ -21,8 +21,8 @@
  public:
   explicit RateShares(uint64_t seed) : random_engine_(seed) {}
 
-  /// When this entry, one of `entries`, may next send to the server; `now` during its turn. `requests_per_second` is
-  /// the total rate that the server accepts; 0 means no limit.
+  /// When this entry, one of `entry_count` entries, may next send to the server; `now` during its turn.
+  /// `requests_per_second` is the total rate that the server accepts; 0 means no limit.
   TimePoint next_allowed_at(TimePoint now, const std::string& incarnation, double requests_per_second, int entry_count);
   bool may_send(TimePoint now, const std::string& incarnation, double requests_per_second, int entry_count) {
     return next_allowed_at(now, incarnation, requests_per_second, entry_count) <= now;
@@ -40,7 +40,7 @@
   };
 
   static Duration turn_interval(double requests_per_second, int entry_count);
-  /// Draws the start of the next turn uniformly from one interval.
+  /// Draws the start of the next turn at random, within one interval from now.
   TurnSchedule draw_next_turn(TimePoint now, Duration interval);
 
   std::mt19937_64 random_engine_;
--- a/src/core/fleet/request_blocker.cc
+++ b/src/core/fleet/request_blocker.cc
@@ -17,9 +17,10 @@
 /// A trial without a result counts as failed after this time, which is longer than callers wait for an answer.
 constexpr Duration kTrialTimeout = seconds(15);
 constexpr size_t kMaxBlockedRequests = 1024;
-/// A retry without a result counts as harmless after this time: a harmful request ends its server within half a second.
+/// A retry without a result counts as harmless after this time: a harmful request terminates its server within half a
+/// second.
 constexpr Duration kRetryTimeout = seconds(1);
-/// A live server reports every one or two seconds; one that has not reported for this long has ended.
+/// A live server reports every one or two seconds; one that has not reported for this long has terminated.
 constexpr Duration kServerReportTimeout = seconds(30);
 
 }  // namespace
--- a/src/core/fleet/request_blocker.h
+++ b/src/core/fleet/request_blocker.h
@@ -10,18 +10,19 @@
 
 namespace larchlever::fleet {
 
-/// The leader's decision on which requests are no longer sent to any server because they end the servers that run them.
+/// The leader's decision on which requests are no longer sent to any server because they terminate the servers that run
+/// them. A "server end" is the termination of a server incarnation while it ran a request.
 ///
-/// Failure scenario: a caller repeatedly sends the same request to all entries. Each attempt ends a server and
-/// interrupts every other request running there. Entries report each end together with the requests that were running.
-/// The third end blocks the request on all entries. The block may be wrong, or the cause may be fixed on the servers,
-/// so a single trial attempt is made after a delay; if its server answers, the request is unblocked.
+/// Failure scenario: a caller repeatedly sends the same request to all entries. Each attempt terminates a server and
+/// interrupts every other request running there. Entries report each server end together with the requests that were
+/// running. The third server end blocks the request on all entries. The block may be wrong, or the cause may be fixed
+/// on the servers, so a single trial attempt is made after a delay; if its server answers, the request is unblocked.
 ///
-/// Limits: three ends are required because a harmless request that runs next to the harmful one may be interrupted once
-/// or twice before the harmful one is identified. There are at most two trials, so a harmful request ends at most five
-/// servers per hour however often it is sent. At most 1,024 requests are blocked, the most recent ones, which takes
-/// about 20 KB in a copy of the state. Blocks survive a change of leader as rows of the published state.
-/// Single-threaded, deterministic.
+/// Limits: three server ends are required because a harmless request that runs next to the harmful one may be
+/// interrupted once or twice before the harmful one is identified. There are at most two trials, so a harmful request
+/// terminates at most five servers per hour however often it is sent. At most 1,024 requests are blocked, the most
+/// recent ones, which takes about 20 KB in a copy of the state. Blocks survive a change of leader as rows of the
+/// published state. Single-threaded, deterministic.
 class RequestBlocker {
  public:
   /// Starts a new leadership with the rows of the inherited state. The delay before a trial starts again.
@@ -31,19 +32,19 @@
   /// A server ended while it ran the request. Returns true if the rows changed, as do the functions below that return
   /// bool, except `grant_retry`.
   bool note_server_end(const ServerEnd& end);
-  /// A server incarnation sent a report. Ends of it that were only likely are withdrawn, and requests that were blocked
-  /// because of them are unblocked.
+  /// A server incarnation sent a report. Its server ends that were only likely are withdrawn, and requests that were
+  /// blocked because of them are unblocked.
   bool note_incarnation_alive(TimePoint now, const std::string& incarnation);
   /// A server ran the request and answered it.
   bool note_answered(requests::RequestFingerprint request);
-  /// Whether a request whose answer was lost may be retried. Retries of a request that ended servers run on one server
-  /// at a time across all entries; otherwise, copies that end their servers simultaneously would all be retried on
-  /// further servers.
+  /// Whether a request whose answer was lost may be retried. Retries of a request with server ends run on one server at
+  /// a time across all entries; otherwise, several copies could each terminate a further server at the same time.
   bool grant_retry(TimePoint now, requests::RequestFingerprint request);
   /// Grants the trial of a blocked request, once, if it is due.
   bool grant_trial(TimePoint now, requests::RequestFingerprint request);
   /// Advances phases and removes expired state.
   bool tick(TimePoint now);
+  /// All blocked requests, for the published state.
   std::vector<wire::BlockedRequest> rows() const;
 
  private:
@@ -53,7 +54,8 @@
     Phase phase = Phase::kWaiting;
     /// Start of the phase.
     TimePoint phase_started_at{};
-    /// The ends that caused the block were counted under an earlier leader, so ends counted here cannot refute it.
+    /// The server ends that caused the block were counted under an earlier leader, so those counted here cannot refute
+    /// it.
     bool is_inherited = false;
   };
 
@@ -64,9 +66,9 @@
 
   ServerEnds server_ends_;
   std::map<requests::RequestFingerprint, BlockState> blocked_;
-  /// When the last retry was granted, for requests that ended servers and have not been answered since.
+  /// When the last retry was granted, for requests with server ends that have not been answered since.
   std::map<requests::RequestFingerprint, TimePoint> granted_retries_;
-  /// When incarnations likely ended, for comparison with later reports of the same incarnations.
+  /// When incarnations likely terminated, for comparison with later reports of the same incarnations.
   std::map<std::string, TimePoint> likely_ended_at_;
 };
 
--- a/src/core/fleet/server_notices.h
+++ b/src/core/fleet/server_notices.h
@@ -12,10 +12,12 @@
 ///
 /// Failure scenario: a full server rejects requests within milliseconds. It has few requests in flight, so by load
 /// alone it looks like the best target and attracts requests from every entry; each rejection uses up retry budget
-/// while other servers are free. Limits: a backoff is kept until it expires, however many other servers there are,
-/// because only the server knows its capacity. It applies to this entry only, because the response went to this entry.
-/// Notices belong to one incarnation of a server; a new incarnation starts without any. They are kept when the server
-/// disappears from the fleet state, because it may leave one group and join another. Single-threaded, deterministic.
+/// while other servers are free.
+///
+/// Limits: a backoff is kept until it expires, however many other servers there are, because only the server knows its
+/// capacity. It applies to this entry only, because the response went to this entry. Notices belong to one incarnation
+/// of a server; a new incarnation starts without any. They are kept when the server disappears from the fleet state,
+/// because it may leave one group and join another. Single-threaded, deterministic.
 class ServerNotices {
  public:
   /// The server rejected a request and asked for a delay. The latest end of all requested delays applies.
--- a/src/core/fleet/server_rate_limiter.h
+++ b/src/core/fleet/server_rate_limiter.h
@@ -24,15 +24,16 @@
   std::optional<double> limit_per_second;
 };
 
-/// The strictest rate limit of the server in requests per second; 0 for none.
+/// The strictest rate limit of the server, in requests per second; 0 means no limit.
 double effective_rate_limit(const document::ServiceSpec& service, const RateLimitedServer& server);
 
 /// The leader's rate limiters for requests from all entries to rate-limited servers.
 ///
 /// Failure scenario: judged by requests in flight alone, a server that gets few requests looks like the best target, so
-/// all requests would be sent to it at once. Limits: state is kept per incarnation, so a head keeps its limiter state
-/// when its group is re-formed. The state is lost on a change of leader; a new leader may grant one extra request per
-/// server. Single-threaded, deterministic.
+/// all requests would be sent to it at once.
+///
+/// Limits: state is kept per incarnation, so a head keeps its limiter state when its group is re-formed. The state is
+/// lost on a change of leader; a new leader may grant one extra request per server. Single-threaded, deterministic.
 class ServerRateLimiter {
  public:
   /// Sets all rate-limited servers; other servers are not limited.
--- a/tests/unit/blocked_requests_test.cc
+++ b/tests/unit/blocked_requests_test.cc
@@ -21,7 +21,7 @@
   return {request, instance, at(time)};
 }
 
-/// A blocker for which three servers ended while running the harmful request.
+/// A blocker for which three servers terminated while running the harmful request.
 RequestBlocker blocker_with_blocked_request(double time) {
   RequestBlocker blocker;
   blocker.start(at(0), {});
