--- a/src/core/fleet/slot_scheduler.cc
+++ b/src/core/fleet/slot_scheduler.cc
@@ -395,8 +395,8 @@
   }
   const bool has_other_servers = asks_for_plain_server(waiting) && waiting.request.patience_ms <= 0;
   if (has_other_servers) {
-    add_decision(waiting, wire::SlotVerdict::BUSY,
-                 decisions);  // The entry uses another server; the request is not queued.
+    // The entry uses another server; the request is not queued.
+    add_decision(waiting, wire::SlotVerdict::BUSY, decisions);
     return true;
   }
   if (is_last_chance) {
