--- a/src/core/fleet/slot_scheduler.h
+++ b/src/core/fleet/slot_scheduler.h
@@ -97,7 +97,7 @@
     wire::SlotRequest request;
     TimePoint arrived_at{};
     TimePoint queue_deadline{};
-    bool is_queued_sent = false;  ///< The entry was told that the request is queued.
+    bool is_queued_sent = false;  ///< The verdict QUEUED was sent to the entry.
   };
   using ModelKey = std::pair<std::string, std::string>;  ///< Service and model.
   /// Requests that compete for the same servers: for one model with the same allowed zones, or for the same plain
