--- a/src/core/fleet/cluster_formation.cc
+++ b/src/core/fleet/cluster_formation.cc
@@ -30,7 +30,7 @@
 std::vector<std::string> ClusterFormation::reachable_seeds(TimePoint now) const {
   std::vector<std::string> result;
   for (const auto& [address, seed] : seeds_) {
-    const bool is_reachable = seed.last_heard != TimePoint::min() && now - seed.last_heard <= kSeedTimeout;
+    const bool is_reachable = seed.last_notice != TimePoint::min() && now - seed.last_notice <= kSeedTimeout;
     if (address == self_ || is_reachable) {
       result.push_back(address);
     }
@@ -46,10 +46,10 @@
   if (!all_reachable && !is_majority_after_grace_period) {
     return;
   }
-  const std::string& lowest = candidates.front();
-  const bool yields_to_lower_seed = founder_choice_ == self_ && lowest < self_;
+  const std::string& lowest_address = candidates.front();
+  const bool yields_to_lower_seed = founder_choice_ == self_ && lowest_address < self_;
   if (founder_choice_.empty() || yields_to_lower_seed) {
-    founder_choice_ = lowest;
+    founder_choice_ = lowest_address;
     is_choice_stored_ = false;
   }
 }
@@ -86,7 +86,7 @@
   if (seed == seeds_.end()) {
     return;
   }
-  seed->second.last_heard = now;
+  seed->second.last_notice = now;
   seed->second.choice = notice.choice;
   update_founder_choice(now);
 }
--- a/src/core/fleet/cluster_formation.h
+++ b/src/core/fleet/cluster_formation.h
@@ -53,7 +53,7 @@
 
  private:
   struct Seed {
-    TimePoint last_heard = TimePoint::min();
+    TimePoint last_notice = TimePoint::min();
     std::string choice;
   };
 
--- a/src/core/fleet/fleet_controller.cc
+++ b/src/core/fleet/fleet_controller.cc
@@ -77,7 +77,7 @@
   outputs_.create_log = formation_->may_create_log();
 }
 
-void FleetController::handle_formation(TimePoint now, const wire::Envelope& envelope) {
+void FleetController::handle_formation_notice(TimePoint now, const wire::Envelope& envelope) {
   if (formation_) {
     formation_->receive(now, envelope.from_node, envelope.formation);
   }
@@ -101,14 +101,14 @@
   if (raft_) {
     raft_->tick(now);
     subscription_.set_leader_hint(leader_node());
-    if (leaving_ && raft_->is_leader() && now >= next_leadership_transfer_) {
+    if (is_leaving_ && raft_->is_leader() && now >= next_leadership_transfer_) {
       next_leadership_transfer_ = now + kLeadershipTransferRetryInterval;
       raft_->hand_over(now);
     }
   }
   wire::FleetHeartbeat content;
   content.replica_id = raft_ ? raft_->id().value() : 0;
-  content.leaving = leaving_;
+  content.leaving = is_leaving_;
   content.serving_entries = entry_distributor_.serving_entries(now);
   content.entries_hold_version = entry_distributor_.entries_hold_version(now);
   if (auto heartbeat = subscription_.tick(now, content)) {
@@ -133,7 +133,7 @@
       raft_->step(now, envelope.raft);
     }
   } else if (envelope.__isset.formation) {
-    handle_formation(now, envelope);
+    handle_formation_notice(now, envelope);
   } else if (envelope.__isset.fleet_heartbeat) {
     handle_heartbeat(now, envelope);
   } else if (envelope.__isset.fleet_update) {
@@ -379,8 +379,8 @@
   for (const auto& proposal : outputs.proposals) {
     leader_.command_proposed(proposal.call_key, raft_->propose(now, wire::encode(proposal.command)), raft_->term());
   }
-  if (outputs.replicas) {
-    raft_->propose_replicas(now, *outputs.replicas);
+  if (outputs.proposed_replicas) {
+    raft_->propose_replicas(now, *outputs.proposed_replicas);
   }
   for (auto& envelope : outputs.envelopes) {
     send(std::move(envelope));
--- a/src/core/fleet/fleet_controller.h
+++ b/src/core/fleet/fleet_controller.h
@@ -75,7 +75,7 @@
     leader_.note_own_pause(now, pause);
     entry_distributor_.note_own_pause(now, pause);
   }
-  void begin_leaving() { leaving_ = true; }
+  void begin_leaving() { is_leaving_ = true; }
   /// Peer addresses learned from settings.
   void add_peers(const std::vector<std::string>& peers) { subscription_.add_peers(peers); }
   bool is_leader(TimePoint now) const;
@@ -97,7 +97,7 @@
   };
 
   bool holds_log() const { return raft_ && !raft_->replicas().voters.empty(); }
-  void handle_formation(TimePoint now, const wire::Envelope& envelope);
+  void handle_formation_notice(TimePoint now, const wire::Envelope& envelope);
   void tick_formation(TimePoint now);
   std::string leader_node() const { return raft_ ? raft_->leader_node() : ""; }
   /// Peer address of the leader according to the log, or else to the subscription; empty if unknown.
@@ -141,7 +141,7 @@
   FleetLog log_;
   int64_t leadership_term_ = -1;
   int64_t last_snapshot_index_ = 0;
-  bool leaving_ = false;
+  bool is_leaving_ = false;
   TimePoint next_leadership_transfer_ = TimePoint::min();
   TimePoint next_distribution_ = TimePoint::min();
   int64_t next_call_id_ = 1;
--- a/src/core/fleet/fleet_leader.cc
+++ b/src/core/fleet/fleet_leader.cc
@@ -74,7 +74,7 @@
   EntrySubscribers& entries = entry_subscribers_[envelope.from_node];
   entries.term = report.held_term;
   entries.version = report.entries_hold_version;
-  entries.serving = report.serving_entries;
+  entries.serving_count = report.serving_entries;
   if (report.__isset.held_state && is_recovering_state(now)) {
     merge_state_copy(now, report.held_state);
   }
@@ -95,12 +95,12 @@
 }
 
 void FleetLeader::end_state_recovery_early(TimePoint now, const wire::ReplicaSet& replicas) {
-  const auto has_nothing_newer = [&](const wire::ReplicaAddress& voter) {
+  const auto holds_no_newer_state = [&](const wire::ReplicaAddress& voter) {
     const auto row = node_directory_.rows().find(voter.node);
     return row != node_directory_.rows().end() &&
            control_subscribers_.held_state_version(voter.node) <= inherited_version_;
   };
-  if (is_recovering_state(now) && std::all_of(replicas.voters.begin(), replicas.voters.end(), has_nothing_newer)) {
+  if (is_recovering_state(now) && std::all_of(replicas.voters.begin(), replicas.voters.end(), holds_no_newer_state)) {
     state_recovery_deadline_ = now;
   }
 }
@@ -184,7 +184,7 @@
   int count = 0;
   for (const auto& node : control_subscribers_.live_nodes(now)) {
     const auto entries = entry_subscribers_.find(node);
-    count += entries == entry_subscribers_.end() ? 0 : entries->second.serving;
+    count += entries == entry_subscribers_.end() ? 0 : entries->second.serving_count;
   }
   return count;
 }
@@ -388,7 +388,7 @@
   adopt_evacuations(now, log);
   if (now >= next_supervision_) {
     next_supervision_ = now + kSupervisionInterval;
-    outputs_.replicas = replica_supervisor_.next_change(now, raft, node_directory_);
+    outputs_.proposed_replicas = replica_supervisor_.next_change(now, raft, node_directory_);
     remove_timed_out_entries(now);
     version_ += instance_directory_.tick(now) ? 1 : 0;
     version_ += request_blocker_.tick(now) ? 1 : 0;
--- a/src/core/fleet/fleet_leader.h
+++ b/src/core/fleet/fleet_leader.h
@@ -48,7 +48,7 @@
     std::vector<wire::Envelope> envelopes;
     std::vector<InstanceOrder> orders;
     std::vector<GroupDecision> decisions;
-    std::optional<wire::ReplicaSet> replicas;
+    std::optional<wire::ReplicaSet> proposed_replicas;
     std::vector<Proposal> proposals;
     /// Replies to calls, with the call key.
     std::vector<std::pair<std::string, wire::ControlCallReply>> replies;
@@ -91,7 +91,7 @@
     int64_t term = 0;
     /// The newest state version of `term` that all of them hold.
     int64_t version = 0;
-    int serving = 0;
+    int serving_count = 0;
   };
   /// A call that is answered once every live node has confirmed state `version`.
   struct UnconfirmedCall {
@@ -141,7 +141,7 @@
   /// Records an entry's reports of servers that terminated while they ran its requests.
   void record_server_ends(TimePoint now, const wire::SlotReport& report);
   /// Unblocks requests whose server turns out to have survived: the incarnation of `report` is still running.
-  void unblock_requests_survived_by(TimePoint now, const wire::Instance& report);
+  void unblock_survived_requests(TimePoint now, const wire::Instance& report);
   /// Records the rate limits that servers announced to an entry.
   void record_server_limits(TimePoint now, const wire::SlotReport& report);
   void answer_trial_request(TimePoint now, const std::string& node, const wire::SlotRequest& request);
--- a/src/core/fleet/fleet_leader_calls.cc
+++ b/src/core/fleet/fleet_leader_calls.cc
@@ -74,11 +74,11 @@
     const bool changed = is_from_this_leadership ? instance_directory_.heard(now, report.instance)
                                                  : instance_directory_.heard_before(now, report.instance);
     version_ += changed ? 1 : 0;
-    unblock_requests_survived_by(now, report.instance);
+    unblock_survived_requests(now, report.instance);
   }
 }
 
-void FleetLeader::unblock_requests_survived_by(TimePoint now, const wire::Instance& report) {
+void FleetLeader::unblock_survived_requests(TimePoint now, const wire::Instance& report) {
   // Without a start time, a restarted instance with the same id could not be told from the one that terminated.
   const bool was_unblocked = report.born_ms != 0 && request_blocker_.note_heard(now, incarnation_of(report));
   if (was_unblocked) {
@@ -89,7 +89,7 @@
 
 void FleetLeader::register_instance(TimePoint now, const std::string& key, const wire::ControlCall& call) {
   bool changed = false;
-  bool leaving = true;
+  bool is_leaving = true;
   if (call.kind == wire::ControlCallKind::DEREGISTER) {
     changed = instance_directory_.deregister(now, call.instance_id, parse_born_ms(call.body));
   } else {
@@ -99,12 +99,12 @@
       return;
     }
     const auto* report = std::get_if<wire::Instance>(&parsed);
-    leaving = report->state == wire::InstanceState::DRAINING;
+    is_leaving = report->state == wire::InstanceState::DRAINING;
     changed = instance_directory_.heard(now, *report);
-    unblock_requests_survived_by(now, *report);
+    unblock_survived_requests(now, *report);
   }
   version_ += changed ? 1 : 0;
-  if (leaving) {
+  if (is_leaving) {
     // Acknowledged only once every live node has confirmed it: after that no new request may reach the instance.
     unconfirmed_calls_.push_back({key, version_, now});
   } else {
--- a/src/core/fleet/registration.cc
+++ b/src/core/fleet/registration.cc
@@ -80,9 +80,9 @@
   }
   template <typename Names>
   auto enum_value(const char* key, const Names& names) const {
-    const std::string word = text(key);
+    const std::string value_name = text(key);
     for (const auto& [name, value] : names) {
-      if (name == word) {
+      if (name == value_name) {
         return value;
       }
     }
@@ -116,7 +116,7 @@
 }
 
 /// Elements of `staged` are model names or objects with a `name`.
-void read_staged(const FieldReader& reader, wire::Instance& instance) {
+void read_staged_models(const FieldReader& reader, wire::Instance& instance) {
   if (reader.find("staged") == nullptr) {
     return;
   }
@@ -182,7 +182,7 @@
   if (reader.find("domain") != nullptr) {
     instance.domain = reader.text("domain");
   }
-  read_staged(reader, instance);
+  read_staged_models(reader, instance);
   read_models(reader, instance);
   read_membership(reader, instance);
   return instance;
--- a/src/core/fleet/registration_relay.cc
+++ b/src/core/fleet/registration_relay.cc
@@ -10,18 +10,18 @@
 }  // namespace
 
 void RegistrationRelay::record_heartbeat(TimePoint now, wire::Instance report) {
-  Report& known = reports_[report.id];
-  const auto& newest = known.report.instance;
-  const bool has_lower_call_number = report.call_number < newest.call_number;
-  const bool is_same_incarnation = report.born_ms != 0 && report.born_ms == newest.born_ms;
-  const bool both_lack_born_ms = report.born_ms == 0 && newest.born_ms == 0;
+  Report& stored_report = reports_[report.id];
+  const auto& stored_instance = stored_report.report.instance;
+  const bool has_lower_call_number = report.call_number < stored_instance.call_number;
+  const bool is_same_incarnation = report.born_ms != 0 && report.born_ms == stored_instance.born_ms;
+  const bool both_lack_born_ms = report.born_ms == 0 && stored_instance.born_ms == 0;
   if (has_lower_call_number && (is_same_incarnation || (both_lack_born_ms && unsent_ids_.contains(report.id)))) {
     return;  // A reordered older report. Reports of different incarnations are ordered by the leader.
   }
   unsent_ids_.insert(report.id);
-  known.report.instance = std::move(report);
-  known.report.known_term = last_receiver_.second;
-  known.received_at = now;
+  stored_report.report.instance = std::move(report);
+  stored_report.report.known_term = last_receiver_.second;
+  stored_report.received_at = now;
 }
 
 void RegistrationRelay::remove(const std::string& instance_id) {
--- a/src/core/fleet/state_history.cc
+++ b/src/core/fleet/state_history.cc
@@ -18,8 +18,8 @@
 const std::string& key_of(const std::string& name) { return name; }
 
 /// A key in a form that can be stored for comparisons without copying strings.
-std::string_view view_of(const std::string& key) { return key; }
-int64_t view_of(int64_t key) { return key; }
+std::string_view comparable_key(const std::string& key) { return key; }
+int64_t comparable_key(int64_t key) { return key; }
 
 using fleet::says_the_same;
 
@@ -30,36 +30,36 @@
 /// Records the rows of `version` and tombstones for missing ones. Returns true if any row was added, changed or
 /// removed.
 template <typename Row, typename Key, typename Versioned>
-bool record_rows(int64_t version, const std::vector<Row>& rows, std::map<Key, Versioned>& known,
+bool record_rows(int64_t version, const std::vector<Row>& rows, std::map<Key, Versioned>& recorded_rows,
                  std::map<Key, int64_t>& removed) {
   bool changed = false;
-  std::set<decltype(view_of(std::declval<const Key&>()))> present;
+  std::set<decltype(comparable_key(std::declval<const Key&>()))> present_keys;
   for (const auto& row : rows) {
-    present.insert(view_of(key_of(row)));
-    const auto found = known.find(key_of(row));
-    if (found != known.end() && says_the_same(found->second.row, row)) {
+    present_keys.insert(comparable_key(key_of(row)));
+    const auto found = recorded_rows.find(key_of(row));
+    if (found != recorded_rows.end() && says_the_same(found->second.row, row)) {
       continue;
     }
     removed.erase(key_of(row));
-    known[key_of(row)] = {row, version};
+    recorded_rows[key_of(row)] = {row, version};
     changed = true;
   }
-  for (auto item = known.begin(); item != known.end();) {
-    if (present.contains(view_of(item->first))) {
+  for (auto item = recorded_rows.begin(); item != recorded_rows.end();) {
+    if (present_keys.contains(comparable_key(item->first))) {
       ++item;
       continue;
     }
     removed[item->first] = version;
-    item = known.erase(item);
+    item = recorded_rows.erase(item);
     changed = true;
   }
   return changed;
 }
 
 template <typename Row, typename Key, typename Versioned>
-std::vector<Row> rows_changed_since(int64_t version, const std::map<Key, Versioned>& known) {
+std::vector<Row> rows_changed_since(int64_t version, const std::map<Key, Versioned>& recorded_rows) {
   std::vector<Row> result;
-  for (const auto& [key, versioned] : known) {
+  for (const auto& [key, versioned] : recorded_rows) {
     if (versioned.changed_at > version) {
       result.push_back(versioned.row);
     }
--- a/src/core/fleet/subscriber_table.cc
+++ b/src/core/fleet/subscriber_table.cc
@@ -94,16 +94,16 @@
 void SubscriberTable::add_state(TimePoint now, const std::string& node, wire::FleetUpdate& update) {
   Subscriber& subscriber = subscribers_[node];
   const bool is_resend = is_resend_due(now, subscriber.state_sent_at);
-  const int64_t held = version_held(subscriber);
-  const bool is_behind = subscriber.held_state_version.first <= term_ && held < history_.last_changed_version();
+  const int64_t held_version = version_held(subscriber);
+  const bool is_behind = subscriber.held_state_version.first <= term_ && held_version < history_.last_changed_version();
   if (!is_behind || (!is_resend && subscriber.sent_state_version >= history_.last_changed_version())) {
     return;
   }
   // Messages arrive in order, so a delta may build on what was just sent. If that was not confirmed in time it may be
   // lost, and the delta must start from the confirmed version.
-  const int64_t base = is_resend ? held : std::max(held, subscriber.sent_state_version);
-  if (base > 0) {
-    update.__set_state_change(history_.changes_since(base));
+  const int64_t base_version = is_resend ? held_version : std::max(held_version, subscriber.sent_state_version);
+  if (base_version > 0) {
+    update.__set_state_change(history_.changes_since(base_version));
   } else {
     update.__set_state(history_.full_state());
   }
--- a/tests/unit/distribution_test.cc
+++ b/tests/unit/distribution_test.cc
@@ -227,8 +227,8 @@
 
 TEST(ControlPeers, PrefersReplicasOfOwnZoneAndSpreadsNodesOverThem) {
   std::map<std::string, int> nodes_by_replica;
-  for (int number = 0; number < 60; ++number) {
-    ControlPeers peers("10.1.0." + std::to_string(number) + ":1", "b");
+  for (int index = 0; index < 60; ++index) {
+    ControlPeers peers("10.1.0." + std::to_string(index) + ":1", "b");
     for (const auto* zone : {"a", "b", "b2", "c"}) {
       wire::ControlPeer peer;
       peer.address = std::string(zone) + ":1";
@@ -260,10 +260,10 @@
 
 TEST(RegistrationRelay, DropsReorderedOlderReport) {
   RegistrationRelay relay(seconds(3));
-  auto newer = instance("i1");
-  newer.call_number = 9;
-  newer.zone = "new";
-  relay.record_heartbeat(kStart, newer);
+  auto newer_report = instance("i1");
+  newer_report.call_number = 9;
+  newer_report.zone = "new";
+  relay.record_heartbeat(kStart, newer_report);
   relay.record_heartbeat(kStart, instance("i1"));
   EXPECT_EQ(relay.next_batch(kStart, "l1", 1)->reports.front().instance.zone, "new");
 }
--- a/tests/unit/fleet_subscription_test.cc
+++ b/tests/unit/fleet_subscription_test.cc
@@ -27,10 +27,11 @@
 
 /// Whom a replica asks in its first `questions` when each peer but those in `silent` says at once that it does not
 /// lead.
-std::set<std::string> contacted_peers(int known, int heartbeats, const std::set<std::string>& silent = {}) {
+std::set<std::string> contacted_peers(int replica_count, int heartbeats,
+                                      const std::set<std::string>& silent_peers = {}) {
   std::vector<std::string> peers;
-  for (int number = 1; number <= known; ++number) {
-    peers.push_back("10.0.0." + std::to_string(number) + ":7000");
+  for (int index = 1; index <= replica_count; ++index) {
+    peers.push_back("10.0.0." + std::to_string(index) + ":7000");
   }
   FleetSubscription subscription({}, control_identity(peers.front()), peers);
   std::set<std::string> contacted;
@@ -40,7 +41,7 @@
     if (const auto heartbeat = subscription.tick(now, {})) {
       --heartbeats;
       contacted.insert(heartbeat->to_node);
-      if (!silent.contains(heartbeat->to_node)) {
+      if (!silent_peers.contains(heartbeat->to_node)) {
         subscription.receive(now + milliseconds(1), not_leader_from(heartbeat->to_node));
       }
     }
@@ -49,17 +50,18 @@
 }
 
 TEST(FleetSubscription, ContactsEveryKnownReplicaForAnyReplicaCount) {
-  for (int known = 1; known <= 9; ++known) {
-    EXPECT_EQ(contacted_peers(known, known).size(), static_cast<size_t>(known)) << known << " replicas known";
+  for (int replica_count = 1; replica_count <= 9; ++replica_count) {
+    EXPECT_EQ(contacted_peers(replica_count, replica_count).size(), static_cast<size_t>(replica_count))
+        << replica_count << " replicas known";
   }
 }
 
 TEST(FleetSubscription, ContactsEveryKnownReplicaWhenOneDoesNotAnswer) {
-  for (int known = 2; known <= 9; ++known) {
-    for (int first_silent = 1; first_silent <= known; ++first_silent) {
-      const std::set<std::string> silent = {"10.0.0." + std::to_string(first_silent) + ":7000"};
-      EXPECT_EQ(contacted_peers(known, known, silent).size(), static_cast<size_t>(known))
-          << known << " replicas known, number " << first_silent << " silent";
+  for (int replica_count = 2; replica_count <= 9; ++replica_count) {
+    for (int silent_index = 1; silent_index <= replica_count; ++silent_index) {
+      const std::set<std::string> silent_peers = {"10.0.0." + std::to_string(silent_index) + ":7000"};
+      EXPECT_EQ(contacted_peers(replica_count, replica_count, silent_peers).size(), static_cast<size_t>(replica_count))
+          << replica_count << " replicas known, number " << silent_index << " silent";
     }
   }
 }
@@ -82,21 +84,21 @@
                                              "10.0.0.5:7000"};
   FleetSubscription entry({}, entry_identity("10.0.1.1:7000"), replicas);
   TimePoint now{seconds(100)};
-  std::string preferred;
+  std::string preferred_replica;
   TimePoint leader_lost_at = TimePoint::max();
   TimePoint first_other_contact = TimePoint::max();
-  // The preferred replica loses its leader at `cut` and goes on answering; four others have one.
+  // The preferred replica loses its leader at `leader_lost_at` but keeps answering; the four others have a leader.
   for (const TimePoint end = now + seconds(8); now < end; now += kTick) {
     const auto heartbeat = entry.tick(now, {});
     if (!heartbeat) {
       continue;
     }
-    if (preferred.empty()) {
-      preferred = heartbeat->to_node;
+    if (preferred_replica.empty()) {
+      preferred_replica = heartbeat->to_node;
       leader_lost_at = now + seconds(3);
     }
-    const bool is_leaderless = heartbeat->to_node == preferred && now >= leader_lost_at;
-    if (now > leader_lost_at && heartbeat->to_node != preferred) {
+    const bool is_leaderless = heartbeat->to_node == preferred_replica && now >= leader_lost_at;
+    if (now > leader_lost_at && heartbeat->to_node != preferred_replica) {
       first_other_contact = std::min(first_other_contact, now);
     }
     wire::Envelope answer;
@@ -112,8 +114,8 @@
 // When the next replicas have no leader either, an entry must not wait a full heartbeat interval for each of them.
 TEST(FleetSubscription, EntryContactsAllReplicasQuicklyAfterLeavingOne) {
   std::vector<std::string> replicas;
-  for (int number = 1; number <= 5; ++number) {
-    replicas.push_back("10.0.0." + std::to_string(number) + ":7000");
+  for (int index = 1; index <= 5; ++index) {
+    replicas.push_back("10.0.0." + std::to_string(index) + ":7000");
   }
   FleetSubscription entry({}, entry_identity("10.0.1.1:7000"), replicas);
   const TimePoint start{seconds(100)};
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -27,10 +27,10 @@
 
 TEST(InstanceDirectory, StateNeverRegressesAndLateReportsAreIgnored) {
   InstanceDirectory directory{seconds(3)};
-  auto leaving = instance("i1", "a:1", 5);
-  leaving.state = wire::InstanceState::DRAINING;
+  auto draining_instance = instance("i1", "a:1", 5);
+  draining_instance.state = wire::InstanceState::DRAINING;
   EXPECT_TRUE(directory.heard(kStart, instance("i1", "a:1", 4)));
-  EXPECT_TRUE(directory.heard(kStart, leaving));
+  EXPECT_TRUE(directory.heard(kStart, draining_instance));
   EXPECT_FALSE(directory.heard(kStart, instance("i1", "a:1", 3))) << "a late report";
   EXPECT_FALSE(directory.heard(kStart, instance("i1", "a:1", 6))) << "a draining instance cannot become ready again";
   EXPECT_EQ(directory.find("i1")->state, wire::InstanceState::DRAINING);
@@ -95,8 +95,8 @@
 
 TEST(InstanceDirectory, SimultaneousSilenceOfMostInstancesIsIgnored) {
   InstanceDirectory directory{seconds(3)};
-  for (int number = 0; number < 4; ++number) {
-    directory.heard(kStart, instance("i" + std::to_string(number), "a:" + std::to_string(number)));
+  for (int index = 0; index < 4; ++index) {
+    directory.heard(kStart, instance("i" + std::to_string(index), "a:" + std::to_string(index)));
   }
   const TimePoint later = kStart + seconds(4);
   EXPECT_FALSE(directory.tick(later)) << "all four are silent at once";
@@ -110,8 +110,8 @@
 
 TEST(InstanceDirectory, OwnPauseDoesNotCountAsInstanceSilence) {
   InstanceDirectory directory{seconds(3)};
-  for (int number = 0; number < 4; ++number) {
-    directory.heard(kStart, instance("i" + std::to_string(number), "a:" + std::to_string(number)));
+  for (int index = 0; index < 4; ++index) {
+    directory.heard(kStart, instance("i" + std::to_string(index), "a:" + std::to_string(index)));
   }
   const TimePoint resumed_at = kStart + seconds(11);
   directory.heard(resumed_at, instance("i0", "a:0", 2));  // Received before the pause was detected.
@@ -133,8 +133,8 @@
 /// The invalid field; empty if the report is valid.
 std::string error_field(const std::string& body) {
   const auto parsed = parse_registration("i1", body);
-  const auto* fault = std::get_if<MalformedReport>(&parsed);
-  return fault == nullptr ? "" : fault->field;
+  const auto* error = std::get_if<MalformedReport>(&parsed);
+  return error == nullptr ? "" : error->field;
 }
 
 std::string replace_first(const std::string& text, const std::string& old_text, const std::string& new_text = "") {
@@ -194,7 +194,7 @@
   return identity;
 }
 
-wire::Envelope update(int64_t sequence, int64_t document_version, bool with_document) {
+wire::Envelope fleet_update(int64_t sequence, int64_t document_version, bool with_document) {
   wire::Envelope envelope;
   envelope.from_node = "10.0.0.1:1";
   envelope.__isset.fleet_update = true;
@@ -210,58 +210,58 @@
   FleetOptions options;
   options.document_lease = seconds(4);
   FleetSubscription subscription(options, entry_identity(), {"10.0.0.1:1"});
-  const auto asked = subscription.tick(kStart, {});
-  ASSERT_TRUE(asked);
+  const auto sent_heartbeat = subscription.tick(kStart, {});
+  ASSERT_TRUE(sent_heartbeat);
   EXPECT_FALSE(subscription.has_lease(kStart));
   // The answer took three seconds, so one second of the lease is left.
-  subscription.receive(kStart + seconds(3), update(asked->fleet_heartbeat.sequence, 5, true));
+  subscription.receive(kStart + seconds(3), fleet_update(sent_heartbeat->fleet_heartbeat.sequence, 5, true));
   EXPECT_TRUE(subscription.has_lease(kStart + milliseconds(3999)));
   EXPECT_FALSE(subscription.has_lease(kStart + seconds(4)));
 }
 
 TEST(FleetSubscription, HasNoLeaseWhenNewerDocumentIsMissing) {
   FleetSubscription subscription(FleetOptions(), entry_identity(), {"10.0.0.1:1"});
-  const auto asked = subscription.tick(kStart, {});
-  subscription.receive(kStart, update(asked->fleet_heartbeat.sequence, 5, false));
+  const auto sent_heartbeat = subscription.tick(kStart, {});
+  subscription.receive(kStart, fleet_update(sent_heartbeat->fleet_heartbeat.sequence, 5, false));
   EXPECT_FALSE(subscription.has_lease(kStart));
 }
 
 TEST(FleetSubscription, IgnoresOlderDocumentsAndStates) {
   FleetSubscription subscription(FleetOptions(), entry_identity(), {"10.0.0.1:1"});
-  subscription.receive(kStart, update(0, 5, true));
-  EXPECT_FALSE(subscription.receive(kStart, update(0, 4, true)));
+  subscription.receive(kStart, fleet_update(0, 5, true));
+  EXPECT_FALSE(subscription.receive(kStart, fleet_update(0, 4, true)));
   EXPECT_EQ(subscription.document_version(), 5);
-  auto newer = update(0, 5, false);
+  auto newer_update = fleet_update(0, 5, false);
   wire::FleetState state;
   state.term = 3;
   state.version = 1;
-  newer.fleet_update.__set_state(state);
-  EXPECT_TRUE(subscription.receive(kStart, newer));
+  newer_update.fleet_update.__set_state(state);
+  EXPECT_TRUE(subscription.receive(kStart, newer_update));
   state.term = 2;
   state.version = 99;
-  newer.fleet_update.__set_state(state);
-  EXPECT_FALSE(subscription.receive(kStart, newer)) << "the state is of an older term";
+  newer_update.fleet_update.__set_state(state);
+  EXPECT_FALSE(subscription.receive(kStart, newer_update)) << "the state is of an older term";
 }
 
 TEST(FleetSubscription, ContactsOtherReplicasWhenNoneAnswers) {
   FleetSubscription subscription(FleetOptions(), entry_identity(), {"10.0.0.1:1", "10.0.0.2:1"});
-  std::set<std::string> asked;
+  std::set<std::string> contacted;
   for (TimePoint now = kStart; now < kStart + seconds(3); now += milliseconds(20)) {
     if (const auto heartbeat = subscription.tick(now, {})) {
-      asked.insert(heartbeat->to_node);
+      contacted.insert(heartbeat->to_node);
     }
   }
-  EXPECT_EQ(asked.size(), 2U);
+  EXPECT_EQ(contacted.size(), 2U);
 }
 
 std::set<std::string> contacted_nodes(FleetSubscription& subscription, TimePoint from, TimePoint to) {
-  std::set<std::string> asked;
+  std::set<std::string> contacted;
   for (TimePoint now = from; now < to; now += milliseconds(10)) {
     if (const auto heartbeat = subscription.tick(now, {})) {
-      asked.insert(heartbeat->to_node);
+      contacted.insert(heartbeat->to_node);
     }
   }
-  return asked;
+  return contacted;
 }
 
 FleetIdentity control_identity() {
@@ -275,7 +275,7 @@
   FleetSubscription subscription(FleetOptions(), control_identity(), {"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"});
   const TimePoint now = kStart + milliseconds(160);
   EXPECT_EQ(contacted_nodes(subscription, kStart, now).size(), 3U);
-  auto answer = update(0, 0, false);
+  auto answer = fleet_update(0, 0, false);
   answer.fleet_update.not_leader = true;
   answer.fleet_update.leader = "10.0.0.9:1";
   subscription.receive(now, answer);
@@ -291,7 +291,7 @@
 
 /// An answer of `publisher` to the heartbeat `sequence`, with the zones of two replicas.
 wire::Envelope publisher_answer(const std::string& publisher, int64_t sequence, int64_t confirmed_age_ms) {
-  auto envelope = update(sequence, 5, true);
+  auto envelope = fleet_update(sequence, 5, true);
   envelope.from_node = publisher;
   envelope.fleet_update.confirmed_age_ms = confirmed_age_ms;
   envelope.fleet_update.leader = "10.0.0.1:1";
@@ -309,32 +309,32 @@
   identity.zone = "b";
   FleetSubscription subscription(FleetOptions(), identity, {"10.0.0.1:1"});
   TimePoint now = kStart;
-  const auto exchange = [&](int64_t confirmed_age_ms_of_b) {
-    const auto asked = subscription.tick(now, {});
-    if (asked) {
-      const bool is_b = asked->to_node == "10.0.0.2:1";
-      subscription.receive(
-          now, publisher_answer(asked->to_node, asked->fleet_heartbeat.sequence, is_b ? confirmed_age_ms_of_b : 20));
+  const auto exchange_heartbeat = [&](int64_t confirmed_age_ms_of_b) {
+    const auto sent_heartbeat = subscription.tick(now, {});
+    if (sent_heartbeat) {
+      const bool is_b = sent_heartbeat->to_node == "10.0.0.2:1";
+      subscription.receive(now, publisher_answer(sent_heartbeat->to_node, sent_heartbeat->fleet_heartbeat.sequence,
+                                                 is_b ? confirmed_age_ms_of_b : 20));
     }
     now += milliseconds(250);
-    return asked ? asked->to_node : std::string();
+    return sent_heartbeat ? sent_heartbeat->to_node : std::string();
   };
-  EXPECT_EQ(exchange(20), "10.0.0.1:1") << "the only known replica";
-  std::set<std::string> asked;
+  EXPECT_EQ(exchange_heartbeat(20), "10.0.0.1:1") << "the only known replica";
+  std::set<std::string> contacted;
   for (int round = 0; round < 12; ++round) {
-    exchange(20);
+    exchange_heartbeat(20);
   }
   for (int round = 0; round < 8; ++round) {
-    asked.insert(exchange(20));
+    contacted.insert(exchange_heartbeat(20));
   }
-  EXPECT_EQ(asked, std::set<std::string>{"10.0.0.2:1"}) << "the replica of its own zone";
+  EXPECT_EQ(contacted, std::set<std::string>{"10.0.0.2:1"}) << "the replica of its own zone";
   EXPECT_EQ(subscription.leader(), "10.0.0.1:1");
   for (int round = 0; round < 12; ++round) {
-    exchange(5000);
+    exchange_heartbeat(5000);
   }
   int contacts_of_a = 0;
   for (int round = 0; round < 8; ++round) {
-    contacts_of_a += exchange(5000) == "10.0.0.1:1" ? 1 : 0;
+    contacts_of_a += exchange_heartbeat(5000) == "10.0.0.1:1" ? 1 : 0;
   }
   EXPECT_GE(contacts_of_a, 6) << "the replica of its zone is only retried occasionally";
   EXPECT_TRUE(subscription.has_lease(now));
@@ -344,12 +344,14 @@
   FleetOptions options;
   options.document_lease = seconds(4);
   FleetSubscription subscription(options, entry_identity(), {"10.0.0.1:1"});
-  const auto asked = subscription.tick(kStart, {});
-  subscription.receive(kStart + seconds(1), publisher_answer("10.0.0.1:1", asked->fleet_heartbeat.sequence, 1500));
+  const auto sent_heartbeat = subscription.tick(kStart, {});
+  subscription.receive(kStart + seconds(1),
+                       publisher_answer("10.0.0.1:1", sent_heartbeat->fleet_heartbeat.sequence, 1500));
   EXPECT_TRUE(subscription.has_lease(kStart + milliseconds(2499)));
   EXPECT_FALSE(subscription.has_lease(kStart + milliseconds(2500)));
-  const auto again = subscription.tick(kStart + seconds(2), {});
-  subscription.receive(kStart + seconds(2), publisher_answer("10.0.0.1:1", again->fleet_heartbeat.sequence, -1));
+  const auto second_heartbeat = subscription.tick(kStart + seconds(2), {});
+  subscription.receive(kStart + seconds(2),
+                       publisher_answer("10.0.0.1:1", second_heartbeat->fleet_heartbeat.sequence, -1));
   EXPECT_FALSE(subscription.has_lease(kStart + seconds(3)))
       << "a replica without a leader's confirmation extends no lease";
 }
@@ -357,10 +359,10 @@
 TEST(FleetSubscription, KeepsHighestServingNodeCountWithinRetryWindow) {
   FleetOptions options;
   FleetSubscription subscription(options, entry_identity(), {"10.0.0.1:1"});
-  auto many_nodes = update(0, 0, false);
+  auto many_nodes = fleet_update(0, 0, false);
   many_nodes.fleet_update.serving_nodes = 295;
   subscription.receive(kStart, many_nodes);
-  auto few_nodes = update(0, 0, false);
+  auto few_nodes = fleet_update(0, 0, false);
   few_nodes.fleet_update.serving_nodes = 3;
   subscription.receive(kStart + seconds(1), few_nodes);
   EXPECT_EQ(subscription.serving_nodes(), 295);
@@ -399,17 +401,17 @@
   return service;
 }
 
-wire::FleetState two_groups() {
+wire::FleetState state_with_two_groups() {
   wire::FleetState state;
-  for (int number = 0; number < 4; ++number) {
-    state.instances.push_back(instance("i" + std::to_string(number), "a:" + std::to_string(number)));
+  for (int index = 0; index < 4; ++index) {
+    state.instances.push_back(instance("i" + std::to_string(index), "a:" + std::to_string(index)));
   }
-  for (int number = 0; number < 2; ++number) {
+  for (int index = 0; index < 2; ++index) {
     wire::EngineGroup group;
-    group.name = "g" + std::to_string(number);
+    group.name = "g" + std::to_string(index);
     group.service_name = "s";
     group.model = "m";
-    group.members = {"i" + std::to_string(2 * number), "i" + std::to_string(2 * number + 1)};
+    group.members = {"i" + std::to_string(2 * index), "i" + std::to_string(2 * index + 1)};
     group.phase = wire::GroupPhase::OPEN;
     state.groups.push_back(group);
   }
@@ -418,7 +420,7 @@
 
 TEST(Dispatcher, SelectsHeadsOfOpenGroupsAndFailsWhenAllAreFull) {
   Dispatcher dispatcher(FleetOptions(), "z", 1);
-  dispatcher.update_state(two_groups());
+  dispatcher.update_state(state_with_two_groups());
   const Demand demand{"m", Duration::zero()};
   for (int count = 0; count < 18; ++count) {
     const auto choice = dispatcher.choose(kStart, engine_service(), demand, {});
@@ -432,9 +434,9 @@
 
 TEST(Dispatcher, LimitsSendsToItsShareOfFreeSlots) {
   Dispatcher dispatcher(FleetOptions(), "z", 1);
-  dispatcher.update_state(two_groups());
+  dispatcher.update_state(state_with_two_groups());
   dispatcher.set_serving_nodes(20);
-  const auto send_all = [&dispatcher](TimePoint now) {
+  const auto send_until_refused = [&dispatcher](TimePoint now) {
     int sent = 0;
     for (auto choice = dispatcher.choose(now, engine_service(), {"m", {}}, {}); choice.target;
          choice = dispatcher.choose(now, engine_service(), {"m", {}}, {})) {
@@ -444,19 +446,19 @@
     return sent;
   };
   // Two groups with nine free slots each, shared by twenty entries and overcommitted twofold: about one slot per group.
-  const int at_first = send_all(kStart);
-  EXPECT_LE(at_first, 2);
-  EXPECT_EQ(send_all(kStart + milliseconds(50)), 0);
+  const int first_sent = send_until_refused(kStart);
+  EXPECT_LE(first_sent, 2);
+  EXPECT_EQ(send_until_refused(kStart + milliseconds(50)), 0);
   int later = 0;
   for (int round = 1; round <= 10; ++round) {
-    later += send_all(kStart + milliseconds(100) * round);
+    later += send_until_refused(kStart + milliseconds(100) * round);
   }
   EXPECT_GT(later, 4) << "the share is drawn again each interval";
 }
 
 TEST(Dispatcher, CountsInFlightRequestsOfOtherEntries) {
   Dispatcher dispatcher(FleetOptions(), "z", 1);
-  dispatcher.update_state(two_groups());
+  dispatcher.update_state(state_with_two_groups());
   wire::GroupLoad load;
   load.group = "g0";
   load.in_flight = 9;
@@ -473,7 +475,7 @@
 // sends nothing to the group never observes its progress.
 TEST(Dispatcher, DiscardsOutdatedLoadsOfOtherEntries) {
   Dispatcher dispatcher(FleetOptions(), "z", 1);
-  dispatcher.update_state(two_groups());
+  dispatcher.update_state(state_with_two_groups());
   wire::GroupLoad load;
   load.group = "g0";
   load.in_flight = 9;
@@ -482,40 +484,41 @@
   dispatcher.update_loads(kStart, {load});
   const TimePoint later = kStart + seconds(10);
   EXPECT_TRUE(dispatcher.doubtful_groups(later, "s", "m").empty());
-  std::set<std::string> chosen;
+  std::set<std::string> chosen_groups;
   for (int round = 0; round < 50; ++round) {
     const TimePoint now = later + round * milliseconds(200);
     if (const auto choice = dispatcher.choose(now, engine_service(), {"m", {}}, {}); choice.target) {
-      chosen.insert(choice.target->group);
+      chosen_groups.insert(choice.target->group);
     }
   }
-  EXPECT_TRUE(chosen.contains("g0"));
+  EXPECT_TRUE(chosen_groups.contains("g0"));
 }
 
 TEST(Dispatcher, DetectsStalledGroups) {
   Dispatcher dispatcher(FleetOptions(), "z", 1);
-  dispatcher.update_state(two_groups());
-  const Target stuck{"g0", "s", "g0", "i0", "a:0"};
-  const Target busy{"g1", "s", "g1", "i2", "a:2"};
-  dispatcher.begin(kStart, stuck);
-  dispatcher.begin(kStart, busy);
-  dispatcher.note_progress(kStart + milliseconds(800), busy);
+  dispatcher.update_state(state_with_two_groups());
+  const Target stalled_target{"g0", "s", "g0", "i0", "a:0"};
+  const Target progressing_target{"g1", "s", "g1", "i2", "a:2"};
+  dispatcher.begin(kStart, stalled_target);
+  dispatcher.begin(kStart, progressing_target);
+  dispatcher.note_progress(kStart + milliseconds(800), progressing_target);
   const auto stalled = dispatcher.stalled_groups(kStart + seconds(1), milliseconds(800), milliseconds(100));
   ASSERT_EQ(stalled.size(), 1U);
   EXPECT_EQ(stalled.front().group, "g0");
   for (int count = 0; count < 5; ++count) {
-    dispatcher.begin(kStart, stuck);
+    dispatcher.begin(kStart, stalled_target);
   }
   EXPECT_TRUE(dispatcher.stalled_groups(kStart + seconds(1), milliseconds(800), milliseconds(100)).empty())
       << "reading many prompts delays the first events";
   dispatcher.avoid(kStart + seconds(1), "g0");
   EXPECT_EQ(dispatcher.failures(kStart + seconds(1)).size(), 1U);
-  EXPECT_FALSE(dispatcher.note_failure(kStart + seconds(1), busy)) << "it made progress for another request";
+  EXPECT_FALSE(dispatcher.note_failure(kStart + seconds(1), progressing_target))
+      << "it made progress for another request";
 }
 
 TEST(Dispatcher, ReportsGroupQuietWhenStreamGapExceedsObjective) {
   Dispatcher dispatcher(FleetOptions(), "z", 1);
-  dispatcher.update_state(two_groups());
+  dispatcher.update_state(state_with_two_groups());
   dispatcher.note_gap("s", "m", milliseconds(250));
   const Target target{"g0", "s", "g0", "i0", "a:0"};
   SendingMark mark;
@@ -564,9 +567,9 @@
   EXPECT_NEAR(engine::forecast(engine, model, sizes, 26).reading_load, 0.24, 0.01);
   EXPECT_EQ(engine::most_running(engine, model, sizes, milliseconds(500)), 26);
   engine.chunk_tokens = 2048 / 5;
-  const int most = engine::most_running(engine, model, sizes, milliseconds(500));
-  EXPECT_GT(most, 8);
-  EXPECT_LT(most, 20) << "reading prompts would not keep up";
+  const int max_running = engine::most_running(engine, model, sizes, milliseconds(500));
+  EXPECT_GT(max_running, 8);
+  EXPECT_LT(max_running, 20) << "reading prompts would not keep up";
   EXPECT_EQ(engine::most_running(engine, model, sizes, milliseconds(1)), 1);
 }
 
--- a/tests/unit/registration_age_test.cc
+++ b/tests/unit/registration_age_test.cc
@@ -30,17 +30,17 @@
   FleetLeader leader({}, {});
   const TimePoint leadership_start = reported_at + seconds(1);
   leader.start(leadership_start, 3, {});
-  const auto batch = relay.next_batch(leadership_start + milliseconds(50), "10.0.0.1:7000", 3);
-  ASSERT_TRUE(batch);
-  leader.handle_registrations(leadership_start + milliseconds(51), *batch);
+  const auto first_batch = relay.next_batch(leadership_start + milliseconds(50), "10.0.0.1:7000", 3);
+  ASSERT_TRUE(first_batch);
+  leader.handle_registrations(leadership_start + milliseconds(51), *first_batch);
   ASSERT_TRUE(leader.instances().rows().contains("i0"));
   EXPECT_FALSE(leader.instances().rows().at("i0").is_settled());
 
   report.call_number = 8;
   relay.record_heartbeat(leadership_start + milliseconds(200), report);
-  const auto next = relay.next_batch(leadership_start + milliseconds(250), "10.0.0.1:7000", 3);
-  ASSERT_TRUE(next);
-  leader.handle_registrations(leadership_start + milliseconds(251), *next);
+  const auto second_batch = relay.next_batch(leadership_start + milliseconds(250), "10.0.0.1:7000", 3);
+  ASSERT_TRUE(second_batch);
+  leader.handle_registrations(leadership_start + milliseconds(251), *second_batch);
   EXPECT_TRUE(leader.instances().rows().at("i0").is_settled());
 }
 
--- a/tests/unit/state_history_test.cc
+++ b/tests/unit/state_history_test.cc
@@ -21,8 +21,8 @@
   return result;
 }
 
-wire::FleetState state_of(int64_t version, std::vector<wire::Instance> instances,
-                          std::vector<wire::EngineGroup> groups) {
+wire::FleetState fleet_state(int64_t version, std::vector<wire::Instance> instances,
+                             std::vector<wire::EngineGroup> groups) {
   wire::FleetState state;
   state.version = version;
   state.instances = std::move(instances);
@@ -33,8 +33,8 @@
 TEST(StateHistory, ReturnsOnlyRowsChangedSinceVersion) {
   StateHistory history;
   history.start_term(7);
-  history.record(state_of(1, {instance("i1"), instance("i2")}, {group("g1", wire::GroupPhase::JOINING)}));
-  history.record(state_of(2, {instance("i1", 9), instance("i3")}, {group("g1", wire::GroupPhase::OPEN)}));
+  history.record(fleet_state(1, {instance("i1"), instance("i2")}, {group("g1", wire::GroupPhase::JOINING)}));
+  history.record(fleet_state(2, {instance("i1", 9), instance("i3")}, {group("g1", wire::GroupPhase::OPEN)}));
   const auto change = history.changes_since(1);
   ASSERT_EQ(change.instances.size(), 1U) << "a new call number alone is not a change";
   EXPECT_EQ(change.instances.front().id, "i3");
@@ -48,14 +48,14 @@
 TEST(StateHistory, AppliesOnlyDeltasThatFollowHeldVersion) {
   StateHistory history;
   history.start_term(7);
-  history.record(state_of(1, {instance("i1")}, {}));
+  history.record(fleet_state(1, {instance("i1")}, {}));
   wire::FleetState copy = history.full_state();
-  history.record(state_of(2, {instance("i1"), instance("i2")}, {}));
-  history.record(state_of(3, {instance("i1"), instance("i2"), instance("i3")}, {}));
+  history.record(fleet_state(2, {instance("i1"), instance("i2")}, {}));
+  history.record(fleet_state(3, {instance("i1"), instance("i2"), instance("i3")}, {}));
   EXPECT_FALSE(apply_change(copy, history.changes_since(2))) << "the preceding delta is missing";
-  auto of_other_term = history.changes_since(1);
-  of_other_term.term = 8;
-  EXPECT_FALSE(apply_change(copy, of_other_term));
+  auto other_term_change = history.changes_since(1);
+  other_term_change.term = 8;
+  EXPECT_FALSE(apply_change(copy, other_term_change));
   EXPECT_TRUE(apply_change(copy, history.changes_since(1)));
   EXPECT_EQ(copy.version, 3);
   EXPECT_EQ(copy.instances.size(), 3U);
@@ -65,7 +65,7 @@
 TEST(StateHistory, TracksAddedChangedAndRemovedBlockedRequests) {
   StateHistory history;
   history.start_term(7);
-  auto state = state_of(1, {}, {});
+  auto state = fleet_state(1, {}, {});
   state.blocked_requests.resize(2);
   state.blocked_requests[0].fingerprint = 5;
   state.blocked_requests[1].fingerprint = -6;
@@ -83,25 +83,25 @@
 
 TEST(StateHistory, CopyCatchesUpAfterMissedDeltas) {
   std::mt19937 random(20261202);
-  const auto draw = [&random](int most) { return std::uniform_int_distribution<int>(0, most)(random); };
+  const auto draw = [&random](int maximum) { return std::uniform_int_distribution<int>(0, maximum)(random); };
   StateHistory history;
   history.start_term(1);
   wire::FleetState copy;
   copy.term = 1;
-  std::map<std::string, wire::Instance> present;
+  std::map<std::string, wire::Instance> expected_instances;
   for (int64_t version = 1; version <= 300; ++version) {
     const std::string id = "i" + std::to_string(draw(12));
     if (draw(3) == 0) {
-      present.erase(id);
+      expected_instances.erase(id);
     } else {
-      present[id] = instance(id);
-      present[id].silent = draw(1) == 1;
+      expected_instances[id] = instance(id);
+      expected_instances[id].silent = draw(1) == 1;
     }
     std::vector<wire::Instance> rows;
-    for (const auto& [key, row] : present) {
+    for (const auto& [key, row] : expected_instances) {
       rows.push_back(row);
     }
-    history.record(state_of(version, rows, {}));
+    history.record(fleet_state(version, rows, {}));
     if (draw(2) > 0) {
       continue;  // This delta is lost.
     }
@@ -109,7 +109,7 @@
     ASSERT_EQ(copy.version, version);
     ASSERT_EQ(copy.instances.size(), rows.size());
     for (const auto& row : copy.instances) {
-      ASSERT_EQ(row, present.at(row.id));
+      ASSERT_EQ(row, expected_instances.at(row.id));
     }
   }
 }
--- a/tests/unit/zone_evacuations_test.cc
+++ b/tests/unit/zone_evacuations_test.cc
@@ -146,15 +146,15 @@
   heartbeat.fleet_heartbeat.serves_requests = true;
   heartbeat.fleet_heartbeat.document_version = 5;
   distributor.handle_heartbeat(kStart, heartbeat, {subscription_, "10.0.0.2:1", {}});
-  const auto first = distributor.take_envelopes();
-  ASSERT_EQ(first.size(), 1U);
-  EXPECT_EQ(first.front().fleet_update.evacuations, evacuations_of("a", 3));
+  const auto first_answers = distributor.take_envelopes();
+  ASSERT_EQ(first_answers.size(), 1U);
+  EXPECT_EQ(first_answers.front().fleet_update.evacuations, evacuations_of("a", 3));
   heartbeat.fleet_heartbeat.evacuation_revision = 3;
   distributor.handle_heartbeat(kStart, heartbeat, {subscription_, "10.0.0.2:1", {}});
-  const auto second = distributor.take_envelopes();
-  ASSERT_EQ(second.size(), 1U);
-  EXPECT_FALSE(second.front().fleet_update.__isset.evacuations);
-  EXPECT_EQ(second.front().fleet_update.evacuation_revision, 3);
+  const auto second_answers = distributor.take_envelopes();
+  ASSERT_EQ(second_answers.size(), 1U);
+  EXPECT_FALSE(second_answers.front().fleet_update.__isset.evacuations);
+  EXPECT_EQ(second_answers.front().fleet_update.evacuation_revision, 3);
 }
 
 TEST(Dispatcher, ExcludesGroupsInEvacuatedZone) {
@@ -171,8 +171,8 @@
   EXPECT_FALSE(dispatcher.may_send(kStart, *target)) << "the zone was evacuated while the connection was established";
   EXPECT_FALSE(dispatcher.target_of_group(kStart, "g1"));
   EXPECT_FALSE(dispatcher.target_of_group(kStart, "g3")) << "one member is in the zone";
-  for (int number = 0; number < 20; ++number) {
-    const auto choice = dispatcher.choose(kStart + milliseconds(200 * number), service, {"m", {}, 10}, {});
+  for (int index = 0; index < 20; ++index) {
+    const auto choice = dispatcher.choose(kStart + milliseconds(200 * index), service, {"m", {}, 10}, {});
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->group, "g2");
   }
@@ -192,7 +192,7 @@
   dispatcher.update_evacuations(evacuations_of("a"));
   document::ServiceSpec service;
   service.name = "s";
-  for (int number = 0; number < 20; ++number) {
+  for (int index = 0; index < 20; ++index) {
     const auto choice = dispatcher.choose(kStart, service, {}, {});
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->instance_id, "i2");
@@ -206,15 +206,15 @@
     document_.services["s"] = engine_service(2);
     document_.services["s"].engine->loads_at_once = 100;
     document_.services["s"].engine->loads_per_second = 1000;
-    for (int number = 0; number < 8; ++number) {
-      const std::string id = "i" + std::to_string(number);
-      servers_[id] = server(id, number < 4 ? "a" : "b", number < 4 ? "d1" : "d2");
+    for (int index = 0; index < 8; ++index) {
+      const std::string id = "i" + std::to_string(index);
+      servers_[id] = server(id, index < 4 ? "a" : "b", index < 4 ? "d1" : "d2");
     }
     supervisor_.start(kStart, 3, {});
   }
 
-  void run_for(Duration time) {
-    const TimePoint end = now_ + time;
+  void run_for(Duration duration) {
+    const TimePoint end = now_ + duration;
     for (; now_ < end; now_ += milliseconds(40)) {
       for (auto& [id, instance] : servers_) {
         ++instance.call_number;
