--- a/src/core/fleet/subscriber_table.cc
+++ b/src/core/fleet/subscriber_table.cc
@@ -55,7 +55,7 @@
   return now - subscriber.last_heartbeat < node_timeout_;
 }
 
-int64_t SubscriberTable::version_held(const Subscriber& subscriber) const {
+int64_t SubscriberTable::newest_equal_version(const Subscriber& subscriber) const {
   const auto [term, version] = subscriber.held_state_version;
   if (term != term_) {
     return 0;
@@ -94,7 +94,7 @@
 void SubscriberTable::add_state(TimePoint now, const std::string& node, wire::FleetUpdate& update) {
   Subscriber& subscriber = subscribers_[node];
   const bool is_resend = is_resend_due(now, subscriber.state_sent_at);
-  const int64_t held_version = version_held(subscriber);
+  const int64_t held_version = newest_equal_version(subscriber);
   const bool is_behind = subscriber.held_state_version.first <= term_ && held_version < history_.last_changed_version();
   if (!is_behind || (!is_resend && subscriber.sent_state_version >= history_.last_changed_version())) {
     return;
@@ -119,7 +119,7 @@
     const bool lacks_evacuations =
         std::max(subscriber.held_revisions.evacuations, subscriber.sent_revisions.evacuations) < newest.evacuations;
     const bool lacks_state = subscriber.held_state_version.first <= term_ &&
-                             version_held(subscriber) < history_.last_changed_version() &&
+                             newest_equal_version(subscriber) < history_.last_changed_version() &&
                              subscriber.sent_state_version < history_.last_changed_version();
     if (is_live(now, subscriber) && (lacks_document || lacks_evacuations || lacks_state)) {
       result.push_back(node);
@@ -151,14 +151,15 @@
 
 bool SubscriberTable::is_held_by_all(TimePoint now, int64_t version) const {
   return std::all_of(subscribers_.begin(), subscribers_.end(), [&](const auto& item) {
-    return !is_live(now, item.second) || version_held(item.second) >= version;
+    return !is_live(now, item.second) || newest_equal_version(item.second) >= version;
   });
 }
 
 bool SubscriberTable::is_sent_to_all(TimePoint now, int64_t version) const {
   return std::all_of(subscribers_.begin(), subscribers_.end(), [&](const auto& item) {
     const Subscriber& subscriber = item.second;
-    return !is_live(now, subscriber) || std::max(version_held(subscriber), subscriber.sent_state_version) >= version;
+    return !is_live(now, subscriber) ||
+           std::max(newest_equal_version(subscriber), subscriber.sent_state_version) >= version;
   });
 }
 
@@ -166,7 +167,7 @@
   int64_t minimum = history_.version();
   for (const auto& [node, subscriber] : subscribers_) {
     if (is_live(now, subscriber)) {
-      minimum = std::min(minimum, version_held(subscriber));
+      minimum = std::min(minimum, newest_equal_version(subscriber));
     }
   }
   return minimum;
--- a/src/core/fleet/subscriber_table.h
+++ b/src/core/fleet/subscriber_table.h
@@ -85,7 +85,7 @@
 
   bool is_live(TimePoint now, const Subscriber& subscriber) const;
   /// The newest version of this term whose rows equal the node's copy; 0 if its copy is of another term.
-  int64_t version_held(const Subscriber& subscriber) const;
+  int64_t newest_equal_version(const Subscriber& subscriber) const;
 
   Duration node_timeout_;
   int64_t term_ = 0;
