--- a/src/core/fleet/fleet_leader.h
+++ b/src/core/fleet/fleet_leader.h
@@ -112,7 +112,7 @@
   void merge_state_copy(TimePoint now, const wire::FleetState& copy);
   /// Ends the recovery phase once every voter has reported and none holds a newer copy.
   void end_state_recovery_early(TimePoint now, const wire::ReplicaSet& replicas);
-  /// Marks groups as failed whose failure or stall entries report and other evidence confirms.
+  /// Marks groups as failed that an entry reports, if a second entry or a silent member confirms the failure.
   void handle_reported_failures(TimePoint now, const wire::SlotReport& report);
   void put_document(const std::string& key, const wire::ControlCall& call, const consensus::RaftNode& raft,
                     const FleetLog& log);
--- a/src/core/fleet/fleet_subscription.h
+++ b/src/core/fleet/fleet_subscription.h
@@ -97,7 +97,7 @@
   /// `leader_` comes from a hint and has not been sent a heartbeat yet.
   bool has_untried_hint_ = false;
   TimePoint last_answer_ = TimePoint::min();
-  /// The latest time at which a leader confirmed the state of a publisher that answered this node.
+  /// The latest time, according to answers of publishers, at which the leader confirmed a publisher's document.
   TimePoint last_leader_confirmation_ = TimePoint::min();
   TimePoint lease_start_ = TimePoint::min();
   bool attach_state_ = false;
--- a/src/core/fleet/subscriber_table.h
+++ b/src/core/fleet/subscriber_table.h
@@ -62,9 +62,9 @@
   /// Number of live nodes that serve callers' requests.
   int serving_count(TimePoint now) const;
 
-  /// Every live node holds `version` or a later one.
+  /// Every live node holds `version` or a later one; a copy whose rows equal `version` counts as holding it.
   bool is_held_by_all(TimePoint now, int64_t version) const;
-  /// `version` or a later one was sent to every live node.
+  /// Every live node holds `version` or a later one, or such a version was sent to it.
   bool is_sent_to_all(TimePoint now, int64_t version) const;
   /// The newest version of this term that every live node holds; the published version if there is no live node.
   int64_t newest_version_held_by_all(TimePoint now) const;
--- a/tests/unit/distribution_test.cc
+++ b/tests/unit/distribution_test.cc
@@ -289,8 +289,8 @@
   answer.from_node = "10.0.0.2:1";
   answer.__isset.fleet_update = true;
   controller.receive(kStart, answer);
-  EXPECT_EQ(status_of(kStart + milliseconds(900)), 200) << "an election may be under way";
-  EXPECT_EQ(status_of(kStart + milliseconds(1100)), 503) << "this replica is cut off";
+  EXPECT_EQ(status_of(kStart + milliseconds(900)), 200) << "an election may be in progress";
+  EXPECT_EQ(status_of(kStart + milliseconds(1100)), 503) << "this replica may be partitioned";
 }
 
 // ------------------------------------------------------------ entry reports
--- a/tests/unit/fleet_subscription_test.cc
+++ b/tests/unit/fleet_subscription_test.cc
@@ -25,8 +25,8 @@
   return envelope;
 }
 
-/// Whom a replica asks in its first `questions` when each peer but those in `silent` says at once that it does not
-/// lead.
+/// The peers that receive the first `heartbeats` heartbeats of a control replica that knows `replica_count` replicas.
+/// Each peer answers at once that it is not the leader, except those in `silent_peers`, which do not answer.
 std::set<std::string> contacted_peers(int replica_count, int heartbeats,
                                       const std::set<std::string>& silent_peers = {}) {
   std::vector<std::string> peers;
@@ -52,7 +52,7 @@
 TEST(FleetSubscription, ContactsEveryKnownReplicaForAnyReplicaCount) {
   for (int replica_count = 1; replica_count <= 9; ++replica_count) {
     EXPECT_EQ(contacted_peers(replica_count, replica_count).size(), static_cast<size_t>(replica_count))
-        << replica_count << " replicas known";
+        << replica_count << " known replicas";
   }
 }
 
@@ -61,7 +61,7 @@
     for (int silent_index = 1; silent_index <= replica_count; ++silent_index) {
       const std::set<std::string> silent_peers = {"10.0.0." + std::to_string(silent_index) + ":7000"};
       EXPECT_EQ(contacted_peers(replica_count, replica_count, silent_peers).size(), static_cast<size_t>(replica_count))
-          << replica_count << " replicas known, number " << silent_index << " silent";
+          << replica_count << " known replicas, no answer from number " << silent_index;
     }
   }
 }
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -445,7 +445,7 @@
     }
     return sent;
   };
-  // Two groups with nine free slots each, shared by twenty entries and overcommitted twofold: about one slot per group.
+  // Two groups with nine free slots each, shared by twenty entries and overbooked twofold: about one slot per group.
   const int first_sent = send_until_refused(kStart);
   EXPECT_LE(first_sent, 2);
   EXPECT_EQ(send_until_refused(kStart + milliseconds(50)), 0);
