--- a/src/core/fleet/cluster_formation.cc
+++ b/src/core/fleet/cluster_formation.cc
@@ -77,7 +77,7 @@
   return notices;
 }
 
-void ClusterFormation::receive(TimePoint now, const std::string& from, const wire::FormationNotice& notice) {
+void ClusterFormation::receive_notice(TimePoint now, const std::string& from, const wire::FormationNotice& notice) {
   if (notice.holds_log) {
     log_exists_ = true;
     return;
--- a/src/core/fleet/cluster_formation.h
+++ b/src/core/fleet/cluster_formation.h
@@ -35,7 +35,7 @@
 
   /// Returns the notices to the other seeds that are due now.
   std::vector<wire::Envelope> tick(TimePoint now);
-  void receive(TimePoint now, const std::string& from, const wire::FormationNotice& notice);
+  void receive_notice(TimePoint now, const std::string& from, const wire::FormationNotice& notice);
 
   /// A new choice that must be persisted before it is sent to other seeds; empty if there is none.
   std::optional<std::string> founder_choice_to_store() const;
--- a/src/core/fleet/entry_reports.cc
+++ b/src/core/fleet/entry_reports.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void EntryReports::start() {
+void EntryReports::clear() {
   entries_.clear();
   failure_reports_.clear();
   last_progress_.clear();
--- a/src/core/fleet/entry_reports.h
+++ b/src/core/fleet/entry_reports.h
@@ -14,7 +14,7 @@
 /// entry, and which groups the entries report as failed. Soft state of one leadership. Single-threaded, deterministic.
 class EntryReports {
  public:
-  void start();
+  void clear();
   /// Records a report. Returns true if it is the first one of the node's incarnation; loads of earlier incarnations are
   /// then discarded.
   bool record(TimePoint now, const wire::Envelope& envelope);
--- a/src/core/fleet/fleet_controller.cc
+++ b/src/core/fleet/fleet_controller.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-FleetController::FleetController(const FleetOptions& options, const FleetIdentity& identity,
+FleetController::FleetController(const FleetOptions& options, const PeerIdentity& identity,
                                  std::vector<std::string> seeds, uint64_t random_seed)
     : options_(options),
       identity_(identity),
@@ -79,7 +79,7 @@
 
 void FleetController::handle_formation_notice(TimePoint now, const wire::Envelope& envelope) {
   if (formation_) {
-    formation_->receive(now, envelope.from_node, envelope.formation);
+    formation_->receive_notice(now, envelope.from_node, envelope.formation);
   }
   if (holds_log() && !envelope.formation.holds_log) {
     wire::Envelope answer;
@@ -399,7 +399,7 @@
   if (raft_) {
     if (raft_->is_leader() && raft_->is_ready_leader(now) && leadership_term_ != raft_->term()) {
       leadership_term_ = raft_->term();
-      leader_.start(now, leadership_term_, subscription_.state());
+      leader_.begin_leadership(now, leadership_term_, subscription_.state());
     }
     apply_committed();
     forward_leader_outputs(now);
@@ -407,7 +407,7 @@
     auto output = raft_->take_output();
     send_raft(std::exchange(output.messages, {}));
     if (!output.empty()) {
-      outputs_.storage.push_back(std::move(output));
+      outputs_.storage_batches.push_back(std::move(output));
     }
   }
   const auto loopback_messages = std::exchange(loopback_messages_, {});
--- a/src/core/fleet/fleet_controller.h
+++ b/src/core/fleet/fleet_controller.h
@@ -22,7 +22,7 @@
 struct FleetControllerOutputs {
   std::vector<wire::Envelope> envelopes;
   /// Batches to persist in this order; each is then passed to `FleetController::handle_storage_synced`.
-  std::vector<consensus::RaftOutput> storage;
+  std::vector<consensus::RaftOutput> storage_batches;
   std::vector<InstanceOrder> orders;
   std::vector<GroupDecision> decisions;
   /// Replies to calls that were submitted with `FleetController::submit_call`.
@@ -44,7 +44,7 @@
 /// clock and does no file or network I/O. Single-threaded, deterministic.
 class FleetController {
  public:
-  FleetController(const FleetOptions& options, const FleetIdentity& identity, std::vector<std::string> seeds,
+  FleetController(const FleetOptions& options, const PeerIdentity& identity, std::vector<std::string> seeds,
                   uint64_t random_seed);
 
   /// Starts the Raft replica that the data folder identifies; `boot` rises with every call. May be called again after
@@ -128,7 +128,7 @@
   void process_replica_outputs(TimePoint now);
 
   FleetOptions options_;
-  FleetIdentity identity_;
+  PeerIdentity identity_;
   /// Peer addresses of the seeds from the settings.
   std::vector<std::string> seeds_;
   uint64_t random_seed_;
--- a/src/core/fleet/fleet_leader.cc
+++ b/src/core/fleet/fleet_leader.cc
@@ -32,7 +32,7 @@
   return result;
 }
 
-FleetLeader::FleetLeader(const FleetOptions& options, FleetIdentity identity)
+FleetLeader::FleetLeader(const FleetOptions& options, PeerIdentity identity)
     : options_(options),
       identity_(std::move(identity)),
       control_subscribers_(options.node_timeout),
@@ -40,7 +40,7 @@
       group_supervisor_(options),
       replica_supervisor_(options.control) {}
 
-void FleetLeader::start(TimePoint now, int64_t term, const wire::FleetState& copy) {
+void FleetLeader::begin_leadership(TimePoint now, int64_t term, const wire::FleetState& copy) {
   term_ = term;
   version_ = 1;
   control_subscribers_.clear();
@@ -58,7 +58,7 @@
   node_directory_.clear();
   incarnation_ranks_.clear();
   replica_supervisor_.start(now);
-  entry_reports_.start();
+  entry_reports_.clear();
   request_blocker_.start(now, copy.blocked_requests);
   group_loads_.clear();
   unconfirmed_calls_.clear();
--- a/src/core/fleet/fleet_leader.h
+++ b/src/core/fleet/fleet_leader.h
@@ -36,7 +36,7 @@
 /// deterministic.
 class FleetLeader {
  public:
-  FleetLeader(const FleetOptions& options, FleetIdentity identity);
+  FleetLeader(const FleetOptions& options, PeerIdentity identity);
 
   /// A command to append to the log, and the call that is answered once it is committed.
   struct Proposal {
@@ -55,7 +55,7 @@
   };
 
   /// Begins a leadership; `copy` is the fleet state that this node held as a subscriber.
-  void start(TimePoint now, int64_t term, const wire::FleetState& copy);
+  void begin_leadership(TimePoint now, int64_t term, const wire::FleetState& copy);
   void handle_heartbeat(TimePoint now, const wire::Envelope& envelope, const consensus::RaftNode& raft,
                         const FleetLog& log);
   /// Handles an entry's slot requests and the load that it reports.
@@ -156,7 +156,7 @@
   void update_loads(TimePoint now);
 
   FleetOptions options_;
-  FleetIdentity identity_;
+  PeerIdentity identity_;
   int64_t term_ = 0;
   int64_t version_ = 0;
   /// The control replicas, this one included.
--- a/src/core/fleet/fleet_subscription.cc
+++ b/src/core/fleet/fleet_subscription.cc
@@ -25,8 +25,7 @@
 
 }  // namespace
 
-FleetSubscription::FleetSubscription(const FleetOptions& options, FleetIdentity identity,
-                                     std::vector<std::string> seeds)
+FleetSubscription::FleetSubscription(const FleetOptions& options, PeerIdentity identity, std::vector<std::string> seeds)
     : options_(options), identity_(std::move(identity)), peers_(identity_.peer_address, identity_.zone) {
   add_peers(seeds);
 }
--- a/src/core/fleet/fleet_subscription.h
+++ b/src/core/fleet/fleet_subscription.h
@@ -15,7 +15,7 @@
 namespace larchlever::fleet {
 
 /// A node's identity among its peers. The peer address (IP:PORT) is also its name.
-struct FleetIdentity {
+struct PeerIdentity {
   std::string peer_address;
   std::string zone;
   /// Address of its control API; empty if it has none.
@@ -33,7 +33,7 @@
 /// evacuations are the newest committed ones. Single-threaded, deterministic.
 class FleetSubscription {
  public:
-  FleetSubscription(const FleetOptions& options, FleetIdentity identity, std::vector<std::string> seeds);
+  FleetSubscription(const FleetOptions& options, PeerIdentity identity, std::vector<std::string> seeds);
 
   /// Returns a heartbeat if one is due; `content` holds the fields that the caller reports.
   std::optional<wire::Envelope> tick(TimePoint now, const wire::FleetHeartbeat& content);
@@ -64,7 +64,7 @@
   /// Peer address of the last known leader. While a control replica searches for the leader, the replica it tries now.
   const std::string& leader() const { return leader_; }
   const std::vector<wire::ControlPeer>& peers() const { return peers_.all(); }
-  const FleetIdentity& identity() const { return identity_; }
+  const PeerIdentity& identity() const { return identity_; }
   /// No replica has answered within `FleetOptions::heartbeat_patience`.
   bool is_searching(TimePoint now) const;
   /// Number of heartbeats sent to each replica since the last answer.
@@ -84,7 +84,7 @@
   void update_serving_nodes(TimePoint now, int count);
 
   FleetOptions options_;
-  FleetIdentity identity_;
+  PeerIdentity identity_;
   ControlPeers peers_;
   std::string leader_;
   /// The replica to which an entry sends its heartbeats; a control replica sends them to `leader_`.
--- a/src/node/control_process.cc
+++ b/src/node/control_process.cc
@@ -143,7 +143,7 @@
   asio::any_io_executor executor_;
   settings::FleetSettings settings_;
   const Dialect& dialect_;
-  fleet::FleetIdentity identity_;
+  fleet::PeerIdentity identity_;
   fleet::FleetController controller_;
   net::PeerTransport transport_;
   ReplicaStorage storage_;
@@ -272,7 +272,7 @@
   for (const auto& envelope : outputs.envelopes) {
     transport_.send(envelope);
   }
-  for (auto& batch : outputs.storage) {
+  for (auto& batch : outputs.storage_batches) {
     storage_.submit(std::move(batch));
   }
   if (outputs.founder_choice) {
@@ -412,8 +412,8 @@
   return std::make_unique<ControlProcess>(std::move(executor), settings);
 }
 
-fleet::FleetIdentity make_fleet_identity(const settings::FleetSettings& settings) {
-  fleet::FleetIdentity identity;
+fleet::PeerIdentity make_fleet_identity(const settings::FleetSettings& settings) {
+  fleet::PeerIdentity identity;
   identity.peer_address = settings.peer_address;
   identity.zone = settings.zone;
   identity.control_address = settings.control_address;
--- a/src/node/entry_process.cc
+++ b/src/node/entry_process.cc
@@ -117,7 +117,7 @@
 
   asio::any_io_executor executor_;
   settings::FleetSettings settings_;
-  fleet::FleetIdentity identity_;
+  fleet::PeerIdentity identity_;
   EntryState state_;
   SearchReporter search_;
   net::PeerTransport transport_;
--- a/src/node/entry_state.h
+++ b/src/node/entry_state.h
@@ -28,7 +28,7 @@
 
 /// What an entry's parts share on its one thread.
 struct EntryState {
-  EntryState(const fleet::FleetOptions& options, const fleet::FleetIdentity& identity,
+  EntryState(const fleet::FleetOptions& options, const fleet::PeerIdentity& identity,
              const std::vector<std::string>& seeds, uint64_t random_seed)
       : subscription(options, identity, seeds), dispatcher(options, identity.zone, random_seed), zones(options.zones) {}
 
--- a/src/node/fleet_process.h
+++ b/src/node/fleet_process.h
@@ -30,6 +30,6 @@
                                                    const settings::FleetSettings& settings);
 
 /// Who this process is among its peers; the incarnation rises with every start.
-fleet::FleetIdentity make_fleet_identity(const settings::FleetSettings& settings);
+fleet::PeerIdentity make_fleet_identity(const settings::FleetSettings& settings);
 
 }  // namespace larchlever::node
--- a/src/simulation/registered_fleet.cc
+++ b/src/simulation/registered_fleet.cc
@@ -51,7 +51,7 @@
     controls_[number].name = "10.0.0." + std::to_string(number + 1) + ":7000";
   }
   for (int number = 0; number < kEntries; ++number) {
-    fleet::FleetIdentity identity;
+    fleet::PeerIdentity identity;
     identity.peer_address = "10.0.1." + std::to_string(number + 1) + ":7000";
     identity.serves_requests = true;
     identity.incarnation = Incarnation(1);
@@ -104,7 +104,7 @@
 // ---------------------------------------------------------------- processes
 
 void RegisteredFleet::start_control(ControlNode& node) {
-  fleet::FleetIdentity identity;
+  fleet::PeerIdentity identity;
   identity.peer_address = node.name;
   identity.control_address = node.name;
   identity.incarnation = Incarnation(draw(1, 1'000'000'000));  // Clocks may be set back: no order in it.
@@ -188,7 +188,7 @@
   for (const auto& envelope : outputs.envelopes) {
     send(envelope);
   }
-  for (const auto& batch : outputs.storage) {
+  for (const auto& batch : outputs.storage_batches) {
     sync_disk(node, batch);
   }
   for (const auto& order : outputs.orders) {
--- a/tests/node/slot_requester_test.cc
+++ b/tests/node/slot_requester_test.cc
@@ -12,8 +12,8 @@
 
 namespace asio = boost::asio;
 
-fleet::FleetIdentity identity() {
-  fleet::FleetIdentity result;
+fleet::PeerIdentity identity() {
+  fleet::PeerIdentity result;
   result.peer_address = "10.0.1.1:1";
   result.serves_requests = true;
   return result;
--- a/tests/unit/cluster_formation_test.cc
+++ b/tests/unit/cluster_formation_test.cc
@@ -36,11 +36,11 @@
   bool draw_event(double probability) { return std::bernoulli_distribution(probability)(random_); }
   size_t random_index() { return std::uniform_int_distribution<size_t>(0, nodes_.size() - 1)(random_); }
 
-  void run(Duration duration) {
+  void run_for(Duration duration) {
     for (const TimePoint end = now_ + duration; now_ < end; now_ += kStep) {
-      deliver();
+      deliver_due_messages();
       for (size_t index = 0; index < nodes_.size(); ++index) {
-        advance(index);
+        tick_seed(index);
       }
     }
   }
@@ -65,7 +65,7 @@
     }
   }
 
-  void deliver() {
+  void deliver_due_messages() {
     const auto first_not_due = std::stable_partition(messages_.begin(), messages_.end(),
                                                      [this](const auto& item) { return item.due <= now_; });
     const std::vector<Message> due(messages_.begin(), first_not_due);
@@ -81,11 +81,11 @@
         answer.holds_log = true;
         send(message.to, message.from, answer);
       }
-      node.formation->receive(now_, message.from, message.notice);
+      node.formation->receive_notice(now_, message.from, message.notice);
     }
   }
 
-  void advance(size_t index) {
+  void tick_seed(size_t index) {
     Node& node = nodes_[index];
     if (!node.formation || node.holds_log) {
       return;
@@ -119,7 +119,7 @@
   for (size_t index = 0; index < 3; ++index) {
     network.start_seed(index);
   }
-  network.run(milliseconds(600));
+  network.run_for(milliseconds(600));
   EXPECT_EQ(network.log_count(), 1);
   EXPECT_EQ(network.founder(), "10.0.0.1:7000");
 }
@@ -127,7 +127,7 @@
 TEST(ClusterFormation, SingleConfiguredSeedCreatesLog) {
   SeedNetwork network(1, 1);
   network.start_seed(0);
-  network.run(milliseconds(100));
+  network.run_for(milliseconds(100));
   EXPECT_EQ(network.log_count(), 1);
 }
 
@@ -139,10 +139,10 @@
         network.start_seed(index);
       }
     }
-    network.run(seconds(3));
+    network.run_for(seconds(3));
     EXPECT_EQ(network.log_count(), 1) << "seed " << absent_index << " absent";
     network.start_seed(absent_index);
-    network.run(seconds(5));
+    network.run_for(seconds(5));
     EXPECT_EQ(network.log_count(), 1) << "seed " << absent_index << " late";
   }
 }
@@ -150,7 +150,7 @@
 TEST(ClusterFormation, MinorityCreatesNoLog) {
   SeedNetwork network(1, 3);
   network.start_seed(0);
-  network.run(seconds(20));
+  network.run_for(seconds(20));
   EXPECT_EQ(network.log_count(), 0);
 }
 
@@ -159,14 +159,14 @@
   for (size_t index = 0; index < 3; ++index) {
     network.start_seed(index);
   }
-  network.run(seconds(1));
+  network.run_for(seconds(1));
   ASSERT_EQ(network.founder(), "10.0.0.1:7000");
   // The founder keeps its disk with the log; each other seed restarts with an empty disk and the initial settings.
   for (size_t index = 1; index < 3; ++index) {
     network.stop_seed(index);
     network.lose_disk(index);
     network.start_seed(index);
-    network.run(seconds(5));
+    network.run_for(seconds(5));
   }
   EXPECT_EQ(network.log_count(), 1);
 }
@@ -182,7 +182,7 @@
       } else if (!network.is_up(index)) {
         network.start_seed(index);
       }
-      network.run(milliseconds(100));
+      network.run_for(milliseconds(100));
     }
     for (size_t index = 0; index < 3; ++index) {
       if (!network.is_up(index)) {
@@ -190,7 +190,7 @@
       }
     }
     network.set_loss_probability(0);
-    network.run(seconds(5));
+    network.run_for(seconds(5));
     EXPECT_EQ(network.log_count(), 1) << "seed " << seed;
   }
 }
--- a/tests/unit/distribution_test.cc
+++ b/tests/unit/distribution_test.cc
@@ -159,8 +159,8 @@
 
 // ------------------------------------------------------------ distributor
 
-FleetIdentity control_identity() {
-  FleetIdentity identity;
+PeerIdentity control_identity() {
+  PeerIdentity identity;
   identity.peer_address = "10.0.0.1:1";
   identity.control_address = "10.0.0.1:2";
   return identity;
@@ -279,18 +279,18 @@
 
 TEST(FleetController, RejectsRegistrationsWithoutRecentLeaderContact) {
   FleetController controller(FleetOptions(), control_identity(), {"10.0.0.2:1"}, 1);
-  const auto status_of = [&controller](TimePoint now) {
+  const auto registration_status = [&controller](TimePoint now) {
     controller.submit_call(now, heartbeat_call("i1"));
     const auto replies = controller.take_outputs().replies;
     return replies.empty() ? 0 : replies.front().status;
   };
-  EXPECT_EQ(status_of(kStart), 503);
+  EXPECT_EQ(registration_status(kStart), 503);
   wire::Envelope answer;
   answer.from_node = "10.0.0.2:1";
   answer.__isset.fleet_update = true;
   controller.receive(kStart, answer);
-  EXPECT_EQ(status_of(kStart + milliseconds(900)), 200) << "an election may be in progress";
-  EXPECT_EQ(status_of(kStart + milliseconds(1100)), 503) << "this replica may be partitioned";
+  EXPECT_EQ(registration_status(kStart + milliseconds(900)), 200) << "an election may be in progress";
+  EXPECT_EQ(registration_status(kStart + milliseconds(1100)), 503) << "this replica may be partitioned";
 }
 
 // ------------------------------------------------------------ entry reports
--- a/tests/unit/fleet_subscription_test.cc
+++ b/tests/unit/fleet_subscription_test.cc
@@ -9,8 +9,8 @@
 
 constexpr Duration kTick = milliseconds(20);
 
-FleetIdentity control_identity(const std::string& address) {
-  FleetIdentity identity;
+PeerIdentity control_identity(const std::string& address) {
+  PeerIdentity identity;
   identity.peer_address = address;
   identity.zone = "a";
   identity.control_address = address;
@@ -66,8 +66,8 @@
   }
 }
 
-FleetIdentity entry_identity(const std::string& address) {
-  FleetIdentity identity;
+PeerIdentity entry_identity(const std::string& address) {
+  PeerIdentity identity;
   identity.peer_address = address;
   identity.zone = "a";
   identity.serves_requests = true;
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -187,8 +187,8 @@
 
 // ---------------------------------------------------------- subscription
 
-FleetIdentity entry_identity() {
-  FleetIdentity identity;
+PeerIdentity entry_identity() {
+  PeerIdentity identity;
   identity.peer_address = "10.0.1.1:1";
   identity.serves_requests = true;
   return identity;
@@ -264,8 +264,8 @@
   return contacted;
 }
 
-FleetIdentity control_identity() {
-  FleetIdentity identity;
+PeerIdentity control_identity() {
+  PeerIdentity identity;
   identity.peer_address = "10.0.0.8:1";
   identity.control_address = "10.0.0.8:2";
   return identity;
--- a/tests/unit/registration_age_test.cc
+++ b/tests/unit/registration_age_test.cc
@@ -29,7 +29,7 @@
 
   FleetLeader leader({}, {});
   const TimePoint leadership_start = reported_at + seconds(1);
-  leader.start(leadership_start, 3, {});
+  leader.begin_leadership(leadership_start, 3, {});
   const auto first_batch = relay.next_batch(leadership_start + milliseconds(50), "10.0.0.1:7000", 3);
   ASSERT_TRUE(first_batch);
   leader.handle_registrations(leadership_start + milliseconds(51), *first_batch);
--- a/tests/unit/zone_evacuations_test.cc
+++ b/tests/unit/zone_evacuations_test.cc
@@ -96,8 +96,8 @@
  protected:
   FleetSubscriptionEvacuationTest() : subscription_(FleetOptions(), identity(), {"10.0.0.2:1"}) {}
 
-  static FleetIdentity identity() {
-    FleetIdentity result;
+  static PeerIdentity identity() {
+    PeerIdentity result;
     result.peer_address = "10.0.0.1:1";
     return result;
   }
