--- a/tests/unit/fleet_subscription_test.cc
+++ b/tests/unit/fleet_subscription_test.cc
@@ -61,7 +61,7 @@
     for (int silent_index = 1; silent_index <= replica_count; ++silent_index) {
       const std::set<std::string> silent_peers = {"10.0.0." + std::to_string(silent_index) + ":7000"};
       EXPECT_EQ(contacted_peers(replica_count, replica_count, silent_peers).size(), static_cast<size_t>(replica_count))
-          << replica_count << " known replicas, no answer from number " << silent_index;
+          << replica_count << " known replicas, no answer from number " << silent_index << " of them";
     }
   }
 }
