--- a/src/core/fleet/entry_distributor.cc
+++ b/src/core/fleet/entry_distributor.cc
@@ -18,8 +18,8 @@
   subscribers_.publish(make_entry_view(state));
 }
 
-wire::FleetUpdate EntryDistributor::update_for(TimePoint now, const std::string& node,
-                                               const DistributorSource& source) {
+wire::FleetUpdate EntryDistributor::make_update(TimePoint now, const std::string& node,
+                                                const DistributorSource& source) {
   const auto& subscription = source.subscription;
   wire::FleetUpdate update;
   update.leader = source.leader;
@@ -48,7 +48,7 @@
     return;
   }
   publish_state(source.subscription.state());
-  auto update = update_for(now, envelope.from_node, source);
+  auto update = make_update(now, envelope.from_node, source);
   update.sequence = envelope.fleet_heartbeat.sequence;
   update.control_peers = source.control_peers;
   if (envelope.fleet_heartbeat.wants_loads) {
@@ -66,7 +66,7 @@
   const LogRevisions newest{source.subscription.document_version(), source.subscription.evacuations().revision};
   const auto nodes = leader_changed ? subscribers_.live_nodes(now) : subscribers_.nodes_to_update(now, newest);
   for (const auto& node : nodes) {
-    auto update = update_for(now, node, source);
+    auto update = make_update(now, node, source);
     update.wants_confirmation = wants_confirmation;
     send(node, std::move(update));
   }
--- a/src/core/fleet/entry_distributor.h
+++ b/src/core/fleet/entry_distributor.h
@@ -45,7 +45,7 @@
 
  private:
   void publish_state(const wire::FleetState& state);
-  wire::FleetUpdate update_for(TimePoint now, const std::string& node, const DistributorSource& source);
+  wire::FleetUpdate make_update(TimePoint now, const std::string& node, const DistributorSource& source);
   void send(const std::string& node, wire::FleetUpdate update);
 
   SubscriberTable subscribers_;
--- a/src/core/fleet/fleet_controller.cc
+++ b/src/core/fleet/fleet_controller.cc
@@ -15,7 +15,7 @@
 constexpr Duration kCallRetryInterval = milliseconds(250);
 constexpr Duration kLeadershipTransferRetryInterval = milliseconds(300);
 /// How often entries with unconfirmed updates are checked.
-constexpr Duration kDistributionInterval = milliseconds(100);
+constexpr Duration kEntryPushInterval = milliseconds(100);
 /// A replica without an answer from the leader for longer than this may be partitioned from it. It then rejects
 /// heartbeats of instances, so that they report to another replica before the leader considers them silent.
 constexpr int64_t kMaxLeaderSilenceMs = 1000;
@@ -119,8 +119,8 @@
   if (is_leader(now)) {
     leader_.tick(now, *raft_, log_);
   }
-  if (now >= next_distribution_) {
-    next_distribution_ = now + kDistributionInterval;
+  if (now >= next_entry_push_) {
+    next_entry_push_ = now + kEntryPushInterval;
     push_updates_to_entries(now, false);
   }
   process_replica_outputs(now);
--- a/src/core/fleet/fleet_controller.h
+++ b/src/core/fleet/fleet_controller.h
@@ -143,7 +143,7 @@
   int64_t last_snapshot_index_ = 0;
   bool is_leaving_ = false;
   TimePoint next_leadership_transfer_ = TimePoint::min();
-  TimePoint next_distribution_ = TimePoint::min();
+  TimePoint next_entry_push_ = TimePoint::min();
   int64_t next_call_id_ = 1;
   std::map<int64_t, PendingCall> pending_calls_;
   consensus::ReplicaRoutes replica_routes_;
--- a/src/core/fleet/fleet_leader_calls.cc
+++ b/src/core/fleet/fleet_leader_calls.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// The JSON body with all known zones and the evacuated ones.
-std::string zones_body(const std::set<std::string>& zones, const wire::ZoneEvacuations& evacuations) {
+std::string zones_json(const std::set<std::string>& zones, const wire::ZoneEvacuations& evacuations) {
   namespace json = boost::json;
   json::object body;
   body["zones"] = json::array(zones.begin(), zones.end());
@@ -62,7 +62,7 @@
       change_evacuation(key, call, raft);
       break;
     case wire::ControlCallKind::GET_ZONES:
-      reply_to_call(key, http_status::kOk, zones_body(known_zones(raft), log.evacuations()));
+      reply_to_call(key, http_status::kOk, zones_json(known_zones(raft), log.evacuations()));
       break;
   }
 }
--- a/src/core/fleet/fleet_subscription.cc
+++ b/src/core/fleet/fleet_subscription.cc
@@ -148,12 +148,12 @@
   // The age of the leader's confirmation counts, not the time of this answer. Otherwise an entry would stay with a
   // replica that lost its leader for twice `publisher_patience` and miss configurations confirmed in the meantime.
   const Duration age = milliseconds(update.confirmed_age_ms);
-  const bool is_fresh = update.confirmed_age_ms >= 0 && age < options_.publisher_patience;
+  const bool is_confirmation_fresh = update.confirmed_age_ms >= 0 && age < options_.publisher_patience;
   if (update.sequence == 0 && envelope.from_node != publisher_) {
     return;  // A push from a previous publisher.
   }
   last_answer_ = now;
-  if (!is_fresh) {
+  if (!is_confirmation_fresh) {
     return;
   }
   const bool may_switch_publisher = is_publisher_stale(now) || envelope.from_node == peers_.preferred();
@@ -190,9 +190,9 @@
 
 void FleetSubscription::extend_lease(const wire::FleetUpdate& update) {
   const auto sent = heartbeat_sent_at_.find(update.sequence);
-  const bool holds_newest =
+  const bool holds_newest_versions =
       document_.version >= update.document_version && evacuations_.revision >= update.evacuation_revision;
-  const bool is_confirmed = update.confirmed_age_ms >= 0 && holds_newest;
+  const bool is_confirmed = update.confirmed_age_ms >= 0 && holds_newest_versions;
   if (sent == heartbeat_sent_at_.end() || !is_confirmed) {
     return;
   }
--- a/src/core/fleet/registration.cc
+++ b/src/core/fleet/registration.cc
@@ -104,12 +104,13 @@
 /// Reads an address of the form HOST:PORT. Only the port is validated; the host must not be empty.
 std::string read_address(const FieldReader& reader) {
   auto address = reader.text("address");
-  const size_t colon = address.rfind(':');
-  const std::string_view port = colon == std::string::npos ? "" : std::string_view(address).substr(colon + 1);
+  const size_t colon_position = address.rfind(':');
+  const std::string_view port =
+      colon_position == std::string::npos ? "" : std::string_view(address).substr(colon_position + 1);
   uint16_t number = 0;
   const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), number);
   const bool is_valid_port = error == std::errc() && end == port.data() + port.size() && number > 0;
-  if (colon == 0 || !is_valid_port) {
+  if (colon_position == 0 || !is_valid_port) {
     throw_field_error("address", "an address with a port, such as 10.0.0.9:8080");
   }
   return address;
--- a/src/core/fleet/registration_relay.cc
+++ b/src/core/fleet/registration_relay.cc
@@ -5,7 +5,7 @@
 namespace {
 
 /// Heartbeats within this interval are sent together. It is short because group formation waits for members' reports.
-constexpr Duration kBatchInterval = milliseconds(40);
+constexpr Duration kRegistrationBatchInterval = milliseconds(40);
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   if (leader.empty() || now < next_batch_) {
     return std::nullopt;
   }
-  next_batch_ = now + kBatchInterval;
+  next_batch_ = now + kRegistrationBatchInterval;
   std::erase_if(reports_, [&](const auto& item) { return now - item.second.received_at > retention_; });
   const std::pair receiver(leader, term);
   if (receiver != last_receiver_) {
--- a/src/core/fleet/state_history.cc
+++ b/src/core/fleet/state_history.cc
@@ -114,7 +114,7 @@
 }
 
 void StateHistory::record(const wire::FleetState& state) {
-  const bool is_first = version_ == 0;
+  const bool is_first_version = version_ == 0;
   version_ = state.version;
   const bool instances_changed = record_rows(version_, state.instances, instances_, removed_instances_);
   const bool groups_changed = record_rows(version_, state.groups, groups_, removed_groups_);
@@ -122,7 +122,7 @@
       record_rows(version_, state.blocked_requests, blocked_requests_, removed_blocked_requests_);
   const bool released_changed =
       record_rows(version_, state.released_groups, released_groups_, removed_released_groups_);
-  if (is_first || instances_changed || groups_changed || blocked_changed || released_changed) {
+  if (is_first_version || instances_changed || groups_changed || blocked_changed || released_changed) {
     last_changed_version_ = version_;
   }
 }
--- a/tests/unit/cluster_formation_test.cc
+++ b/tests/unit/cluster_formation_test.cc
@@ -9,7 +9,7 @@
 namespace larchlever::fleet {
 namespace {
 
-constexpr Duration kStep = milliseconds(10);
+constexpr Duration kSimulationStep = milliseconds(10);
 
 /// Simulates seeds in virtual time, with a network that delays and loses messages and with disks that survive restarts.
 class SeedNetwork {
@@ -37,7 +37,7 @@
   size_t random_index() { return std::uniform_int_distribution<size_t>(0, nodes_.size() - 1)(random_); }
 
   void run_for(Duration duration) {
-    for (const TimePoint end = now_ + duration; now_ < end; now_ += kStep) {
+    for (const TimePoint end = now_ + duration; now_ < end; now_ += kSimulationStep) {
       deliver_due_messages();
       for (size_t index = 0; index < nodes_.size(); ++index) {
         tick_seed(index);
@@ -52,7 +52,7 @@
     bool holds_log = false;
   };
   struct Message {
-    TimePoint due;
+    TimePoint due_at;
     std::string from;
     std::string to;
     wire::FormationNotice notice;
@@ -67,10 +67,10 @@
 
   void deliver_due_messages() {
     const auto first_not_due = std::stable_partition(messages_.begin(), messages_.end(),
-                                                     [this](const auto& item) { return item.due <= now_; });
-    const std::vector<Message> due(messages_.begin(), first_not_due);
+                                                     [this](const auto& item) { return item.due_at <= now_; });
+    const std::vector<Message> due_messages(messages_.begin(), first_not_due);
     messages_.erase(messages_.begin(), first_not_due);
-    for (const auto& message : due) {
+    for (const auto& message : due_messages) {
       const auto index = std::find(addresses_.begin(), addresses_.end(), message.to) - addresses_.begin();
       Node& node = nodes_[static_cast<size_t>(index)];
       if (!node.formation) {
--- a/tests/unit/fleet_subscription_test.cc
+++ b/tests/unit/fleet_subscription_test.cc
@@ -7,7 +7,7 @@
 namespace larchlever::fleet {
 namespace {
 
-constexpr Duration kTick = milliseconds(20);
+constexpr Duration kTickInterval = milliseconds(20);
 
 PeerIdentity control_identity(const std::string& address) {
   PeerIdentity identity;
@@ -37,7 +37,7 @@
   std::set<std::string> contacted;
   TimePoint now{seconds(100)};
   while (heartbeats > 0) {
-    now += kTick;
+    now += kTickInterval;
     if (const auto heartbeat = subscription.tick(now, {})) {
       --heartbeats;
       contacted.insert(heartbeat->to_node);
@@ -88,7 +88,7 @@
   TimePoint leader_lost_at = TimePoint::max();
   TimePoint first_other_contact = TimePoint::max();
   // The preferred replica loses its leader at `leader_lost_at` but keeps answering; the four others have a leader.
-  for (const TimePoint end = now + seconds(8); now < end; now += kTick) {
+  for (const TimePoint end = now + seconds(8); now < end; now += kTickInterval) {
     const auto heartbeat = entry.tick(now, {});
     if (!heartbeat) {
       continue;
@@ -121,7 +121,7 @@
   const TimePoint start{seconds(100)};
   std::set<std::string> contacted;
   TimePoint all_contacted_at = TimePoint::max();
-  for (TimePoint now = start; now < start + seconds(8); now += kTick) {
+  for (TimePoint now = start; now < start + seconds(8); now += kTickInterval) {
     const auto heartbeat = entry.tick(now, {});
     if (!heartbeat) {
       continue;
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -312,9 +312,9 @@
   const auto exchange_heartbeat = [&](int64_t confirmed_age_ms_of_b) {
     const auto sent_heartbeat = subscription.tick(now, {});
     if (sent_heartbeat) {
-      const bool is_b = sent_heartbeat->to_node == "10.0.0.2:1";
+      const bool is_replica_b = sent_heartbeat->to_node == "10.0.0.2:1";
       subscription.receive(now, publisher_answer(sent_heartbeat->to_node, sent_heartbeat->fleet_heartbeat.sequence,
-                                                 is_b ? confirmed_age_ms_of_b : 20));
+                                                 is_replica_b ? confirmed_age_ms_of_b : 20));
     }
     now += milliseconds(250);
     return sent_heartbeat ? sent_heartbeat->to_node : std::string();
@@ -640,18 +640,18 @@
 }
 
 TEST(FleetSettings, RecognizesOwnSeedAddressInEquivalentForms) {
-  const auto any_address = parse_addresses("10.0.0.1:7000", "0.0.0.0:8000", "10.0.0.1:8000, 10.0.0.2:8000");
-  ASSERT_TRUE(any_address);
-  EXPECT_TRUE(any_address->may_found_cluster());
-  const auto long_port = parse_addresses("10.0.0.1:07000", "10.0.0.1:8000", "10.0.0.1:08000");
-  ASSERT_TRUE(long_port);
-  EXPECT_TRUE(long_port->may_found_cluster());
-  const auto version_6 = parse_addresses("[fd00:0:0::1]:7000", "[fd00::1]:8000", "[fd00::0001]:8000");
-  ASSERT_TRUE(version_6);
-  EXPECT_TRUE(version_6->may_found_cluster());
-  const auto no_seed = parse_addresses("10.0.0.3:7000", "10.0.0.3:8000", "10.0.0.1:8000, 10.0.0.2:8000");
-  ASSERT_TRUE(no_seed);
-  EXPECT_FALSE(no_seed->may_found_cluster());
+  const auto wildcard_settings = parse_addresses("10.0.0.1:7000", "0.0.0.0:8000", "10.0.0.1:8000, 10.0.0.2:8000");
+  ASSERT_TRUE(wildcard_settings);
+  EXPECT_TRUE(wildcard_settings->may_found_cluster());
+  const auto padded_port_settings = parse_addresses("10.0.0.1:07000", "10.0.0.1:8000", "10.0.0.1:08000");
+  ASSERT_TRUE(padded_port_settings);
+  EXPECT_TRUE(padded_port_settings->may_found_cluster());
+  const auto ipv6_settings = parse_addresses("[fd00:0:0::1]:7000", "[fd00::1]:8000", "[fd00::0001]:8000");
+  ASSERT_TRUE(ipv6_settings);
+  EXPECT_TRUE(ipv6_settings->may_found_cluster());
+  const auto non_seed_settings = parse_addresses("10.0.0.3:7000", "10.0.0.3:8000", "10.0.0.1:8000, 10.0.0.2:8000");
+  ASSERT_TRUE(non_seed_settings);
+  EXPECT_FALSE(non_seed_settings->may_found_cluster());
   EXPECT_FALSE(parse_addresses("0.0.0.0:7000", "10.0.0.3:8000", "10.0.0.1:8000")) << "peers cannot connect to it";
 }
 
