--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -106,9 +106,9 @@
       input.tenants.push_back(*wire::decode<wire::Tenant>(write.value));
     }
   }
-  const auto policy = placement::make_policy("spare_aware");
+  const auto policy = placement::make_placement_policy("spare_aware");
   const auto began = Clock::now();
-  const auto plan = placement::plan(input, *policy);
+  const auto plan = placement::make_plan(input, *policy);
   const double ms = elapsed_ms(began);
   print("planning pass, 1,400 servers, " + std::to_string(plan.create.size()) + " groups", "<= 50 ms", ms, "ms",
         ms <= 50);
--- a/src/core/admission/admission_controller.cc
+++ b/src/core/admission/admission_controller.cc
@@ -8,82 +8,84 @@
 namespace {
 
 /// Weight of the newest sample in the mean service time.
-constexpr double kSmoothing = 0.1;
+constexpr double kServiceTimeSmoothing = 0.1;
 
 }  // namespace
 
-Duration AdmissionController::expected_wait(const TenantGate& gate, TimePoint now, int priority) {
-  const auto ahead = std::distance(gate.queue.begin(), gate.queue.upper_bound(priority));
-  const int budget = usable_budget(gate, now);
+Duration AdmissionController::expected_wait(const TenantState& tenant_state, TimePoint now, int priority) {
+  const auto queued_before = std::distance(tenant_state.queue.begin(), tenant_state.queue.upper_bound(priority));
+  const int budget = unexpired_budget(tenant_state, now);
   if (budget <= 0) {
     return Duration(0);  // Nothing is known of when a budget comes; the deadline itself will tell.
   }
-  const double turns = static_cast<double>(ahead + 1) / budget;
-  return Duration(static_cast<int64_t>(turns * gate.mean_service_us));
+  const double rounds_to_wait = static_cast<double>(queued_before + 1) / budget;
+  return Duration(static_cast<int64_t>(rounds_to_wait * tenant_state.mean_service_us));
 }
 
-AdmissionVerdict AdmissionController::enter(TimePoint now, TicketId ticket, const std::string& tenant, int priority,
-                                            TimePoint deadline) {
-  TenantGate& gate = gates_[tenant];
-  if (gate.queue.empty() && gate.running < usable_budget(gate, now)) {
-    ++gate.running;
+AdmissionVerdict AdmissionController::request_admission(TimePoint now, AdmissionRequestId request_id,
+                                                        const std::string& tenant, int priority, TimePoint deadline) {
+  TenantState& tenant_state = tenants_[tenant];
+  if (tenant_state.queue.empty() && tenant_state.running < unexpired_budget(tenant_state, now)) {
+    ++tenant_state.running;
     ++stats_.admitted;
     return AdmissionVerdict::kAdmitted;
   }
-  if (gate.queue.size() >= queue_limit_) {
-    ++stats_.refused_full;
+  if (tenant_state.queue.size() >= queue_limit_) {
+    ++stats_.refused_queue_full;
     return AdmissionVerdict::kRefusedQueueFull;
   }
-  if (now + expected_wait(gate, now, priority) >= deadline) {
+  if (now + expected_wait(tenant_state, now, priority) >= deadline) {
     ++stats_.refused_deadline;
     return AdmissionVerdict::kRefusedDeadline;
   }
   ++stats_.queued;
-  gate.queue.emplace(priority, Waiter{ticket, deadline});
+  tenant_state.queue.emplace(priority, QueuedRequest{request_id, deadline});
   return AdmissionVerdict::kQueued;
 }
 
-void AdmissionController::leave(const std::string& tenant, Duration service_time) {
-  TenantGate& gate = gates_[tenant];
-  gate.running = std::max(gate.running - 1, 0);
+void AdmissionController::finish_request(const std::string& tenant, Duration service_time) {
+  TenantState& tenant_state = tenants_[tenant];
+  tenant_state.running = std::max(tenant_state.running - 1, 0);
   const auto sample = static_cast<double>(service_time.count());
-  gate.mean_service_us =
-      gate.mean_service_us == 0 ? sample : gate.mean_service_us + kSmoothing * (sample - gate.mean_service_us);
+  tenant_state.mean_service_us =
+      tenant_state.mean_service_us == 0
+          ? sample
+          : tenant_state.mean_service_us + kServiceTimeSmoothing * (sample - tenant_state.mean_service_us);
 }
 
-void AdmissionController::cancel(TicketId ticket) {
-  for (auto& [tenant, gate] : gates_) {
-    std::erase_if(gate.queue, [ticket](const auto& item) { return item.second.ticket == ticket; });
+void AdmissionController::cancel(AdmissionRequestId request_id) {
+  for (auto& [tenant, tenant_state] : tenants_) {
+    std::erase_if(tenant_state.queue, [request_id](const auto& item) { return item.second.request_id == request_id; });
   }
 }
 
 void AdmissionController::set_budget(const std::string& tenant, int concurrent, TimePoint expires) {
-  TenantGate& gate = gates_[tenant];
-  gate.budget = concurrent;
-  gate.budget_expires = expires;
+  TenantState& tenant_state = tenants_[tenant];
+  tenant_state.budget = concurrent;
+  tenant_state.budget_expires = expires;
 }
 
-std::vector<TicketId> AdmissionController::take_admitted(TimePoint now) {
-  std::vector<TicketId> admitted;
-  for (auto& [tenant, gate] : gates_) {
-    while (!gate.queue.empty() && gate.running < usable_budget(gate, now)) {
-      admitted.push_back(gate.queue.begin()->second.ticket);
-      gate.queue.erase(gate.queue.begin());
-      ++gate.running;
+std::vector<AdmissionRequestId> AdmissionController::take_admitted(TimePoint now) {
+  std::vector<AdmissionRequestId> admitted;
+  for (auto& [tenant, tenant_state] : tenants_) {
+    while (!tenant_state.queue.empty() && tenant_state.running < unexpired_budget(tenant_state, now)) {
+      admitted.push_back(tenant_state.queue.begin()->second.request_id);
+      tenant_state.queue.erase(tenant_state.queue.begin());
+      ++tenant_state.running;
       ++stats_.admitted;
     }
   }
   return admitted;
 }
 
-std::vector<TicketId> AdmissionController::take_expired(TimePoint now) {
-  std::vector<TicketId> expired;
-  for (auto& [tenant, gate] : gates_) {
-    for (auto item = gate.queue.begin(); item != gate.queue.end();) {
+std::vector<AdmissionRequestId> AdmissionController::take_expired(TimePoint now) {
+  std::vector<AdmissionRequestId> expired;
+  for (auto& [tenant, tenant_state] : tenants_) {
+    for (auto item = tenant_state.queue.begin(); item != tenant_state.queue.end();) {
       if (now >= item->second.deadline) {
-        expired.push_back(item->second.ticket);
+        expired.push_back(item->second.request_id);
         ++stats_.expired;
-        item = gate.queue.erase(item);
+        item = tenant_state.queue.erase(item);
       } else {
         ++item;
       }
@@ -94,9 +96,10 @@
 
 std::map<std::string, AdmissionController::Load> AdmissionController::loads(TimePoint now) const {
   std::map<std::string, Load> result;
-  for (const auto& [tenant, gate] : gates_) {
-    const Load load{gate.running, static_cast<int>(gate.queue.size()), usable_budget(gate, now)};
-    if (load.running + load.waiting + load.held > 0) {
+  for (const auto& [tenant, tenant_state] : tenants_) {
+    const Load load{tenant_state.running, static_cast<int>(tenant_state.queue.size()),
+                    unexpired_budget(tenant_state, now)};
+    if (load.running + load.waiting + load.held_budget > 0) {
       result[tenant] = load;
     }
   }
--- a/src/core/admission/admission_controller.h
+++ b/src/core/admission/admission_controller.h
@@ -9,7 +9,7 @@
 
 namespace larchlever::admission {
 
-using TicketId = uint64_t;
+using AdmissionRequestId = uint64_t;
 
 enum class AdmissionVerdict {
   kAdmitted,
@@ -21,7 +21,7 @@
 struct AdmissionStats {
   uint64_t admitted = 0;
   uint64_t queued = 0;
-  uint64_t refused_full = 0;
+  uint64_t refused_queue_full = 0;
   uint64_t refused_deadline = 0;
   uint64_t expired = 0;
 };
@@ -35,47 +35,48 @@
  public:
   explicit AdmissionController(size_t queue_limit) : queue_limit_(queue_limit) {}
 
-  AdmissionVerdict enter(TimePoint now, TicketId ticket, const std::string& tenant, int priority, TimePoint deadline);
+  AdmissionVerdict request_admission(TimePoint now, AdmissionRequestId request_id, const std::string& tenant,
+                                     int priority, TimePoint deadline);
   /// An admitted ticket ended. `service_time` feeds the waiting-time estimate.
-  void leave(const std::string& tenant, Duration service_time);
+  void finish_request(const std::string& tenant, Duration service_time);
   /// A queued ticket's caller went away.
-  void cancel(TicketId ticket);
+  void cancel(AdmissionRequestId request_id);
   /// A new grant for the tenant, valid until `expires`; when it runs out the budget is zero.
   void set_budget(const std::string& tenant, int concurrent, TimePoint expires);
 
-  std::vector<TicketId> take_admitted(TimePoint now);
-  std::vector<TicketId> take_expired(TimePoint now);
+  std::vector<AdmissionRequestId> take_admitted(TimePoint now);
+  std::vector<AdmissionRequestId> take_expired(TimePoint now);
 
   struct Load {
     int running = 0;
     int waiting = 0;
-    int held = 0;
+    int held_budget = 0;
   };
   /// Load per tenant that has any, and the unexpired budget it holds.
   std::map<std::string, Load> loads(TimePoint now) const;
   const AdmissionStats& stats() const { return stats_; }
 
  private:
-  struct Waiter {
-    TicketId ticket = 0;
+  struct QueuedRequest {
+    AdmissionRequestId request_id = 0;
     TimePoint deadline{};
   };
-  struct TenantGate {
+  struct TenantState {
     int budget = 0;
     TimePoint budget_expires{};
     int running = 0;
     /// Highest priority first, then arrival order.
-    std::multimap<int, Waiter, std::greater<>> queue;
+    std::multimap<int, QueuedRequest, std::greater<>> queue;
     double mean_service_us = 0;
   };
 
-  static int usable_budget(const TenantGate& gate, TimePoint now) {
-    return now < gate.budget_expires ? gate.budget : 0;
+  static int unexpired_budget(const TenantState& tenant_state, TimePoint now) {
+    return now < tenant_state.budget_expires ? tenant_state.budget : 0;
   }
-  static Duration expected_wait(const TenantGate& gate, TimePoint now, int priority);
+  static Duration expected_wait(const TenantState& tenant_state, TimePoint now, int priority);
 
   size_t queue_limit_;
-  std::map<std::string, TenantGate> gates_;
+  std::map<std::string, TenantState> tenants_;
   AdmissionStats stats_;
 };
 
--- a/src/core/admission/budget_allocator.cc
+++ b/src/core/admission/budget_allocator.cc
@@ -4,7 +4,7 @@
 
 namespace larchlever::admission {
 
-void BudgetAllocator::TenantShares::remove(const std::string& node) {
+void BudgetAllocator::TenantShares::remove_share(const std::string& node) {
   const auto found = by_node.find(node);
   if (found == by_node.end()) {
     return;
@@ -15,26 +15,26 @@
   by_node.erase(found);
 }
 
-void BudgetAllocator::TenantShares::put(const std::string& node, const Share& share) {
-  remove(node);
+void BudgetAllocator::TenantShares::set_share(const std::string& node, const NodeShare& share) {
+  remove_share(node);
   by_node[node] = share;
   by_expiry.insert({share.expires, node});
   granted += share.granted;
   demand += share.demand;
 }
 
-void BudgetAllocator::TenantShares::expire(TimePoint now) {
+void BudgetAllocator::TenantShares::remove_expired(TimePoint now) {
   while (!by_expiry.empty() && by_expiry.begin()->first <= now) {
     const std::string node = by_expiry.begin()->second;
-    remove(node);
+    remove_share(node);
   }
 }
 
 int BudgetAllocator::grant(TimePoint now, const std::string& tenant, int limit, const std::string& node,
-                           const Report& report, TimePoint expires, bool may_raise) {
+                           const DemandReport& report, TimePoint expires, bool may_increase) {
   auto& shares = tenants_[tenant];
-  shares.expire(now);
-  shares.remove(node);
+  shares.remove_expired(now);
+  shares.remove_share(node);
   const int demand = report.running + report.waiting;
   const int others_granted = shares.granted;
   const int total_demand = shares.demand + demand;
@@ -48,18 +48,18 @@
   } else {
     target += (limit - total_demand) / entries;
   }
-  if (!may_raise) {
-    target = std::min(target, report.held);
+  if (!may_increase) {
+    target = std::min(target, report.held_budget);
   }
   const int available = std::max(limit - others_granted, 0);
   const int granted = std::min(target, available);
-  shares.put(node, Share{std::max(granted, report.running), demand, expires});
+  shares.set_share(node, NodeShare{std::max(granted, report.running), demand, expires});
   return granted;
 }
 
-void BudgetAllocator::forget_node(const std::string& node) {
+void BudgetAllocator::remove_node(const std::string& node) {
   for (auto& [tenant, shares] : tenants_) {
-    shares.remove(node);
+    shares.remove_share(node);
   }
 }
 
--- a/src/core/admission/budget_allocator.h
+++ b/src/core/admission/budget_allocator.h
@@ -17,21 +17,21 @@
 /// Single-threaded.
 class BudgetAllocator {
  public:
-  struct Report {
+  struct DemandReport {
     int running = 0;
     int waiting = 0;
-    int held = 0;  ///< Concurrency that the entry still holds by an earlier grant.
+    int held_budget = 0;  ///< Concurrency that the entry still holds by an earlier grant.
   };
 
-  /// Decides what `node` may hold of `tenant` until `expires`. While `may_raise` is false (a new leader does not know
-  /// all grants of its predecessor yet) a node gets no more than it holds already.
-  int grant(TimePoint now, const std::string& tenant, int limit, const std::string& node, const Report& report,
-            TimePoint expires, bool may_raise);
-  void forget_node(const std::string& node);
+  /// Decides what `node` may hold of `tenant` until `expires`. While `may_increase` is false (a new leader does not
+  /// know all grants of its predecessor yet) a node gets no more than it holds already.
+  int grant(TimePoint now, const std::string& tenant, int limit, const std::string& node, const DemandReport& report,
+            TimePoint expires, bool may_increase);
+  void remove_node(const std::string& node);
   void clear() { tenants_.clear(); }
 
  private:
-  struct Share {
+  struct NodeShare {
     int granted = 0;
     int demand = 0;
     TimePoint expires{};
@@ -40,14 +40,14 @@
   /// Shares of one tenant, with their sums and their order of expiry kept up to date, so that a grant costs the
   /// logarithm of the number of entries and not that number.
   struct TenantShares {
-    std::map<std::string, Share> by_node;
+    std::map<std::string, NodeShare> by_node;
     std::set<std::pair<TimePoint, std::string>> by_expiry;
     int granted = 0;
     int demand = 0;
 
-    void put(const std::string& node, const Share& share);
-    void remove(const std::string& node);
-    void expire(TimePoint now);
+    void set_share(const std::string& node, const NodeShare& share);
+    void remove_share(const std::string& node);
+    void remove_expired(TimePoint now);
   };
 
   std::map<std::string, TenantShares> tenants_;
--- a/src/core/config/change_validation.cc
+++ b/src/core/config/change_validation.cc
@@ -9,158 +9,159 @@
 
 namespace {
 
-constexpr int kMinimumMachines = 1;
-constexpr int kMaximumMachines = 32;
-constexpr int kMaximumPriority = 9;
-constexpr size_t kMaximumNameLength = 128;
+constexpr int kMinMachinesPerGroup = 1;
+constexpr int kMaxMachinesPerGroup = 32;
+constexpr int kMaxPriority = 9;
+constexpr size_t kMaxNameBytes = 128;
 
 /// The records as they would stand after a change, decoded by type.
-struct ProposedRecords {
+struct RecordsAfterChange {
   std::map<std::string, wire::Template> templates;
   std::map<std::string, wire::Tenant> tenants;
   std::map<std::string, wire::Service> services;
-  std::vector<std::string> faults;
+  std::vector<std::string> errors;
 };
 
 bool is_valid_name(const std::string& name) {
-  return !name.empty() && name.size() <= kMaximumNameLength &&
+  return !name.empty() && name.size() <= kMaxNameBytes &&
          std::all_of(name.begin(), name.end(), [](unsigned char character) {
            return std::isalnum(character) != 0 || character == '-' || character == '_' || character == '.';
          });
 }
 
 template <typename Value>
-void load(const RecordTable& table, std::string_view prefix, std::map<std::string, Value>& into) {
+void load_records(const RecordTable& table, std::string_view prefix, std::map<std::string, Value>& values) {
   for (auto& value : read_all<Value>(table, prefix)) {
-    into[value.name] = value;
+    values[value.name] = value;
   }
 }
 
 template <typename Value>
-void propose(const wire::KeyWrite& write, std::string_view prefix, std::map<std::string, Value>& into,
-             std::vector<std::string>& faults) {
+void apply_write(const wire::KeyWrite& write, std::string_view prefix, std::map<std::string, Value>& values,
+                 std::vector<std::string>& errors) {
   const std::string name = write.key.substr(prefix.size());
   if (!is_valid_name(name)) {
-    faults.push_back(write.key + ": bad name; use letters, digits, '-', '_' and '.'");
+    errors.push_back(write.key + ": bad name; use letters, digits, '-', '_' and '.'");
     return;
   }
   if (write.remove) {
-    if (into.erase(name) == 0) {
-      faults.push_back(write.key + ": does not exist; check the name with 'larchlever get'");
+    if (values.erase(name) == 0) {
+      errors.push_back(write.key + ": does not exist; check the name with 'larchlever get'");
     }
     return;
   }
   auto value = wire::decode<Value>(write.value);
   if (!value || value->name != name) {
-    faults.push_back(write.key + ": unreadable value; send it with a client of this version");
+    errors.push_back(write.key + ": unreadable value; send it with a client of this version");
     return;
   }
-  into[name] = std::move(*value);
+  values[name] = std::move(*value);
 }
 
-ProposedRecords proposed_records(const RecordTable& table, const wire::ConfigurationChange& change) {
-  ProposedRecords records;
-  load(table, kTemplatePrefix, records.templates);
-  load(table, kTenantPrefix, records.tenants);
-  load(table, kServicePrefix, records.services);
+RecordsAfterChange apply_writes(const RecordTable& table, const wire::ConfigurationChange& change) {
+  RecordsAfterChange records;
+  load_records(table, kTemplatePrefix, records.templates);
+  load_records(table, kTenantPrefix, records.tenants);
+  load_records(table, kServicePrefix, records.services);
   for (const auto& write : change.writes) {
     if (write.key.starts_with(kTemplatePrefix)) {
-      propose(write, kTemplatePrefix, records.templates, records.faults);
+      apply_write(write, kTemplatePrefix, records.templates, records.errors);
     } else if (write.key.starts_with(kTenantPrefix)) {
-      propose(write, kTenantPrefix, records.tenants, records.faults);
+      apply_write(write, kTenantPrefix, records.tenants, records.errors);
     } else if (write.key.starts_with(kServicePrefix)) {
-      propose(write, kServicePrefix, records.services, records.faults);
+      apply_write(write, kServicePrefix, records.services, records.errors);
     } else if (write.key == kFleetParametersKey) {
       const auto parameters = wire::decode<wire::FleetParameters>(write.value);
       if (!write.remove && (!parameters || parameters->downtime_weight < 0 || parameters->downtime_weight > 100)) {
-        records.faults.push_back(write.key + ": downtime_weight must lie between 0 and 100");
+        records.errors.push_back(write.key + ": downtime_weight must lie between 0 and 100");
       }
     } else {
-      records.faults.push_back(write.key + ": not a key that operators may change; use template/, tenant/, service/ " +
+      records.errors.push_back(write.key + ": not a key that operators may change; use template/, tenant/, service/ " +
                                "or " + std::string(kFleetParametersKey));
     }
   }
   return records;
 }
 
-void check_template(const wire::Template& item, const FleetShape& fleet, std::vector<std::string>& faults) {
+void check_template(const wire::Template& item, const FleetTopology& fleet, std::vector<std::string>& errors) {
   const std::string key = template_key(item.name);
   if (item.model.empty() || item.version.empty()) {
-    faults.push_back(key + ": model and version are both needed; name the model and version to serve");
-  }
-  if (item.machines_per_group < kMinimumMachines || item.machines_per_group > kMaximumMachines) {
-    faults.push_back(key + ": machines_per_group must lie between 1 and 32");
-  } else if (fleet.largest_domain > 0 && static_cast<size_t>(item.machines_per_group) > fleet.largest_domain) {
-    faults.push_back(key + ": machines_per_group is " + std::to_string(item.machines_per_group) +
-                     " but the largest fabric domain has " + std::to_string(fleet.largest_domain) +
+    errors.push_back(key + ": model and version are both needed; name the model and version to serve");
+  }
+  if (item.machines_per_group < kMinMachinesPerGroup || item.machines_per_group > kMaxMachinesPerGroup) {
+    errors.push_back(key + ": machines_per_group must lie between 1 and 32");
+  } else if (fleet.largest_domain_machines > 0 &&
+             static_cast<size_t>(item.machines_per_group) > fleet.largest_domain_machines) {
+    errors.push_back(key + ": machines_per_group is " + std::to_string(item.machines_per_group) +
+                     " but the largest fabric domain has " + std::to_string(fleet.largest_domain_machines) +
                      " machines; lower it");
   }
 }
 
-void check_zones(const std::string& key, const std::vector<std::string>& zones, const FleetShape& fleet,
-                 std::vector<std::string>& faults) {
+void check_zones(const std::string& key, const std::vector<std::string>& zones, const FleetTopology& fleet,
+                 std::vector<std::string>& errors) {
   if (zones.empty()) {
-    faults.push_back(key + ": names no zone; list the zones that may hold its data");
+    errors.push_back(key + ": names no zone; list the zones that may hold its data");
   }
   for (const auto& zone : zones) {
     if (!fleet.zones.empty() && !fleet.zones.contains(zone)) {
-      faults.push_back(key + ": unknown zone '" + zone + "'; use one that 'larchlever status' lists");
+      errors.push_back(key + ": unknown zone '" + zone + "'; use one that 'larchlever status' lists");
     }
   }
 }
 
-void check_tenant(const wire::Tenant& tenant, const ProposedRecords& records, const FleetShape& fleet,
-                  std::vector<std::string>& faults) {
+void check_tenant(const wire::Tenant& tenant, const RecordsAfterChange& records, const FleetTopology& fleet,
+                  std::vector<std::string>& errors) {
   const std::string key = tenant_key(tenant.name);
-  check_zones(key, tenant.zones, fleet, faults);
+  check_zones(key, tenant.zones, fleet, errors);
   if (tenant.share_percent < 0 || tenant.share_percent > 100) {
-    faults.push_back(key + ": share_percent must lie between 0 and 100");
+    errors.push_back(key + ": share_percent must lie between 0 and 100");
   }
   if (tenant.max_concurrent < 1) {
-    faults.push_back(key + ": max_concurrent must be at least 1");
+    errors.push_back(key + ": max_concurrent must be at least 1");
   }
-  if (tenant.priority < 0 || tenant.priority > kMaximumPriority) {
-    faults.push_back(key + ": priority must lie between 0 and 9");
+  if (tenant.priority < 0 || tenant.priority > kMaxPriority) {
+    errors.push_back(key + ": priority must lie between 0 and 9");
   }
   const auto found = records.templates.find(tenant.template_name);
   if (found == records.templates.end()) {
-    faults.push_back(key + ": template '" + tenant.template_name + "' does not exist; apply it first or together");
+    errors.push_back(key + ": template '" + tenant.template_name + "' does not exist; apply it first or together");
     return;
   }
-  const auto& offered = found->second.adapters;
+  const auto& template_adapters = found->second.adapters;
   for (const auto& adapter : tenant.adapters) {
-    if (std::find(offered.begin(), offered.end(), adapter) == offered.end()) {
-      faults.push_back(key + ": adapter '" + adapter + "' is not among those of template '" + tenant.template_name +
+    if (std::find(template_adapters.begin(), template_adapters.end(), adapter) == template_adapters.end()) {
+      errors.push_back(key + ": adapter '" + adapter + "' is not among those of template '" + tenant.template_name +
                        "'; add it there first");
     }
   }
 }
 
-void check_service(const wire::Service& service, const ProposedRecords& records, const FleetShape& fleet,
-                   std::vector<std::string>& faults) {
+void check_service(const wire::Service& service, const RecordsAfterChange& records, const FleetTopology& fleet,
+                   std::vector<std::string>& errors) {
   const std::string key = std::string(kServicePrefix) + service.name;
-  check_zones(key, service.zones, fleet, faults);
+  check_zones(key, service.zones, fleet, errors);
   if (!service.path_prefix.starts_with("/") || service.path_prefix.starts_with("/v1/")) {
-    faults.push_back(key + ": path_prefix must start with '/' and not lie below /v1/");
+    errors.push_back(key + ": path_prefix must start with '/' and not lie below /v1/");
   }
   if (service.endpoints.empty()) {
-    faults.push_back(key + ": names no endpoint; list host:port pairs");
+    errors.push_back(key + ": names no endpoint; list host:port pairs");
   }
   for (const auto& [name, other] : records.services) {
     if (name != service.name && other.path_prefix == service.path_prefix) {
-      faults.push_back(key + ": path_prefix is taken by service/" + name + "; choose another");
+      errors.push_back(key + ": path_prefix is taken by service/" + name + "; choose another");
     }
   }
 }
 
 }  // namespace
 
-Certification certify(const RecordTable& table, const wire::ConfigurationChange& change) {
+CertificationResult certify_change(const RecordTable& table, const wire::ConfigurationChange& change) {
   for (const auto& read : change.reads) {
-    const Revision present = table.revision_of(read.key);
-    const bool absent_as_read = read.revision == 0 && table.find(read.key) == nullptr;
-    if (!absent_as_read && present != Revision(read.revision)) {
-      return Certification{false, read.key, present};
+    const Revision current_revision = table.revision_of(read.key);
+    const bool still_absent = read.revision == 0 && table.find(read.key) == nullptr;
+    if (!still_absent && current_revision != Revision(read.revision)) {
+      return CertificationResult{false, read.key, current_revision};
     }
   }
   // A write whose key is not among the reads is blind: it may only create.
@@ -168,38 +169,38 @@
     const bool was_read = std::any_of(change.reads.begin(), change.reads.end(),
                                       [&write](const auto& read) { return read.key == write.key; });
     if (!was_read && table.find(write.key) != nullptr) {
-      return Certification{false, write.key, table.revision_of(write.key)};
+      return CertificationResult{false, write.key, table.revision_of(write.key)};
     }
   }
-  return Certification{};
+  return CertificationResult{};
 }
 
-std::vector<std::string> validate(const RecordTable& table, const wire::ConfigurationChange& change,
-                                  const FleetShape& fleet) {
-  ProposedRecords records = proposed_records(table, change);
-  std::vector<std::string> faults = std::move(records.faults);
+std::vector<std::string> validate_change(const RecordTable& table, const wire::ConfigurationChange& change,
+                                         const FleetTopology& fleet) {
+  RecordsAfterChange records = apply_writes(table, change);
+  std::vector<std::string> errors = std::move(records.errors);
   if (change.writes.empty()) {
-    faults.emplace_back("the change writes nothing; name at least one key");
+    errors.emplace_back("the change writes nothing; name at least one key");
   }
   for (const auto& [name, item] : records.templates) {
-    check_template(item, fleet, faults);
+    check_template(item, fleet, errors);
   }
   int total_share = 0;
   for (const auto& [name, tenant] : records.tenants) {
-    check_tenant(tenant, records, fleet, faults);
+    check_tenant(tenant, records, fleet, errors);
     total_share += tenant.share_percent;
   }
   if (total_share > 100) {
-    faults.push_back("tenants' shares add up to " + std::to_string(total_share) +
+    errors.push_back("tenants' shares add up to " + std::to_string(total_share) +
                      " %; lower some so that they do not exceed 100 %");
   }
   for (const auto& [name, service] : records.services) {
-    check_service(service, records, fleet, faults);
+    check_service(service, records, fleet, errors);
   }
-  return faults;
+  return errors;
 }
 
-std::vector<wire::KeyRevision> read_set(const RecordTable& table, const std::vector<wire::KeyWrite>& writes) {
+std::vector<wire::KeyRevision> make_read_set(const RecordTable& table, const std::vector<wire::KeyWrite>& writes) {
   std::vector<wire::KeyRevision> reads;
   for (const auto& write : writes) {
     wire::KeyRevision read;
--- a/src/core/config/record_table.cc
+++ b/src/core/config/record_table.cc
@@ -10,13 +10,13 @@
 std::string tenant_key(const std::string& name) { return std::string(kTenantPrefix) + name; }
 std::string group_key(int64_t id) { return std::string(kGroupPrefix) + std::to_string(id); }
 
-void RecordTable::store(wire::Record record) {
+void RecordTable::store_record(wire::Record record) {
   const auto existing = records_.find(record.key);
   if (existing != records_.end()) {
     by_revision_.erase({existing->second.revision, record.key});
-    tombstones_ -= existing->second.deleted ? 1 : 0;
+    tombstone_count_ -= existing->second.deleted ? 1 : 0;
   }
-  tombstones_ += record.deleted ? 1 : 0;
+  tombstone_count_ += record.deleted ? 1 : 0;
   by_revision_.insert({record.revision, record.key});
   revision_ = std::max(revision_, Revision(record.revision));
   records_[record.key] = std::move(record);
@@ -28,7 +28,7 @@
   record.revision = revision.value();
   record.deleted = false;
   record.value = std::move(value);
-  store(std::move(record));
+  store_record(std::move(record));
 }
 
 void RecordTable::remove(const std::string& key, Revision revision) {
@@ -36,7 +36,7 @@
   record.key = key;
   record.revision = revision.value();
   record.deleted = true;
-  store(std::move(record));
+  store_record(std::move(record));
 }
 
 const wire::Record* RecordTable::find(const std::string& key) const {
@@ -49,7 +49,7 @@
   return found == records_.end() ? Revision() : Revision(found->second.revision);
 }
 
-std::vector<const wire::Record*> RecordTable::with_prefix(std::string_view prefix) const {
+std::vector<const wire::Record*> RecordTable::find_by_prefix(std::string_view prefix) const {
   std::vector<const wire::Record*> result;
   for (auto item = records_.lower_bound(prefix); item != records_.end() && item->first.starts_with(prefix); ++item) {
     if (!item->second.deleted) {
@@ -60,7 +60,7 @@
 }
 
 std::optional<std::vector<wire::Record>> RecordTable::changes_since(Revision since) const {
-  if (since < oldest_delta_) {
+  if (since < oldest_served_revision_) {
     return std::nullopt;
   }
   std::vector<wire::Record> result;
@@ -70,7 +70,7 @@
   return result;
 }
 
-std::vector<wire::Record> RecordTable::all_live() const {
+std::vector<wire::Record> RecordTable::live_records() const {
   std::vector<wire::Record> result;
   for (const auto& [key, record] : records_) {
     if (!record.deleted) {
@@ -80,34 +80,34 @@
   return result;
 }
 
-void RecordTable::install(const std::vector<wire::Record>& records, bool full, Revision revision) {
-  if (full) {
+void RecordTable::apply_update(const std::vector<wire::Record>& records, bool replace_all, Revision revision) {
+  if (replace_all) {
     records_.clear();
     by_revision_.clear();
-    tombstones_ = 0;
-    oldest_delta_ = revision;
+    tombstone_count_ = 0;
+    oldest_served_revision_ = revision;
   }
   for (const auto& record : records) {
-    store(record);
+    store_record(record);
   }
   revision_ = std::max(revision_, revision);
 }
 
-void RecordTable::trim_tombstones(size_t keep) {
-  for (auto item = by_revision_.begin(); tombstones_ > keep && item != by_revision_.end();) {
+void RecordTable::trim_tombstones(size_t max_tombstones) {
+  for (auto item = by_revision_.begin(); tombstone_count_ > max_tombstones && item != by_revision_.end();) {
     const auto record = records_.find(item->second);
     if (!record->second.deleted) {
       ++item;
       continue;
     }
-    oldest_delta_ = std::max(oldest_delta_, Revision(item->first));
+    oldest_served_revision_ = std::max(oldest_served_revision_, Revision(item->first));
     records_.erase(record);
     item = by_revision_.erase(item);
-    --tombstones_;
+    --tombstone_count_;
   }
 }
 
-std::vector<wire::Record> RecordTable::dump() const {
+std::vector<wire::Record> RecordTable::all_records() const {
   std::vector<wire::Record> result;
   result.reserve(records_.size());
   for (const auto& [key, record] : records_) {
@@ -116,12 +116,13 @@
   return result;
 }
 
-void RecordTable::restore(const std::vector<wire::Record>& records, Revision oldest_delta, Revision revision) {
+void RecordTable::restore(const std::vector<wire::Record>& records, Revision oldest_served_revision,
+                          Revision revision) {
   *this = RecordTable();
   for (const auto& record : records) {
-    store(record);
+    store_record(record);
   }
-  oldest_delta_ = oldest_delta;
+  oldest_served_revision_ = oldest_served_revision;
   revision_ = std::max(revision_, revision);
 }
 
@@ -134,7 +135,7 @@
 template <typename Value>
 std::vector<Value> read_all(const RecordTable& table, std::string_view prefix) {
   std::vector<Value> result;
-  for (const auto* record : table.with_prefix(prefix)) {
+  for (const auto* record : table.find_by_prefix(prefix)) {
     if (auto value = wire::decode<Value>(record->value)) {
       result.push_back(std::move(*value));
     }
--- a/src/core/config/record_table.h
+++ b/src/core/config/record_table.h
@@ -41,33 +41,33 @@
   /// Revision of the last change to `key`, removals included; zero when it never existed.
   Revision revision_of(const std::string& key) const;
   /// Live records whose key starts with `prefix`, by key.
-  std::vector<const wire::Record*> with_prefix(std::string_view prefix) const;
+  std::vector<const wire::Record*> find_by_prefix(std::string_view prefix) const;
   /// Revision of the newest change to any key.
   Revision revision() const { return revision_; }
 
   /// Records changed after `since`, tombstones included; nothing when `since` is older than the kept tombstones, in
-  /// which case the reader needs `all_live`.
+  /// which case the reader needs `live_records`.
   std::optional<std::vector<wire::Record>> changes_since(Revision since) const;
-  std::vector<wire::Record> all_live() const;
+  std::vector<wire::Record> live_records() const;
 
   /// Replaces the content by a full copy (`full`) or merges changes; sets the revision.
-  void install(const std::vector<wire::Record>& records, bool full, Revision revision);
+  void apply_update(const std::vector<wire::Record>& records, bool replace_all, Revision revision);
   /// Forgets the oldest tombstones beyond `keep`.
-  void trim_tombstones(size_t keep);
+  void trim_tombstones(size_t max_tombstones);
 
   /// For snapshots: every record, tombstones included, and the oldest revision that `changes_since` can serve.
-  std::vector<wire::Record> dump() const;
-  Revision oldest_delta() const { return oldest_delta_; }
-  void restore(const std::vector<wire::Record>& records, Revision oldest_delta, Revision revision);
+  std::vector<wire::Record> all_records() const;
+  Revision oldest_served_revision() const { return oldest_served_revision_; }
+  void restore(const std::vector<wire::Record>& records, Revision oldest_served_revision, Revision revision);
 
  private:
-  void store(wire::Record record);
+  void store_record(wire::Record record);
 
   std::map<std::string, wire::Record, std::less<>> records_;
   std::set<std::pair<int64_t, std::string>> by_revision_;
-  size_t tombstones_ = 0;
+  size_t tombstone_count_ = 0;
   Revision revision_;
-  Revision oldest_delta_;
+  Revision oldest_served_revision_;
 };
 
 /// Decodes the value of the live record under `key`; nothing when absent or of another type.
--- a/src/core/control/control_leader.cc
+++ b/src/core/control/control_leader.cc
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr size_t kLargestClaimBatch = 512;
-constexpr size_t kClaimBatchesInFlight = 4;
-constexpr size_t kRememberedReplies = 64;
-constexpr size_t kAuditPage = 500;
+constexpr size_t kMaxClaimsPerBatch = 512;
+constexpr size_t kMaxClaimBatchesInFlight = 4;
+constexpr size_t kMaxReplyTimesPerNode = 64;
+constexpr size_t kMaxAuditRecordsPerReply = 500;
 constexpr Duration kSupervisionInterval = milliseconds(50);
-constexpr Duration kWatchInterval = milliseconds(200);
+constexpr Duration kWatchUpdateInterval = milliseconds(200);
 
 }  // namespace
 
@@ -21,23 +21,23 @@
 void ControlLeader::start(TimePoint now) {
   // Every lease of an earlier leader was granted while that leader held the log's lease, which ended before we could
   // be elected; so none outlives this moment by more than the longest lease.
-  quiet_until_ = now + with_drift_margin(options_.longest_lease());
+  old_leases_until_ = now + with_drift_margin(options_.longest_lease());
   nodes_.clear();
   presence_.clear();
   budgets_.clear();
-  reply_times_.clear();
-  watches_.clear();
-  watch_basis_.clear();
+  reply_sent_at_.clear();
+  watch_assignment_.clear();
+  watch_inputs_.clear();
   pending_changes_.clear();
   claim_batch_ = Proposal();
-  in_flight_.clear();
+  in_flight_proposals_.clear();
   tenants_.clear();
   tenants_revision_ = Revision(-1);
   outputs_ = Outputs();
-  groups_.start(now, quiet_until_);
+  groups_.start(now, old_leases_until_);
   replicas_.start(now);
-  next_supervision_ = now;
-  next_watch_update_ = now;
+  next_supervision_at_ = now;
+  next_watch_update_at_ = now;
   // Watch versions must differ between leaderships, else a node would take an old list for the present one.
   watch_version_ = to_microseconds(now);
 }
@@ -50,8 +50,8 @@
 
 // --------------------------------------------------------------- heartbeats
 
-wire::HeartbeatReply ControlLeader::heartbeat(TimePoint now, const wire::Envelope& envelope,
-                                              const consensus::RaftNode& raft, const ControlState& state) {
+wire::HeartbeatReply ControlLeader::on_heartbeat(TimePoint now, const wire::Envelope& envelope,
+                                                 const consensus::RaftNode& raft, const ControlState& state) {
   const wire::Heartbeat& heartbeat = envelope.heartbeat;
   const std::string& node = envelope.from_node;
   wire::HeartbeatReply reply;
@@ -60,33 +60,33 @@
   reply.term = raft.term();
   ++stats_.heartbeats;
 
-  membership::Arrival arrival{};
-  const auto* before = nodes_.find(node);
-  const Incarnation previous = before == nullptr ? Incarnation() : before->incarnation;
-  auto* row = nodes_.heard(now, node, Incarnation(envelope.from_incarnation), arrival);
-  if (row == nullptr) {
+  membership::SenderIncarnation sender_incarnation{};
+  const auto* known_node = nodes_.find(node);
+  const Incarnation previous_incarnation = known_node == nullptr ? Incarnation() : known_node->incarnation;
+  auto* node_record = nodes_.record_heartbeat(now, node, Incarnation(envelope.from_incarnation), sender_incarnation);
+  if (node_record == nullptr) {
     ++stats_.stale_heartbeats;
     return reply;
   }
-  if (arrival == membership::Arrival::kNewIncarnation) {
-    reply_times_.erase(node);
+  if (sender_incarnation == membership::SenderIncarnation::kNewIncarnation) {
+    reply_sent_at_.erase(node);
     wire::Command command;
     wire::EntryLoss loss;
     loss.entry = node;
-    loss.incarnation = previous.value();
+    loss.incarnation = previous_incarnation.value();
     command.__set_entry_loss(loss);
     propose(std::move(command));
   }
-  row->zone = heartbeat.zone;
-  row->leaving = heartbeat.leaving;
-  row->replica_id = ReplicaId(heartbeat.replica_id);
-  row->peer_address = heartbeat.peer_address;
-  row->service_address = heartbeat.service_address;
-  row->applied_revision = std::max(row->applied_revision, Revision(heartbeat.applied_revision));
-  note_sightings(now, node, heartbeat);
+  node_record->zone = heartbeat.zone;
+  node_record->leaving = heartbeat.leaving;
+  node_record->replica_id = ReplicaId(heartbeat.replica_id);
+  node_record->peer_address = heartbeat.peer_address;
+  node_record->service_address = heartbeat.service_address;
+  node_record->applied_revision = std::max(node_record->applied_revision, Revision(heartbeat.applied_revision));
+  record_sightings(now, node, heartbeat);
 
   const TimePoint configuration_until = now + with_drift_margin(options_.configuration_lease);
-  row->configuration_lease_until = std::max(row->configuration_lease_until, configuration_until);
+  node_record->configuration_lease_until = std::max(node_record->configuration_lease_until, configuration_until);
   fill_records(heartbeat, state, reply);
   reply.lease_ms = static_cast<int32_t>(std::chrono::duration_cast<milliseconds>(options_.configuration_lease).count());
   reply.serve_lease_ms = static_cast<int32_t>(std::chrono::duration_cast<milliseconds>(options_.serve_lease).count());
@@ -96,35 +96,35 @@
   fill_budgets(now, configuration_until, node, heartbeat, state, reply);
   reply.watch_version = watch_version_;
   if (heartbeat.watch_version != watch_version_) {
-    for (const auto& machine : watches_[node]) {
+    for (const auto& machine : watch_assignment_[node]) {
       wire::WatchTarget target;
       target.machine = machine;
-      const auto hint = hints_.find(machine);
+      const auto listed = listed_machines_.find(machine);
       const auto known = state.machines().find(machine);
-      target.endpoint = hint != hints_.end()              ? hint->second.endpoint
+      target.endpoint = listed != listed_machines_.end()  ? listed->second.endpoint
                         : known != state.machines().end() ? known->second.endpoint
                                                           : "";
       reply.watches.push_back(std::move(target));
     }
   }
-  auto& times = reply_times_[node];
-  times[heartbeat.sequence] = now;
-  while (times.size() > kRememberedReplies) {
-    times.erase(times.begin());
+  auto& sent_times = reply_sent_at_[node];
+  sent_times[heartbeat.sequence] = now;
+  while (sent_times.size() > kMaxReplyTimesPerNode) {
+    sent_times.erase(sent_times.begin());
   }
   return reply;
 }
 
-void ControlLeader::note_sightings(TimePoint now, const std::string& node, const wire::Heartbeat& heartbeat) {
+void ControlLeader::record_sightings(TimePoint now, const std::string& node, const wire::Heartbeat& heartbeat) {
   // The heartbeat was sent after the node received the reply it acknowledges, which we sent at a time that we know.
   // So "seen N ms ago" proves a sighting no earlier than that time less N, however long this heartbeat travelled.
-  const auto& times = reply_times_[node];
-  const auto acknowledged = times.find(heartbeat.acknowledged_sequence);
-  if (acknowledged == times.end() || acknowledged->second > now) {
+  const auto& sent_times = reply_sent_at_[node];
+  const auto acknowledged = sent_times.find(heartbeat.acknowledged_sequence);
+  if (acknowledged == sent_times.end() || acknowledged->second > now) {
     return;
   }
   for (const auto& sighting : heartbeat.sightings) {
-    presence_.note(sighting, acknowledged->second - milliseconds(sighting.seen_ago_ms));
+    presence_.record_sighting(sighting, acknowledged->second - milliseconds(sighting.seen_ago_ms));
   }
 }
 
@@ -138,7 +138,7 @@
     reply.records = std::move(*changes);
   } else {
     ++stats_.full_copies_sent;
-    reply.records = state.records().all_live();
+    reply.records = state.records().live_records();
   }
 }
 
@@ -146,14 +146,14 @@
                                  const wire::Heartbeat& heartbeat, const ControlState& state,
                                  wire::HeartbeatReply& reply) {
   if (heartbeat.leaving) {
-    budgets_.forget_node(node);
+    budgets_.remove_node(node);
     return;
   }
   if (tenants_revision_ != state.records().revision()) {
     tenants_revision_ = state.records().revision();
     tenants_ = config::read_all<wire::Tenant>(state.records(), config::kTenantPrefix);
   }
-  std::map<std::string_view, admission::BudgetAllocator::Report> reports;
+  std::map<std::string_view, admission::BudgetAllocator::DemandReport> reports;
   for (const auto& demand : heartbeat.demand) {
     reports[demand.tenant] = {demand.running, demand.waiting, demand.held};
   }
@@ -162,21 +162,21 @@
     wire::TenantBudget budget;
     budget.tenant = tenant.name;
     budget.concurrent =
-        budgets_.grant(now, tenant.name, tenant.max_concurrent, node, report, until, now >= quiet_until_);
+        budgets_.grant(now, tenant.name, tenant.max_concurrent, node, report, until, now >= old_leases_until_);
     reply.budgets.push_back(std::move(budget));
   }
 }
 
 // ------------------------------------------------------------------- claims
 
-void ControlLeader::claim_request(const std::string& node, const wire::ClaimRequest& request) {
+void ControlLeader::on_claim_request(const std::string& node, const wire::ClaimRequest& request) {
   ++stats_.claims;
   claim_batch_.command.claims.claims.push_back(request.claim);
   claim_batch_.command.__isset.claims = true;
   claim_batch_.claim_requests.emplace_back(node, request.request_id);
 }
 
-void ControlLeader::resolution_request(const std::string& node, const wire::ResolutionRequest& request) {
+void ControlLeader::on_resolution_request(const std::string& node, const wire::ResolutionRequest& request) {
   claim_batch_.command.resolutions.push_back(request.resolution);
   claim_batch_.command.__isset.resolutions = true;
   claim_batch_.resolution_requests.emplace_back(node, request.request_id);
@@ -192,33 +192,33 @@
   return envelope.operator_reply;
 }
 
-void ControlLeader::operator_request(TimePoint now, const std::string& node, const wire::OperatorRequest& request,
-                                     const consensus::RaftNode& raft, const ControlState& state) {
+void ControlLeader::on_operator_request(TimePoint now, const std::string& node, const wire::OperatorRequest& request,
+                                        const consensus::RaftNode& raft, const ControlState& state) {
   const bool changes = request.action == wire::OperatorAction::APPLY || request.action == wire::OperatorAction::DRAIN;
   if (!changes) {
     auto& reply = operator_reply(node, request.request_id);
     reply.answer.revision = state.records().revision().value();
     if (request.action == wire::OperatorAction::GET) {
-      for (const auto* record : state.records().with_prefix(request.prefix)) {
+      for (const auto* record : state.records().find_by_prefix(request.prefix)) {
         reply.records.push_back(*record);
       }
     } else if (request.action == wire::OperatorAction::AUDIT) {
       const auto& audit = state.audit();
-      const size_t from = audit.size() > kAuditPage ? audit.size() - kAuditPage : 0;
+      const size_t from = audit.size() > kMaxAuditRecordsPerReply ? audit.size() - kMaxAuditRecordsPerReply : 0;
       reply.audit.assign(audit.begin() + static_cast<std::ptrdiff_t>(from), audit.end());
     } else {
-      reply.__set_status(status(now, raft, state));
+      reply.__set_status(make_status_report(now, raft, state));
     }
     return;
   }
   if (request.action == wire::OperatorAction::APPLY && request.dry_run) {
-    operator_reply(node, request.request_id).answer = state.evaluate(request.change);
+    operator_reply(node, request.request_id).answer = state.check_change(request.change);
     return;
   }
   const std::string& command_id =
       request.action == wire::OperatorAction::APPLY ? request.change.command_id : request.drain.command_id;
   if (const auto* first = state.find_answer(command_id)) {
-    track_change(now, node, request.request_id, *first);
+    add_pending_change(now, node, request.request_id, *first);
     return;
   }
   Proposal proposal;
@@ -231,22 +231,22 @@
   outputs_.proposals.push_back(std::move(proposal));
 }
 
-void ControlLeader::track_change(TimePoint now, const std::string& node, int64_t request_id,
-                                 const wire::ChangeAnswer& answer) {
+void ControlLeader::add_pending_change(TimePoint now, const std::string& node, int64_t request_id,
+                                       const wire::ChangeAnswer& answer) {
   if (answer.verdict != wire::Verdict::ACCEPTED) {
     operator_reply(node, request_id).answer = answer;
     return;
   }
   std::erase_if(pending_changes_, [&](const auto& item) { return item.node == node && item.request_id == request_id; });
   pending_changes_.push_back(PendingChange{node, request_id, answer, now + options_.in_force_timeout});
-  answer_changes(now);
+  answer_pending_changes(now);
 }
 
-void ControlLeader::answer_changes(TimePoint now) {
+void ControlLeader::answer_pending_changes(TimePoint now) {
   std::erase_if(pending_changes_, [&](const PendingChange& change) {
     // Before the quiet time has passed, a holder of a lease from an earlier leader may be unknown to us.
-    const auto missing = nodes_.unconfirmed(now, Revision(change.answer.revision));
-    const bool in_force = now >= quiet_until_ && missing.empty();
+    const auto missing = nodes_.unconfirmed_lease_holders(now, Revision(change.answer.revision));
+    const bool in_force = now >= old_leases_until_ && missing.empty();
     if (!in_force && now < change.deadline) {
       return false;
     }
@@ -258,23 +258,23 @@
   });
 }
 
-wire::StatusReport ControlLeader::status(TimePoint now, const consensus::RaftNode& raft,
-                                         const ControlState& state) const {
+wire::StatusReport ControlLeader::make_status_report(TimePoint now, const consensus::RaftNode& raft,
+                                                     const ControlState& state) const {
   wire::StatusReport report;
   report.leader = node_;
   report.term = raft.term();
   report.commit_index = raft.commit_index();
   report.replicas = raft.replicas();
-  for (const auto& [name, row] : nodes_.rows()) {
+  for (const auto& [name, node_record] : nodes_.all_nodes()) {
     wire::NodeStatus status;
     status.node = name;
-    status.zone = row.zone;
-    status.incarnation = row.incarnation.value();
-    status.revision = row.applied_revision.value();
-    status.live = now - row.last_heard <= options_.node_timeout;
-    status.leaving = row.leaving;
-    status.replica_id = row.replica_id.value();
-    status.service_address = row.service_address;
+    status.zone = node_record.zone;
+    status.incarnation = node_record.incarnation.value();
+    status.revision = node_record.applied_revision.value();
+    status.live = now - node_record.last_heartbeat_at <= options_.node_timeout;
+    status.leaving = node_record.leaving;
+    status.replica_id = node_record.replica_id.value();
+    status.service_address = node_record.service_address;
     report.nodes.push_back(std::move(status));
   }
   for (const auto& [id, machine] : state.machines()) {
@@ -289,10 +289,10 @@
 
 // ------------------------------------------------------- machines and nodes
 
-void ControlLeader::membership_list(const std::vector<wire::Machine>& machines) {
+void ControlLeader::on_membership_list(const std::vector<wire::Machine>& machines) {
   std::set<std::string> leaving;
   for (const auto& machine : machines) {
-    hints_[machine.id] = machine;
+    listed_machines_[machine.id] = machine;
     if (machine.leaving) {
       leaving.insert(machine.id);
     }
@@ -302,43 +302,44 @@
 
 void ControlLeader::update_watches(TimePoint now, const ControlState& state) {
   std::vector<membership::WatcherCandidate> candidates;
-  std::vector<std::string> basis;
-  for (const auto* row : nodes_.live(now, options_.node_timeout)) {
-    candidates.push_back({row->node, row->zone});
-    basis.push_back(row->node + "@" + row->zone);
+  std::vector<std::string> inputs;
+  for (const auto* node_record : nodes_.live_nodes(now, options_.node_timeout)) {
+    candidates.push_back({node_record->node, node_record->zone});
+    inputs.push_back(node_record->node + "@" + node_record->zone);
   }
   std::vector<std::string> machines;
-  for (const auto& [id, hint] : hints_) {
+  for (const auto& [id, listed] : listed_machines_) {
     machines.push_back(id);
   }
   for (const auto& [id, machine] : state.machines()) {
-    if (!hints_.contains(id)) {
+    if (!listed_machines_.contains(id)) {
       machines.push_back(id);
     }
   }
-  basis.insert(basis.end(), machines.begin(), machines.end());
-  if (basis == watch_basis_) {
+  inputs.insert(inputs.end(), machines.begin(), machines.end());
+  if (inputs == watch_inputs_) {
     return;
   }
-  watch_basis_ = std::move(basis);
-  watches_ = membership::assign_watchers(candidates, machines, options_.watchers_per_machine);
+  watch_inputs_ = std::move(inputs);
+  watch_assignment_ = membership::assign_watchers(candidates, machines, options_.watchers_per_machine);
   ++watch_version_;
 }
 
 void ControlLeader::propose_observations(const ControlState& state) {
-  for (const auto& [id, sighting] : presence_.all()) {
+  for (const auto& [id, sighting] : presence_.all_sightings()) {
     const auto known = state.machines().find(id);
-    const auto hint = hints_.find(id);
+    const auto listed = listed_machines_.find(id);
     const bool is_new = known == state.machines().end();
-    const bool reborn = !is_new && known->second.incarnation < sighting.incarnation;
-    const bool leaves = !is_new && hint != hints_.end() && hint->second.leaving && !known->second.leaving;
-    if ((is_new && hint == hints_.end()) || !(is_new || reborn || leaves)) {
+    const bool restarted = !is_new && known->second.incarnation < sighting.incarnation;
+    const bool newly_leaving =
+        !is_new && listed != listed_machines_.end() && listed->second.leaving && !known->second.leaving;
+    if ((is_new && listed == listed_machines_.end()) || !(is_new || restarted || newly_leaving)) {
       continue;
     }
     wire::Command command;
     wire::MachineObservation observation;
-    observation.machine = is_new ? hint->second : known->second;
-    observation.machine.leaving = observation.machine.leaving || leaves;
+    observation.machine = is_new ? listed->second : known->second;
+    observation.machine.leaving = observation.machine.leaving || newly_leaving;
     observation.machine.incarnation = sighting.incarnation;
     command.__set_machine_observation(observation);
     propose(std::move(command));
@@ -346,15 +347,15 @@
 }
 
 void ControlLeader::propose_entry_losses(TimePoint now) {
-  for (const auto& row : nodes_.forget_silent(now, options_.node_forget)) {
+  for (const auto& node_record : nodes_.remove_silent(now, options_.node_removal_timeout)) {
     wire::Command command;
     wire::EntryLoss loss;
-    loss.entry = row.node;
-    loss.incarnation = row.incarnation.value();
+    loss.entry = node_record.node;
+    loss.incarnation = node_record.incarnation.value();
     command.__set_entry_loss(loss);
     propose(std::move(command));
-    budgets_.forget_node(row.node);
-    reply_times_.erase(row.node);
+    budgets_.remove_node(node_record.node);
+    reply_sent_at_.erase(node_record.node);
   }
 }
 
@@ -366,18 +367,18 @@
   outputs_.proposals.push_back(std::move(proposal));
 }
 
-void ControlLeader::proposed(int64_t index, int64_t term, Proposal proposal) {
+void ControlLeader::on_proposal_appended(int64_t index, int64_t term, Proposal proposal) {
   proposal.term = term;
-  in_flight_[index] = std::move(proposal);
+  in_flight_proposals_[index] = std::move(proposal);
 }
 
-void ControlLeader::applied(TimePoint now, int64_t index, int64_t term, const ApplyResult& result) {
-  const auto found = in_flight_.find(index);
-  if (found == in_flight_.end()) {
+void ControlLeader::on_entry_applied(TimePoint now, int64_t index, int64_t term, const ApplyResult& result) {
+  const auto found = in_flight_proposals_.find(index);
+  if (found == in_flight_proposals_.end()) {
     return;
   }
   const Proposal proposal = std::move(found->second);
-  in_flight_.erase(found);
+  in_flight_proposals_.erase(found);
   if (proposal.term != term) {
     return;
   }
@@ -389,8 +390,8 @@
     envelope.claim_reply.request_id = request_id;
     envelope.claim_reply.decided = true;
     envelope.claim_reply.granted = decision.granted;
-    envelope.claim_reply.standing = decision.standing;
-    envelope.claim_reply.message = decision.expired_key ? "expired" : "";
+    envelope.claim_reply.standing = decision.existing_claim;
+    envelope.claim_reply.message = decision.key_expired ? "expired" : "";
   }
   for (const auto& [node, request_id] : proposal.resolution_requests) {
     auto& envelope = envelope_to(node);
@@ -398,35 +399,35 @@
     envelope.resolution_reply.request_id = request_id;
   }
   if (proposal.operator_request && result.change_answer) {
-    track_change(now, proposal.operator_request->first, proposal.operator_request->second, *result.change_answer);
+    add_pending_change(now, proposal.operator_request->first, proposal.operator_request->second, *result.change_answer);
   }
 }
 
 void ControlLeader::tick(TimePoint now, const consensus::RaftNode& raft, const ControlState& state) {
-  if (now >= next_watch_update_) {
-    next_watch_update_ = now + kWatchInterval;
+  if (now >= next_watch_update_at_) {
+    next_watch_update_at_ = now + kWatchUpdateInterval;
     update_watches(now, state);
   }
-  answer_changes(now);
+  answer_pending_changes(now);
   size_t claim_batches = 0;
-  bool supervising = true;
-  for (const auto& [index, proposal] : in_flight_) {
+  bool may_supervise = true;
+  for (const auto& [index, proposal] : in_flight_proposals_) {
     const bool claims = !proposal.claim_requests.empty() || !proposal.resolution_requests.empty();
     claim_batches += claims ? 1 : 0;
-    supervising = supervising && claims;
+    may_supervise = may_supervise && claims;
   }
   const bool has_claims = !claim_batch_.claim_requests.empty() || !claim_batch_.resolution_requests.empty();
   if (has_claims &&
-      (claim_batches < kClaimBatchesInFlight || claim_batch_.claim_requests.size() >= kLargestClaimBatch)) {
+      (claim_batches < kMaxClaimBatchesInFlight || claim_batch_.claim_requests.size() >= kMaxClaimsPerBatch)) {
     ++stats_.claim_batches;
     outputs_.proposals.push_back(std::move(claim_batch_));
     claim_batch_ = Proposal();
   }
   // Supervision waits for its own earlier proposals, so that it always judges a state that includes them.
-  if (!supervising || now < next_supervision_) {
+  if (!may_supervise || now < next_supervision_at_) {
     return;
   }
-  next_supervision_ = now + kSupervisionInterval;
+  next_supervision_at_ = now + kSupervisionInterval;
   propose_observations(state);
   propose_entry_losses(now);
   auto actions = groups_.tick(now, raft.term(), state, presence_);
--- a/src/core/control/control_leader.h
+++ b/src/core/control/control_leader.h
@@ -53,21 +53,21 @@
     std::vector<wire::Envelope> envelopes;
   };
 
-  wire::HeartbeatReply heartbeat(TimePoint now, const wire::Envelope& envelope, const consensus::RaftNode& raft,
-                                 const ControlState& state);
-  void claim_request(const std::string& node, const wire::ClaimRequest& request);
-  void resolution_request(const std::string& node, const wire::ResolutionRequest& request);
-  void operator_request(TimePoint now, const std::string& node, const wire::OperatorRequest& request,
-                        const consensus::RaftNode& raft, const ControlState& state);
+  wire::HeartbeatReply on_heartbeat(TimePoint now, const wire::Envelope& envelope, const consensus::RaftNode& raft,
+                                    const ControlState& state);
+  void on_claim_request(const std::string& node, const wire::ClaimRequest& request);
+  void on_resolution_request(const std::string& node, const wire::ResolutionRequest& request);
+  void on_operator_request(TimePoint now, const std::string& node, const wire::OperatorRequest& request,
+                           const consensus::RaftNode& raft, const ControlState& state);
   /// The platform's membership list: hints on which machines exist and which are leaving.
-  void membership_list(const std::vector<wire::Machine>& machines);
-  void order_result(const OrderResult& result) { groups_.order_result(result); }
+  void on_membership_list(const std::vector<wire::Machine>& machines);
+  void on_order_result(const OrderResult& result) { groups_.on_order_result(result); }
 
   /// A proposal stands in the log at `index`, appended in `term`.
-  void proposed(int64_t index, int64_t term, Proposal proposal);
+  void on_proposal_appended(int64_t index, int64_t term, Proposal proposal);
   /// The log entry at `index`, of `term`, was applied with this result. An entry of another term than the proposal's is
   /// another leader's: ours was overwritten, and whoever waits for it must ask again.
-  void applied(TimePoint now, int64_t index, int64_t term, const ApplyResult& result);
+  void on_entry_applied(TimePoint now, int64_t index, int64_t term, const ApplyResult& result);
   void tick(TimePoint now, const consensus::RaftNode& raft, const ControlState& state);
   Outputs take_outputs();
 
@@ -84,38 +84,39 @@
     TimePoint deadline{};
   };
 
-  void note_sightings(TimePoint now, const std::string& node, const wire::Heartbeat& heartbeat);
+  void record_sightings(TimePoint now, const std::string& node, const wire::Heartbeat& heartbeat);
   void fill_records(const wire::Heartbeat& heartbeat, const ControlState& state, wire::HeartbeatReply& reply);
   void fill_budgets(TimePoint now, TimePoint until, const std::string& node, const wire::Heartbeat& heartbeat,
                     const ControlState& state, wire::HeartbeatReply& reply);
   void update_watches(TimePoint now, const ControlState& state);
   void propose_observations(const ControlState& state);
   void propose_entry_losses(TimePoint now);
-  void answer_changes(TimePoint now);
+  void answer_pending_changes(TimePoint now);
   void propose(wire::Command command);
-  void track_change(TimePoint now, const std::string& node, int64_t request_id, const wire::ChangeAnswer& answer);
+  void add_pending_change(TimePoint now, const std::string& node, int64_t request_id, const wire::ChangeAnswer& answer);
   wire::OperatorReply& operator_reply(const std::string& node, int64_t request_id);
-  wire::StatusReport status(TimePoint now, const consensus::RaftNode& raft, const ControlState& state) const;
+  wire::StatusReport make_status_report(TimePoint now, const consensus::RaftNode& raft,
+                                        const ControlState& state) const;
   wire::Envelope& envelope_to(const std::string& node);
 
   ControlOptions options_;
   std::string node_;
-  TimePoint quiet_until_{};
+  TimePoint old_leases_until_{};
   membership::NodeDirectory nodes_;
   PresenceTable presence_;
   GroupSupervisor groups_;
   ReplicaSupervisor replicas_;
   admission::BudgetAllocator budgets_;
-  std::map<std::string, wire::Machine> hints_;
-  std::map<std::string, std::map<int64_t, TimePoint>> reply_times_;
-  membership::WatchAssignment watches_;
-  std::vector<std::string> watch_basis_;
+  std::map<std::string, wire::Machine> listed_machines_;
+  std::map<std::string, std::map<int64_t, TimePoint>> reply_sent_at_;
+  membership::WatchAssignment watch_assignment_;
+  std::vector<std::string> watch_inputs_;
   int64_t watch_version_ = 0;
-  TimePoint next_supervision_{};
-  TimePoint next_watch_update_{};
+  TimePoint next_supervision_at_{};
+  TimePoint next_watch_update_at_{};
   std::vector<PendingChange> pending_changes_;
   Proposal claim_batch_;
-  std::map<int64_t, Proposal> in_flight_;
+  std::map<int64_t, Proposal> in_flight_proposals_;
   /// The tenants as of `tenants_revision_`, decoded once per change.
   std::vector<wire::Tenant> tenants_;
   Revision tenants_revision_{-1};
--- a/src/core/control/control_options.h
+++ b/src/core/control/control_options.h
@@ -17,22 +17,22 @@
   /// A node silent for this long watches no machines any more.
   Duration node_timeout = milliseconds(2500);
   /// A node silent for this long ended, as far as its requests in progress are concerned.
-  Duration node_forget = seconds(10);
+  Duration node_removal_timeout = seconds(10);
   /// A voter silent for this long is replaced when another disk is free.
   Duration replica_timeout = seconds(8);
   /// Voters that a repair never goes below, whatever is lost.
   size_t minimum_voters = 1;
   Duration planning_interval = milliseconds(500);
   /// An order to an engine that is not answered in this time is sent again.
-  Duration order_retry = milliseconds(1000);
+  Duration order_retry_interval = milliseconds(1000);
   /// Longest wait for requests in flight when a group drains.
   Duration drain_timeout = seconds(600);
   /// Longest wait of an operator's answer for the change to be in force.
   Duration in_force_timeout = seconds(5);
   size_t watchers_per_machine = 2;
   /// Log entries applied between two snapshots, and how many stay for replicas that lag.
-  int64_t snapshot_interval = 20'000;
-  int64_t snapshot_trailing = 2'000;
+  int64_t snapshot_interval_entries = 20'000;
+  int64_t snapshot_trailing_entries = 2'000;
 
   Duration longest_lease() const { return configuration_lease > serve_lease ? configuration_lease : serve_lease; }
 };
--- a/src/core/control/control_state.cc
+++ b/src/core/control/control_state.cc
@@ -58,14 +58,14 @@
     }
   }
   if (command.__isset.entry_loss) {
-    claims_.end_incarnation(command.entry_loss.entry, Incarnation(command.entry_loss.incarnation));
+    claims_.mark_outcomes_unknown(command.entry_loss.entry, Incarnation(command.entry_loss.incarnation));
   }
   claims_.expire(clock_ms_);
-  records_.trim_tombstones(kTombstones);
+  records_.trim_tombstones(kMaxTombstones);
   return result;
 }
 
-void ControlState::extend_history(int64_t index, std::string_view payload) {
+void ControlState::extend_history_digest(int64_t index, std::string_view payload) {
   const uint64_t seed = history_digest_ ^ static_cast<uint64_t>(index);
   history_digest_ = XXH3_64bits_withSeed(payload.data(), payload.size(), seed);
 }
@@ -77,19 +77,19 @@
   return found == answers_.end() ? nullptr : &found->second;
 }
 
-wire::ChangeAnswer ControlState::evaluate(const wire::ConfigurationChange& change) const {
-  const auto certification = config::certify(records_, change);
+wire::ChangeAnswer ControlState::check_change(const wire::ConfigurationChange& change) const {
+  const auto certification = config::certify_change(records_, change);
   if (!certification.accepted) {
     return make_answer(
-        wire::Verdict::CONFLICT, certification.winner_revision,
-        certification.key + " was changed at revision " + std::to_string(certification.winner_revision.value()) +
+        wire::Verdict::CONFLICT, certification.current_revision,
+        certification.key + " was changed at revision " + std::to_string(certification.current_revision.value()) +
             " since you read it; read it again, redo the change on top and apply under a new command id");
   }
-  const auto faults = config::validate(records_, change, fleet_shape());
-  if (!faults.empty()) {
+  const auto errors = config::validate_change(records_, change, fleet_topology());
+  if (!errors.empty()) {
     std::string message;
-    for (const auto& fault : faults) {
-      message += (message.empty() ? "" : "\n") + fault;
+    for (const auto& error : errors) {
+      message += (message.empty() ? "" : "\n") + error;
     }
     return make_answer(wire::Verdict::INVALID, records_.revision(), std::move(message));
   }
@@ -100,11 +100,11 @@
   if (const auto* first = find_answer(change.command_id)) {
     return *first;
   }
-  wire::ChangeAnswer answer = evaluate(change);
+  wire::ChangeAnswer answer = check_change(change);
   std::vector<wire::KeyRevision> changed_from;
   if (answer.verdict == wire::Verdict::ACCEPTED) {
     answer.revision = revision.value();
-    changed_from = config::read_set(records_, change.writes);
+    changed_from = config::make_read_set(records_, change.writes);
     for (const auto& write : change.writes) {
       if (write.remove) {
         records_.remove(write.key, revision);
@@ -114,7 +114,7 @@
     }
     claims_.set_window_ms(1000LL * fleet_parameters().claim_window_seconds);
   }
-  remember_answer(change.operator_name, change.command_id, answer, std::move(changed_from));
+  store_answer(change.operator_name, change.command_id, answer, std::move(changed_from));
   return answer;
 }
 
@@ -131,17 +131,17 @@
     machine->second.leaving = drain.leaving;
     answer = make_answer(wire::Verdict::ACCEPTED, revision, drain.leaving ? "draining" : "back in use");
   }
-  remember_answer(drain.operator_name, drain.command_id, answer, {});
+  store_answer(drain.operator_name, drain.command_id, answer, {});
   return answer;
 }
 
-void ControlState::remember_answer(const std::string& operator_name, const std::string& command_id,
-                                   const wire::ChangeAnswer& answer, std::vector<wire::KeyRevision> changed_from) {
+void ControlState::store_answer(const std::string& operator_name, const std::string& command_id,
+                                const wire::ChangeAnswer& answer, std::vector<wire::KeyRevision> changed_from) {
   answers_[command_id] = answer;
-  answer_order_.push_back(command_id);
-  if (answer_order_.size() > kRememberedAnswers) {
-    answers_.erase(answer_order_.front());
-    answer_order_.pop_front();
+  answer_ids_by_age_.push_back(command_id);
+  if (answer_ids_by_age_.size() > kMaxStoredAnswers) {
+    answers_.erase(answer_ids_by_age_.front());
+    answer_ids_by_age_.pop_front();
   }
   wire::AuditRecord record;
   record.operator_name = operator_name;
@@ -152,7 +152,7 @@
   record.at_ms = clock_ms_;
   record.message = answer.message;
   audit_.push_back(std::move(record));
-  if (audit_.size() > kAuditRecords) {
+  if (audit_.size() > kMaxAuditRecords) {
     audit_.pop_front();
   }
 }
@@ -169,14 +169,14 @@
   return parameters;
 }
 
-config::FleetShape ControlState::fleet_shape() const {
-  config::FleetShape shape;
+config::FleetTopology ControlState::fleet_topology() const {
+  config::FleetTopology topology;
   std::map<std::string, size_t> domains;
   for (const auto& [id, machine] : machines_) {
-    shape.zones.insert(machine.zone);
-    shape.largest_domain = std::max(shape.largest_domain, ++domains[machine.domain]);
+    topology.zones.insert(machine.zone);
+    topology.largest_domain_machines = std::max(topology.largest_domain_machines, ++domains[machine.domain]);
   }
-  return shape;
+  return topology;
 }
 
 // ------------------------------------------------------- machines and groups
@@ -209,8 +209,9 @@
 }
 
 std::optional<int64_t> ControlState::apply_creation(Revision revision, const wire::GroupCreation& creation) {
-  const auto shape = config::read_value<wire::Template>(records_, config::template_key(creation.template_name));
-  if (!shape || creation.machines.size() != static_cast<size_t>(shape->machines_per_group)) {
+  const auto group_template =
+      config::read_value<wire::Template>(records_, config::template_key(creation.template_name));
+  if (!group_template || creation.machines.size() != static_cast<size_t>(group_template->machines_per_group)) {
     return std::nullopt;
   }
   const std::set<std::string> distinct(creation.machines.begin(), creation.machines.end());
@@ -232,10 +233,10 @@
   // Epochs rise over the whole fleet, so a machine can refuse every order older than the newest it has seen.
   group.epoch = static_cast<int32_t>(group.id);
   group.state = wire::GroupState::PLANNED;
-  group.template_name = shape->name;
-  group.model = shape->model;
-  group.version = shape->version;
-  group.adapters = shape->adapters;
+  group.template_name = group_template->name;
+  group.model = group_template->model;
+  group.version = group_template->version;
+  group.adapters = group_template->adapters;
   group.zone = creation.zone;
   group.domain = creation.domain;
   group.endpoint = machines_[group.machines.front()].endpoint;
@@ -256,7 +257,7 @@
     return;
   }
   wire::Group group = found->second;
-  if (!placement::event_between(group.state, transition.to)) {
+  if (!placement::find_event(group.state, transition.to)) {
     return;
   }
   if (transition.to == wire::GroupState::RELEASING) {
@@ -327,13 +328,13 @@
 std::string ControlState::snapshot() const {
   wire::ControlSnapshot snapshot;
   snapshot.applied_index = applied_index_;
-  snapshot.records = records_.dump();
+  snapshot.records = records_.all_records();
   for (const auto& [id, machine] : machines_) {
     snapshot.machines.push_back(machine);
   }
-  snapshot.claims = claims_.dump();
+  snapshot.claims = claims_.all_claims();
   snapshot.audit.assign(audit_.begin(), audit_.end());
-  for (const auto& command_id : answer_order_) {
+  for (const auto& command_id : answer_ids_by_age_) {
     wire::CommandAnswer answer;
     answer.command_id = command_id;
     answer.answer = answers_.at(command_id);
@@ -342,7 +343,7 @@
   snapshot.next_group_id = next_group_id_;
   snapshot.clock_ms = clock_ms_;
   snapshot.history_digest = static_cast<int64_t>(history_digest_);
-  snapshot.oldest_delta_revision = records_.oldest_delta().value();
+  snapshot.oldest_delta_revision = records_.oldest_served_revision().value();
   return wire::encode(snapshot);
 }
 
@@ -369,7 +370,7 @@
   audit_.assign(snapshot->audit.begin(), snapshot->audit.end());
   for (const auto& answer : snapshot->answers) {
     answers_[answer.command_id] = answer.answer;
-    answer_order_.push_back(answer.command_id);
+    answer_ids_by_age_.push_back(answer.command_id);
   }
   return true;
 }
--- a/src/core/control/control_state.h
+++ b/src/core/control/control_state.h
@@ -30,16 +30,16 @@
 /// Deterministic, no I/O, no clock: time comes with the commands. Single-threaded.
 class ControlState {
  public:
-  static constexpr size_t kAuditRecords = 20'000;
-  static constexpr size_t kRememberedAnswers = 50'000;
-  static constexpr size_t kTombstones = 2'000;
+  static constexpr size_t kMaxAuditRecords = 20'000;
+  static constexpr size_t kMaxStoredAnswers = 50'000;
+  static constexpr size_t kMaxTombstones = 2'000;
 
   /// Applies the command at log index `index`; indexes must rise. Never throws; a command that no longer fits the
   /// state changes nothing.
   ApplyResult apply(int64_t index, const wire::Command& command);
 
   /// Chains the raw bytes of the entry just applied into the history digest.
-  void extend_history(int64_t index, std::string_view payload);
+  void extend_history_digest(int64_t index, std::string_view payload);
   /// Equal on all replicas that applied the same entries; tells apart replicas that did not.
   uint64_t history_digest() const { return history_digest_; }
 
@@ -52,9 +52,9 @@
   const std::deque<wire::AuditRecord>& audit() const { return audit_; }
   const wire::ChangeAnswer* find_answer(const std::string& command_id) const;
   wire::FleetParameters fleet_parameters() const;
-  config::FleetShape fleet_shape() const;
+  config::FleetTopology fleet_topology() const;
   /// The verdict that a change would get now; for dry runs and for validation before the log.
-  wire::ChangeAnswer evaluate(const wire::ConfigurationChange& change) const;
+  wire::ChangeAnswer check_change(const wire::ConfigurationChange& change) const;
 
   std::string snapshot() const;
   /// False when the bytes are unreadable; the state is then unchanged.
@@ -70,8 +70,8 @@
   void start_release(Revision revision, wire::Group& group);
   void finish_release(Revision revision, int64_t group_id);
   void store_group(Revision revision, const wire::Group& group);
-  void remember_answer(const std::string& operator_name, const std::string& command_id,
-                       const wire::ChangeAnswer& answer, std::vector<wire::KeyRevision> changed_from);
+  void store_answer(const std::string& operator_name, const std::string& command_id, const wire::ChangeAnswer& answer,
+                    std::vector<wire::KeyRevision> changed_from);
 
   int64_t applied_index_ = 0;
   int64_t clock_ms_ = 0;
@@ -82,7 +82,7 @@
   std::map<int64_t, wire::Group> groups_;
   ledger::ClaimTable claims_;
   std::map<std::string, wire::ChangeAnswer> answers_;
-  std::deque<std::string> answer_order_;
+  std::deque<std::string> answer_ids_by_age_;
   std::deque<wire::AuditRecord> audit_;
 };
 
--- a/src/core/control/group_supervisor.cc
+++ b/src/core/control/group_supervisor.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// How long a list of leases may be handed out before it is worked out anew.
-constexpr Duration kLeaseListAge = milliseconds(20);
+constexpr Duration kMaxLeaseListAge = milliseconds(20);
 
 }  // namespace
 
@@ -20,24 +20,24 @@
           {}};
 }
 
-void GroupSupervisor::start(TimePoint now, TimePoint quiet_until) {
-  started_ = now;
-  quiet_until_ = quiet_until;
-  next_plan_ = quiet_until;
-  lease_until_.clear();
+void GroupSupervisor::start(TimePoint now, TimePoint old_leases_until) {
+  term_started_at_ = now;
+  old_leases_until_ = old_leases_until;
+  next_plan_at_ = old_leases_until;
+  granted_until_.clear();
   draining_since_.clear();
-  loads_.clear();
-  releases_.clear();
+  load_orders_.clear();
+  release_orders_.clear();
   leases_.clear();
   leases_valid_until_ = TimePoint::min();
-  leases_index_ = -1;
+  leases_applied_index_ = -1;
   last_plan_ = placement::Plan();
 }
 
 GroupSupervisor::Actions GroupSupervisor::tick(TimePoint now, int64_t term, const ControlState& state,
                                                const PresenceTable& presence) {
   Actions actions;
-  if (now < quiet_until_) {
+  if (now < old_leases_until_) {
     return actions;
   }
   term_ = term;
@@ -46,33 +46,33 @@
     loads_in_progress_ += group.state == wire::GroupState::LOADING ? 1 : 0;
   }
   for (const auto& [id, group] : state.groups()) {
-    supervise(now, group, state, presence, actions);
+    advance_group(now, group, state, presence, actions);
   }
   // Plans only on a settled state: a plan made while transitions are under way would count machines twice.
-  if (actions.proposals.empty() && now >= next_plan_) {
-    next_plan_ = now + options_.planning_interval;
+  if (actions.proposals.empty() && now >= next_plan_at_) {
+    next_plan_at_ = now + options_.planning_interval;
     run_planner(state, presence, now, actions);
   }
-  const auto forget = [&state](const auto& item) { return !state.groups().contains(item.first.second); };
-  std::erase_if(loads_, forget);
-  std::erase_if(releases_, forget);
+  const auto group_was_removed = [&state](const auto& item) { return !state.groups().contains(item.first.second); };
+  std::erase_if(load_orders_, group_was_removed);
+  std::erase_if(release_orders_, group_was_removed);
   return actions;
 }
 
-void GroupSupervisor::supervise(TimePoint now, const wire::Group& group, const ControlState& state,
-                                const PresenceTable& presence, Actions& actions) {
+void GroupSupervisor::advance_group(TimePoint now, const wire::Group& group, const ControlState& state,
+                                    const PresenceTable& presence, Actions& actions) {
   if (group.state == wire::GroupState::RELEASING) {
-    release(now, group, state, presence, actions);
+    release_group(now, group, state, presence, actions);
     return;
   }
-  if (member_lost(now, group, state, presence)) {
+  if (has_lost_member(now, group, state, presence)) {
     ++stats_.groups_lost;
     propose_transition(group, wire::GroupState::RELEASING, actions);
     return;
   }
   switch (group.state) {
     case wire::GroupState::PLANNED:
-      load(now, group, state, actions);
+      load_group(now, group, state, actions);
       break;
     case wire::GroupState::LOADING:
       if (all_loaded(group, presence)) {
@@ -93,10 +93,10 @@
   }
 }
 
-bool GroupSupervisor::member_lost(TimePoint now, const wire::Group& group, const ControlState& state,
-                                  const PresenceTable& presence) const {
+bool GroupSupervisor::has_lost_member(TimePoint now, const wire::Group& group, const ControlState& state,
+                                      const PresenceTable& presence) const {
   // A new leader has seen nobody yet: machines get one bound from its first tick on to show up.
-  const bool settled = now >= quiet_until_ + options_.presence_bound;
+  const bool had_time_to_be_seen = now >= old_leases_until_ + options_.presence_bound;
   for (size_t rank = 0; rank < group.machines.size(); ++rank) {
     const std::string& id = group.machines[rank];
     const auto machine = state.machines().find(id);
@@ -104,10 +104,11 @@
       return true;
     }
     const auto* sighting = presence.find(id);
-    if (sighting != nullptr && sighting->incarnation != group.incarnations[rank] && sighting->seen_at > started_) {
+    if (sighting != nullptr && sighting->incarnation != group.incarnations[rank] &&
+        sighting->seen_at > term_started_at_) {
       return true;
     }
-    if (settled && !presence.is_present(id, group.incarnations[rank], now, options_.presence_bound)) {
+    if (had_time_to_be_seen && !presence.is_present(id, group.incarnations[rank], now, options_.presence_bound)) {
       return true;
     }
   }
@@ -122,7 +123,7 @@
 }
 
 bool GroupSupervisor::is_drained(TimePoint now, const wire::Group& group, const PresenceTable& presence) {
-  if (!leases_ended(now, group.id)) {
+  if (!have_leases_expired(now, group.id)) {
     return false;
   }
   const TimePoint since = draining_since_.try_emplace(group.id, now).first->second;
@@ -135,14 +136,14 @@
   return sighting != nullptr && sighting->seen_at > since + options_.presence_bound && sighting->load == 0;
 }
 
-bool GroupSupervisor::leases_ended(TimePoint now, int64_t group_id) const {
-  const auto found = lease_until_.find(group_id);
-  return now >= quiet_until_ && (found == lease_until_.end() || now >= found->second);
+bool GroupSupervisor::have_leases_expired(TimePoint now, int64_t group_id) const {
+  const auto found = granted_until_.find(group_id);
+  return now >= old_leases_until_ && (found == granted_until_.end() || now >= found->second);
 }
 
-void GroupSupervisor::load(TimePoint now, const wire::Group& group, const ControlState& state, Actions& actions) {
-  const bool begun = loads_.contains(OrderKey(group.machines.front(), group.epoch));
-  if (!begun && loads_in_progress_ >= state.fleet_parameters().max_concurrent_loads) {
+void GroupSupervisor::load_group(TimePoint now, const wire::Group& group, const ControlState& state, Actions& actions) {
+  const bool load_started = load_orders_.contains(OrderKey(group.machines.front(), group.epoch));
+  if (!load_started && loads_in_progress_ >= state.fleet_parameters().max_concurrent_loads) {
     return;  // The weight store is rate-limited: groups wait here rather than all load slowly.
   }
   ++loads_in_progress_;
@@ -155,9 +156,9 @@
   }
 }
 
-void GroupSupervisor::release(TimePoint now, const wire::Group& group, const ControlState& state,
-                              const PresenceTable& presence, Actions& actions) {
-  if (!leases_ended(now, group.id)) {
+void GroupSupervisor::release_group(TimePoint now, const wire::Group& group, const ControlState& state,
+                                    const PresenceTable& presence, Actions& actions) {
+  if (!have_leases_expired(now, group.id)) {
     return;
   }
   for (size_t rank = 0; rank < group.machines.size(); ++rank) {
@@ -184,12 +185,12 @@
 
 bool GroupSupervisor::send_order(TimePoint now, OrderKind kind, const wire::Group& group, size_t rank,
                                  const ControlState& state, Actions& actions) {
-  auto& table = kind == OrderKind::kLoad ? loads_ : releases_;
+  auto& table = kind == OrderKind::kLoad ? load_orders_ : release_orders_;
   OrderProgress& progress = table[OrderKey(group.machines[rank], group.epoch)];
   if (progress.done) {
     return true;
   }
-  if (progress.sent_at != TimePoint::min() && now - progress.sent_at < options_.order_retry) {
+  if (progress.sent_at != TimePoint::min() && now - progress.sent_at < options_.order_retry_interval) {
     return false;
   }
   progress.sent_at = now;
@@ -211,17 +212,18 @@
   return false;
 }
 
-void GroupSupervisor::order_result(const OrderResult& result) {
-  auto& table = result.kind == OrderKind::kLoad ? loads_ : releases_;
+void GroupSupervisor::on_order_result(const OrderResult& result) {
+  auto& table = result.kind == OrderKind::kLoad ? load_orders_ : release_orders_;
   const auto found = table.find(OrderKey(result.machine, result.epoch));
   if (found == table.end()) {
     return;
   }
   stats_.orders_fenced += result.verdict == OrderVerdict::kFenced ? 1 : 0;
   // A machine that has accepted a newer epoch, or restarted, holds nothing of this one: released all the same.
-  const bool holds_nothing = result.kind == OrderKind::kRelease && (result.verdict == OrderVerdict::kFenced ||
-                                                                    result.verdict == OrderVerdict::kWrongIncarnation);
-  found->second.done = found->second.done || result.verdict == OrderVerdict::kDone || holds_nothing;
+  const bool already_released =
+      result.kind == OrderKind::kRelease &&
+      (result.verdict == OrderVerdict::kFenced || result.verdict == OrderVerdict::kWrongIncarnation);
+  found->second.done = found->second.done || result.verdict == OrderVerdict::kDone || already_released;
 }
 
 void GroupSupervisor::propose_transition(const wire::Group& group, wire::GroupState::type to, Actions& actions) {
@@ -242,12 +244,12 @@
       input.present.insert(id);
     }
   }
-  auto policy = placement::make_policy(input.parameters.placement_policy);
+  auto policy = placement::make_placement_policy(input.parameters.placement_policy);
   if (policy == nullptr) {
-    policy = placement::make_policy("spare_aware");
+    policy = placement::make_placement_policy("spare_aware");
   }
-  ++stats_.plans;
-  last_plan_ = placement::plan(input, *policy);
+  ++stats_.planning_passes;
+  last_plan_ = placement::make_plan(input, *policy);
   for (const auto& planned : last_plan_.create) {
     ++stats_.groups_created;
     wire::Command command;
@@ -269,19 +271,19 @@
 
 const std::vector<wire::GroupLease>& GroupSupervisor::grant_leases(TimePoint now, const ControlState& state,
                                                                    const PresenceTable& presence) {
-  if (now < leases_valid_until_ && leases_index_ == state.applied_index()) {
+  if (now < leases_valid_until_ && leases_applied_index_ == state.applied_index()) {
     return leases_;
   }
   leases_.clear();
-  leases_index_ = state.applied_index();
-  leases_valid_until_ = now + kLeaseListAge;
+  leases_applied_index_ = state.applied_index();
+  leases_valid_until_ = now + kMaxLeaseListAge;
   // The list may be handed out until it is renewed, so the leases on it end that much later by our count.
   const TimePoint until = leases_valid_until_ + with_drift_margin(options_.serve_lease);
   for (const auto& [id, group] : state.groups()) {
-    if (group.state != wire::GroupState::SERVING || !is_complete(leases_valid_until_, group, presence)) {
+    if (group.state != wire::GroupState::SERVING || !are_all_members_present(leases_valid_until_, group, presence)) {
       continue;
     }
-    TimePoint& lease = lease_until_[id];
+    TimePoint& lease = granted_until_[id];
     lease = std::max(lease, until);
     wire::GroupLease granted;
     granted.group_id = id;
@@ -289,12 +291,13 @@
     granted.load = presence.find(group.machines.front())->load;
     leases_.push_back(granted);
   }
-  std::erase_if(lease_until_,
+  std::erase_if(granted_until_,
                 [&](const auto& item) { return item.second < now && !state.groups().contains(item.first); });
   return leases_;
 }
 
-bool GroupSupervisor::is_complete(TimePoint at, const wire::Group& group, const PresenceTable& presence) const {
+bool GroupSupervisor::are_all_members_present(TimePoint at, const wire::Group& group,
+                                              const PresenceTable& presence) const {
   for (size_t rank = 0; rank < group.machines.size(); ++rank) {
     const std::string& machine = group.machines[rank];
     const auto* sighting = presence.find(machine);
--- a/src/core/control/group_supervisor.h
+++ b/src/core/control/group_supervisor.h
@@ -25,7 +25,7 @@
   uint64_t groups_drained = 0;
   uint64_t orders_sent = 0;
   uint64_t orders_fenced = 0;
-  uint64_t plans = 0;
+  uint64_t planning_passes = 0;
 };
 
 /// Leads every group through its life on the lease-holding leader: plans, loads, opens, watches, drains, releases.
@@ -39,9 +39,9 @@
  public:
   explicit GroupSupervisor(const ControlOptions& options) : options_(options) {}
 
-  /// A leadership begins. Until `quiet_until` leases of the predecessor may be alive: nothing is released and no order
-  /// leaves before.
-  void start(TimePoint now, TimePoint quiet_until);
+  /// A leadership begins. Until `old_leases_until` leases of the predecessor may be alive: nothing is released and no
+  /// order leaves before.
+  void start(TimePoint now, TimePoint old_leases_until);
 
   struct Actions {
     std::vector<wire::Command> proposals;
@@ -50,7 +50,7 @@
   /// Looks at every group and returns what to propose and which orders to send. Call only when every earlier proposal
   /// of this leader has been applied, or was given up.
   Actions tick(TimePoint now, int64_t term, const ControlState& state, const PresenceTable& presence);
-  void order_result(const OrderResult& result);
+  void on_order_result(const OrderResult& result);
 
   /// Machines that the platform calls leaving: their groups get no lease, hence no new work, from now on.
   void set_leaving(std::set<std::string> machines) {
@@ -74,37 +74,37 @@
     bool done = false;
   };
 
-  void supervise(TimePoint now, const wire::Group& group, const ControlState& state, const PresenceTable& presence,
-                 Actions& actions);
-  void load(TimePoint now, const wire::Group& group, const ControlState& state, Actions& actions);
-  void release(TimePoint now, const wire::Group& group, const ControlState& state, const PresenceTable& presence,
-               Actions& actions);
+  void advance_group(TimePoint now, const wire::Group& group, const ControlState& state, const PresenceTable& presence,
+                     Actions& actions);
+  void load_group(TimePoint now, const wire::Group& group, const ControlState& state, Actions& actions);
+  void release_group(TimePoint now, const wire::Group& group, const ControlState& state, const PresenceTable& presence,
+                     Actions& actions);
   void run_planner(const ControlState& state, const PresenceTable& presence, TimePoint now, Actions& actions);
-  bool member_lost(TimePoint now, const wire::Group& group, const ControlState& state,
-                   const PresenceTable& presence) const;
+  bool has_lost_member(TimePoint now, const wire::Group& group, const ControlState& state,
+                       const PresenceTable& presence) const;
   bool all_loaded(const wire::Group& group, const PresenceTable& presence) const;
   bool is_drained(TimePoint now, const wire::Group& group, const PresenceTable& presence);
-  bool leases_ended(TimePoint now, int64_t group_id) const;
+  bool have_leases_expired(TimePoint now, int64_t group_id) const;
   /// Every member was seen at `at` within the presence bound, as what the group needs it to be, and none is leaving.
-  bool is_complete(TimePoint at, const wire::Group& group, const PresenceTable& presence) const;
+  bool are_all_members_present(TimePoint at, const wire::Group& group, const PresenceTable& presence) const;
   bool send_order(TimePoint now, OrderKind kind, const wire::Group& group, size_t rank, const ControlState& state,
                   Actions& actions);
   void propose_transition(const wire::Group& group, wire::GroupState::type to, Actions& actions);
 
   ControlOptions options_;
-  TimePoint started_{};
-  TimePoint quiet_until_{};
-  TimePoint next_plan_{};
+  TimePoint term_started_at_{};
+  TimePoint old_leases_until_{};
+  TimePoint next_plan_at_{};
   int64_t term_ = 0;
   int loads_in_progress_ = 0;
-  std::map<int64_t, TimePoint> lease_until_;
+  std::map<int64_t, TimePoint> granted_until_;
   std::set<std::string> leaving_;
   std::map<int64_t, TimePoint> draining_since_;
-  std::map<OrderKey, OrderProgress> loads_;
-  std::map<OrderKey, OrderProgress> releases_;
+  std::map<OrderKey, OrderProgress> load_orders_;
+  std::map<OrderKey, OrderProgress> release_orders_;
   std::vector<wire::GroupLease> leases_;
   TimePoint leases_valid_until_ = TimePoint::min();
-  int64_t leases_index_ = -1;
+  int64_t leases_applied_index_ = -1;
   placement::Plan last_plan_;
   GroupStats stats_;
 };
--- a/src/core/control/presence_table.cc
+++ b/src/core/control/presence_table.cc
@@ -2,7 +2,7 @@
 
 namespace larchlever::control {
 
-void PresenceTable::note(const wire::MachineSighting& report, TimePoint seen_at) {
+void PresenceTable::record_sighting(const wire::MachineSighting& report, TimePoint seen_at) {
   Sighting& sighting = sightings_[report.machine];
   if (seen_at < sighting.seen_at) {
     return;
--- a/src/core/control/presence_table.h
+++ b/src/core/control/presence_table.h
@@ -23,11 +23,11 @@
   };
 
   /// Notes a sighting; an older one than known is ignored, so reordered reports do no harm.
-  void note(const wire::MachineSighting& report, TimePoint seen_at);
+  void record_sighting(const wire::MachineSighting& report, TimePoint seen_at);
   const Sighting* find(const std::string& machine) const;
   /// Seen alive under `incarnation` within `bound` before `now`.
   bool is_present(const std::string& machine, int64_t incarnation, TimePoint now, Duration bound) const;
-  const std::map<std::string, Sighting>& all() const { return sightings_; }
+  const std::map<std::string, Sighting>& all_sightings() const { return sightings_; }
   void clear() { sightings_.clear(); }
 
  private:
--- a/src/core/control/replica_supervisor.h
+++ b/src/core/control/replica_supervisor.h
@@ -21,8 +21,8 @@
   explicit ReplicaSupervisor(const ControlOptions& options) : options_(options) {}
 
   void start(TimePoint now) {
-    started_ = now;
-    member_since_.clear();
+    term_started_at_ = now;
+    first_seen_as_member_.clear();
   }
   /// The next replica set to propose, if any.
   std::optional<wire::ReplicaSet> next_change(TimePoint now, const consensus::RaftNode& raft,
@@ -30,14 +30,14 @@
 
  private:
   bool is_lost(TimePoint now, const wire::ReplicaAddress& replica, const consensus::RaftNode& raft,
-               const std::map<std::string, int64_t>& identities) const;
+               const std::map<std::string, int64_t>& current_identities) const;
 
-  void note_members(TimePoint now, const wire::ReplicaSet& replicas);
+  void track_members(TimePoint now, const wire::ReplicaSet& replicas);
 
   ControlOptions options_;
-  TimePoint started_{};
+  TimePoint term_started_at_{};
   /// When this leadership first saw each replica in the set: a new one has that long had the chance to answer.
-  std::map<int64_t, TimePoint> member_since_;
+  std::map<int64_t, TimePoint> first_seen_as_member_;
 };
 
 }  // namespace larchlever::control
--- a/src/core/fleet/fleet_controller.cc
+++ b/src/core/fleet/fleet_controller.cc
@@ -365,9 +365,9 @@
       leader_.applied(entry.index, entry.term);
     }
   }
-  if (log_.applied_index() - last_snapshot_index_ >= options_.control.snapshot_interval) {
+  if (log_.applied_index() - last_snapshot_index_ >= options_.control.snapshot_interval_entries) {
     last_snapshot_index_ = log_.applied_index();
-    raft_->compact(log_.applied_index(), log_.snapshot(), options_.control.snapshot_trailing);
+    raft_->compact(log_.applied_index(), log_.snapshot(), options_.control.snapshot_trailing_entries);
   }
 }
 
--- a/src/core/fleet/fleet_leader.cc
+++ b/src/core/fleet/fleet_leader.cc
@@ -96,8 +96,8 @@
 
 void FleetLeader::end_collecting_early(TimePoint now, const wire::ReplicaSet& replicas) {
   const auto has_nothing_newer = [&](const wire::ReplicaAddress& voter) {
-    const auto row = nodes_.rows().find(voter.node);
-    return row != nodes_.rows().end() && subscribers_.state_held(voter.node) <= inherited_;
+    const auto row = nodes_.all_nodes().find(voter.node);
+    return row != nodes_.all_nodes().end() && subscribers_.state_held(voter.node) <= inherited_;
   };
   if (is_collecting(now) && std::all_of(replicas.voters.begin(), replicas.voters.end(), has_nothing_newer)) {
     collecting_until_ = now;
@@ -119,9 +119,9 @@
 void FleetLeader::heartbeat(TimePoint now, const wire::Envelope& envelope, const consensus::RaftNode& raft,
                             const FleetLog& log) {
   const auto& report = envelope.fleet_heartbeat;
-  auto arrival = membership::Arrival::kKnown;
+  auto sender_incarnation = membership::SenderIncarnation::kCurrent;
   const auto incarnation = incarnations_.rank(envelope.from_node, envelope.from_incarnation);
-  auto* row = nodes_.heard(now, envelope.from_node, incarnation, arrival);
+  auto* row = nodes_.record_heartbeat(now, envelope.from_node, incarnation, sender_incarnation);
   if (row == nullptr || !subscribers_.heard(now, envelope)) {
     return;
   }
@@ -416,7 +416,7 @@
   subscribers_.note_own_pause(now, pause);
   instances_.note_own_pause(now, pause);
   entry_reports_.note_own_pause(now, pause);
-  nodes_.note_own_pause(now, pause);
+  nodes_.exclude_own_pause(now, pause);
 }
 
 FleetLeader::Outputs FleetLeader::take_outputs() {
--- a/src/core/ledger/claim_table.h
+++ b/src/core/ledger/claim_table.h
@@ -14,14 +14,14 @@
 
 struct ClaimLimits {
   int64_t window_ms = 24LL * 3600 * 1000;
-  size_t stored_answer_bytes = 64U << 20U;
-  size_t largest_answer = 64U << 10U;
+  size_t max_stored_answer_bytes = 64U << 20U;
+  size_t max_answer_bytes = 64U << 10U;
 };
 
 struct ClaimDecision {
   bool granted = false;
-  wire::Claim standing;  ///< When not granted: the claim in the way, or the refusal's reason in its state.
-  bool expired_key = false;
+  wire::Claim existing_claim;  ///< When not granted: the claim in the way, or the refusal's reason in its state.
+  bool key_expired = false;
 };
 
 /// Which requests with an idempotency key were let through, and what became of them. A key is granted to one request
@@ -39,7 +39,7 @@
   /// never arrived bars that request's late claim message.
   void resolve(const wire::ClaimResolution& resolution, int64_t now_ms);
   /// Requests in progress at an entry incarnation that ended: their outcome is unknown for good.
-  void end_incarnation(const std::string& entry, Incarnation incarnation);
+  void mark_outcomes_unknown(const std::string& entry, Incarnation incarnation);
   /// Forgets claims older than the window and stored answers beyond the limit, oldest first.
   void expire(int64_t now_ms);
 
@@ -47,17 +47,17 @@
   const wire::Claim* find(const std::string& tenant, const std::string& key) const;
   size_t size() const { return claims_.size(); }
   size_t stored_bytes() const { return stored_bytes_; }
-  std::vector<wire::Claim> dump() const;
+  std::vector<wire::Claim> all_claims() const;
   void restore(const std::vector<wire::Claim>& claims);
 
  private:
   using Key = std::pair<std::string, std::string>;
 
-  void remember(const Key& key, wire::Claim claim);
+  void store_claim(const Key& key, wire::Claim claim);
 
   ClaimLimits limits_;
   std::map<Key, wire::Claim> claims_;
-  std::deque<std::pair<int64_t, Key>> by_age_;
+  std::deque<std::pair<int64_t, Key>> claims_by_time_;
   std::deque<Key> stored_answers_;
   size_t stored_bytes_ = 0;
 };
--- a/src/core/membership/incarnation_ranks.h
+++ b/src/core/membership/incarnation_ranks.h
@@ -15,18 +15,18 @@
 class IncarnationRanks {
  public:
   Incarnation rank(const std::string& node, int64_t incarnation) {
-    auto& seen = seen_[node];
-    const auto found = std::find(seen.begin(), seen.end(), incarnation);
-    const auto rank = found - seen.begin() + 1;
-    if (found == seen.end()) {
-      seen.push_back(incarnation);
+    auto& known_incarnations = incarnations_[node];
+    const auto found = std::find(known_incarnations.begin(), known_incarnations.end(), incarnation);
+    const auto rank = found - known_incarnations.begin() + 1;
+    if (found == known_incarnations.end()) {
+      known_incarnations.push_back(incarnation);
     }
     return Incarnation(rank);
   }
-  void clear() { seen_.clear(); }
+  void clear() { incarnations_.clear(); }
 
  private:
-  std::map<std::string, std::vector<int64_t>> seen_;
+  std::map<std::string, std::vector<int64_t>> incarnations_;
 };
 
 }  // namespace larchlever::membership
--- a/src/core/membership/node_directory.cc
+++ b/src/core/membership/node_directory.cc
@@ -2,74 +2,76 @@
 
 namespace larchlever::membership {
 
-NodeRow* NodeDirectory::heard(TimePoint now, const std::string& node, Incarnation incarnation, Arrival& arrival) {
-  const auto found = rows_.find(node);
-  if (found == rows_.end()) {
-    arrival = Arrival::kNew;
-    NodeRow& row = rows_[node];
-    row.node = node;
-    row.incarnation = incarnation;
-    row.last_heard = now;
-    return &row;
+NodeRecord* NodeDirectory::record_heartbeat(TimePoint now, const std::string& node, Incarnation incarnation,
+                                            SenderIncarnation& sender_incarnation) {
+  const auto found = nodes_.find(node);
+  if (found == nodes_.end()) {
+    sender_incarnation = SenderIncarnation::kNew;
+    NodeRecord& node_record = nodes_[node];
+    node_record.node = node;
+    node_record.incarnation = incarnation;
+    node_record.last_heartbeat_at = now;
+    return &node_record;
   }
-  NodeRow& row = found->second;
-  if (incarnation < row.incarnation) {
-    arrival = Arrival::kStale;
+  NodeRecord& node_record = found->second;
+  if (incarnation < node_record.incarnation) {
+    sender_incarnation = SenderIncarnation::kStale;
     return nullptr;
   }
-  arrival = incarnation > row.incarnation ? Arrival::kNewIncarnation : Arrival::kKnown;
-  if (arrival == Arrival::kNewIncarnation) {
+  sender_incarnation =
+      incarnation > node_record.incarnation ? SenderIncarnation::kNewIncarnation : SenderIncarnation::kCurrent;
+  if (sender_incarnation == SenderIncarnation::kNewIncarnation) {
     // The lease of the old incarnation is kept: that process may not have noticed yet that it is replaced.
-    row.applied_revision = Revision();
+    node_record.applied_revision = Revision();
   }
-  row.incarnation = incarnation;
-  row.last_heard = now;
-  return &row;
+  node_record.incarnation = incarnation;
+  node_record.last_heartbeat_at = now;
+  return &node_record;
 }
 
-NodeRow* NodeDirectory::find(const std::string& node) {
-  const auto found = rows_.find(node);
-  return found == rows_.end() ? nullptr : &found->second;
+NodeRecord* NodeDirectory::find(const std::string& node) {
+  const auto found = nodes_.find(node);
+  return found == nodes_.end() ? nullptr : &found->second;
 }
 
-void NodeDirectory::note_own_pause(TimePoint now, Duration pause) {
-  for (auto& [node, row] : rows_) {
-    row.last_heard = heard_after_pause(now, row.last_heard, pause);
+void NodeDirectory::exclude_own_pause(TimePoint now, Duration pause) {
+  for (auto& [node, node_record] : nodes_) {
+    node_record.last_heartbeat_at = heard_after_pause(now, node_record.last_heartbeat_at, pause);
   }
 }
 
-std::vector<const NodeRow*> NodeDirectory::live(TimePoint now, Duration timeout) const {
-  std::vector<const NodeRow*> result;
-  for (const auto& [node, row] : rows_) {
-    if (now - row.last_heard <= timeout && !row.leaving) {
-      result.push_back(&row);
+std::vector<const NodeRecord*> NodeDirectory::live_nodes(TimePoint now, Duration timeout) const {
+  std::vector<const NodeRecord*> result;
+  for (const auto& [node, node_record] : nodes_) {
+    if (now - node_record.last_heartbeat_at <= timeout && !node_record.leaving) {
+      result.push_back(&node_record);
     }
   }
   return result;
 }
 
-std::vector<std::string> NodeDirectory::unconfirmed(TimePoint now, Revision revision) const {
+std::vector<std::string> NodeDirectory::unconfirmed_lease_holders(TimePoint now, Revision revision) const {
   std::vector<std::string> result;
-  for (const auto& [node, row] : rows_) {
-    if (now < row.configuration_lease_until && row.applied_revision < revision) {
+  for (const auto& [node, node_record] : nodes_) {
+    if (now < node_record.configuration_lease_until && node_record.applied_revision < revision) {
       result.push_back(node);
     }
   }
   return result;
 }
 
-std::vector<NodeRow> NodeDirectory::forget_silent(TimePoint now, Duration timeout) {
-  std::vector<NodeRow> forgotten;
-  for (auto item = rows_.begin(); item != rows_.end();) {
-    const NodeRow& row = item->second;
-    if (now - row.last_heard > timeout && now >= row.configuration_lease_until) {
-      forgotten.push_back(row);
-      item = rows_.erase(item);
+std::vector<NodeRecord> NodeDirectory::remove_silent(TimePoint now, Duration timeout) {
+  std::vector<NodeRecord> removed;
+  for (auto item = nodes_.begin(); item != nodes_.end();) {
+    const NodeRecord& node_record = item->second;
+    if (now - node_record.last_heartbeat_at > timeout && now >= node_record.configuration_lease_until) {
+      removed.push_back(node_record);
+      item = nodes_.erase(item);
     } else {
       ++item;
     }
   }
-  return forgotten;
+  return removed;
 }
 
 }  // namespace larchlever::membership
--- a/src/core/membership/watch_assignment.cc
+++ b/src/core/membership/watch_assignment.cc
@@ -13,7 +13,7 @@
 }
 
 WatchAssignment assign_watchers(const std::vector<WatcherCandidate>& nodes, const std::vector<std::string>& machines,
-                                size_t watchers) {
+                                size_t watchers_per_machine) {
   WatchAssignment assignment;
   std::vector<std::pair<uint64_t, const WatcherCandidate*>> ranked;
   for (const auto& machine : machines) {
@@ -29,7 +29,7 @@
     for (const bool new_zones_only : {true, false}) {
       for (const auto& [weight, node] : ranked) {
         const bool taken = std::find(chosen.begin(), chosen.end(), node) != chosen.end();
-        if (chosen.size() < watchers && !taken && !(new_zones_only && zones.contains(node->zone))) {
+        if (chosen.size() < watchers_per_machine && !taken && !(new_zones_only && zones.contains(node->zone))) {
           chosen.push_back(node);
           zones.insert(node->zone);
         }
--- a/src/core/membership/watch_assignment.h
+++ b/src/core/membership/watch_assignment.h
@@ -20,7 +20,7 @@
 /// Gives every machine `watchers` nodes by rendezvous hashing, each in another zone while there are zones left. Losing
 /// a node moves only its own machines. Deterministic in the sets given.
 WatchAssignment assign_watchers(const std::vector<WatcherCandidate>& nodes, const std::vector<std::string>& machines,
-                                size_t watchers);
+                                size_t watchers_per_machine);
 
 /// Rendezvous weight of `node` for `item`; the highest weight wins.
 uint64_t rendezvous_weight(const std::string& item, const std::string& node);
--- a/src/core/node/entry_agent.cc
+++ b/src/core/node/entry_agent.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr size_t kRememberedHeartbeats = 64;
+constexpr size_t kMaxTrackedHeartbeats = 64;
 /// Unanswered heartbeats before another control node is tried.
-constexpr int kPatience = 2;
+constexpr int kMaxUnansweredHeartbeats = 2;
 
 }  // namespace
 
@@ -22,33 +22,33 @@
       admission_(queue_limit),
       // As for request ids: a late reply to the process before this one must match nothing.
       sequence_(identity_.incarnation.value()) {
-  rotate_leader();
+  try_next_control_node();
 }
 
-void EntryAgent::rotate_leader() {
+void EntryAgent::try_next_control_node() {
   if (!control_nodes_.empty()) {
     leader_ = control_nodes_[next_control_node_++ % control_nodes_.size()];
   }
 }
 
-void EntryAgent::hint_leader(const std::string& node) {
+void EntryAgent::set_leader_hint(const std::string& node) {
   if (!node.empty() && node != leader_) {
     leader_ = node;
     ++stats_.leader_changes;
-    next_heartbeat_ = TimePoint::min();
+    next_heartbeat_at_ = TimePoint::min();
   }
 }
 
 std::optional<wire::Envelope> EntryAgent::tick(TimePoint now, ReplicaId replica_id) {
-  if (now < next_heartbeat_ || leader_.empty()) {
+  if (now < next_heartbeat_at_ || leader_.empty()) {
     return std::nullopt;
   }
-  const bool silent =
-      sequence_ > 0 && now - std::max(last_reply_, TimePoint()) > kPatience * options_.heartbeat_interval;
-  if (silent && sequence_ % kPatience == 0) {
-    rotate_leader();
+  const bool silent = sequence_ > 0 && now - std::max(last_reply_at_, TimePoint()) >
+                                           kMaxUnansweredHeartbeats * options_.heartbeat_interval;
+  if (silent && sequence_ % kMaxUnansweredHeartbeats == 0) {
+    try_next_control_node();
   }
-  next_heartbeat_ = now + options_.heartbeat_interval;
+  next_heartbeat_at_ = now + options_.heartbeat_interval;
   wire::Envelope envelope;
   envelope.from_node = identity_.node;
   envelope.from_incarnation = identity_.incarnation.value();
@@ -63,11 +63,12 @@
   heartbeat.replica_id = replica_id.value();
   heartbeat.peer_address = identity_.peer_address;
   heartbeat.service_address = identity_.service_address;
-  for (auto& [machine, sample] : samples_) {
+  for (auto& [machine, timed_sighting] : latest_sightings_) {
     // A finding goes into several heartbeats, so that one lost on the way costs no presence.
-    wire::MachineSighting sighting = sample.sighting;
-    sighting.seen_ago_ms = static_cast<int32_t>(std::chrono::ceil<milliseconds>(now - sample.asked_at).count());
-    if (now - sample.asked_at <= 4 * options_.heartbeat_interval) {
+    wire::MachineSighting sighting = timed_sighting.sighting;
+    sighting.seen_ago_ms =
+        static_cast<int32_t>(std::chrono::ceil<milliseconds>(now - timed_sighting.poll_sent_at).count());
+    if (now - timed_sighting.poll_sent_at <= 4 * options_.heartbeat_interval) {
       heartbeat.sightings.push_back(std::move(sighting));
     }
   }
@@ -76,24 +77,24 @@
     demand.tenant = tenant;
     demand.running = load.running;
     demand.waiting = load.waiting;
-    demand.held = load.held;
+    demand.held = load.held_budget;
     heartbeat.demand.push_back(std::move(demand));
   }
   envelope.heartbeat = std::move(heartbeat);
   envelope.__isset.heartbeat = true;
   sent_at_[sequence_] = now;
-  while (sent_at_.size() > kRememberedHeartbeats) {
+  while (sent_at_.size() > kMaxTrackedHeartbeats) {
     sent_at_.erase(sent_at_.begin());
   }
   ++stats_.heartbeats_sent;
   return envelope;
 }
 
-void EntryAgent::heartbeat_reply(TimePoint now, const wire::Envelope& envelope) {
+void EntryAgent::on_heartbeat_reply(TimePoint now, const wire::Envelope& envelope) {
   const wire::HeartbeatReply& reply = envelope.heartbeat_reply;
   if (reply.not_leader) {
     if (!reply.leader.empty()) {
-      hint_leader(reply.leader);
+      set_leader_hint(reply.leader);
     }
     return;
   }
@@ -106,17 +107,17 @@
   }
   ++stats_.replies;
   acknowledged_sequence_ = reply.sequence;
-  last_reply_ = now;
+  last_reply_at_ = now;
   leader_ = envelope.from_node;
   const TimePoint sent_at = sent->second;
   sent_at_.erase(sent_at_.begin(), std::next(sent));
   const bool changed = Revision(reply.revision) > records_.revision();
   stats_.full_copies += reply.full ? 1 : 0;
   if (changed || reply.full) {
-    records_.install(reply.records, reply.full, Revision(reply.revision));
+    records_.apply_update(reply.records, reply.full, Revision(reply.revision));
     router_.set_table(routing::RoutingTable(records_));
     // Confirm at once: the operator's change is in force when the last holder of a lease has said so.
-    next_heartbeat_ = TimePoint::min();
+    next_heartbeat_at_ = TimePoint::min();
   }
   // Leases count from the moment the heartbeat left: the leader's own count starts later, so it ends later.
   const TimePoint until = sent_at + milliseconds(reply.lease_ms);
@@ -128,17 +129,17 @@
   if (reply.watch_version != watch_version_) {
     watch_version_ = reply.watch_version;
     watches_ = reply.watches;
-    std::erase_if(samples_, [this](const auto& item) {
+    std::erase_if(latest_sightings_, [this](const auto& item) {
       return std::none_of(watches_.begin(), watches_.end(),
                           [&item](const auto& target) { return target.machine == item.first; });
     });
   }
 }
 
-void EntryAgent::sighting(TimePoint asked_at, const wire::MachineSighting& sighting) {
-  Sample& sample = samples_[sighting.machine];
-  sample.asked_at = asked_at;
-  sample.sighting = sighting;
+void EntryAgent::on_sighting(TimePoint poll_sent_at, const wire::MachineSighting& sighting) {
+  TimedSighting& timed_sighting = latest_sightings_[sighting.machine];
+  timed_sighting.poll_sent_at = poll_sent_at;
+  timed_sighting.sighting = sighting;
 }
 
 }  // namespace larchlever::node
--- a/src/core/node/entry_agent.h
+++ b/src/core/node/entry_agent.h
@@ -48,13 +48,14 @@
 
   /// A heartbeat to send, if one is due.
   std::optional<wire::Envelope> tick(TimePoint now, ReplicaId replica_id);
-  void heartbeat_reply(TimePoint now, const wire::Envelope& envelope);
-  /// What a poll of a watched machine found. `asked_at` is when the poll was sent: the machine was alive then or later.
-  void sighting(TimePoint asked_at, const wire::MachineSighting& sighting);
+  void on_heartbeat_reply(TimePoint now, const wire::Envelope& envelope);
+  /// What a poll of a watched machine found. `poll_sent_at` is when the poll was sent: the machine was alive then or
+  /// later.
+  void on_sighting(TimePoint poll_sent_at, const wire::MachineSighting& sighting);
   /// This node is stopping: it announces so and gets no more budgets.
   void set_leaving() { leaving_ = true; }
   /// The replicated log, where this node holds a replica, knows the leader at once.
-  void hint_leader(const std::string& node);
+  void set_leader_hint(const std::string& node);
 
   const std::string& leader() const { return leader_; }
   const config::RecordTable& records() const { return records_; }
@@ -69,7 +70,7 @@
   const EntryStats& stats() const { return stats_; }
 
  private:
-  void rotate_leader();
+  void try_next_control_node();
 
   control::ControlOptions options_;
   NodeIdentity identity_;
@@ -82,14 +83,14 @@
   bool leaving_ = false;
   int64_t sequence_;
   int64_t acknowledged_sequence_ = 0;
-  TimePoint next_heartbeat_ = TimePoint::min();
-  TimePoint last_reply_ = TimePoint::min();
+  TimePoint next_heartbeat_at_ = TimePoint::min();
+  TimePoint last_reply_at_ = TimePoint::min();
   std::map<int64_t, TimePoint> sent_at_;
-  struct Sample {
-    TimePoint asked_at{};
+  struct TimedSighting {
+    TimePoint poll_sent_at{};
     wire::MachineSighting sighting;
   };
-  std::map<std::string, Sample> samples_;
+  std::map<std::string, TimedSighting> latest_sightings_;
   std::vector<wire::WatchTarget> watches_;
   int64_t watch_version_ = 0;
   EntryStats stats_;
--- a/src/core/node/node_controller.cc
+++ b/src/core/node/node_controller.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr Duration kHandOverRetry = milliseconds(500);
-constexpr Duration kLeavingPatience = seconds(5);
+constexpr Duration kHandOverRetryInterval = milliseconds(500);
+constexpr Duration kMaxLeavingTime = seconds(5);
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 
 void NodeController::start_replica(TimePoint now, ReplicaId replica_id, consensus::PersistedState persisted) {
   state_ = control::ControlState();
-  led_term_ = -1;
+  leader_started_term_ = -1;
   last_snapshot_index_ = persisted.snapshot.index;
   raft_.emplace(replica_id, incarnation_, options_.raft, std::move(persisted), options_.seed, now);
 }
@@ -35,21 +35,21 @@
 
 // ------------------------------------------------------------------- inputs
 
-void NodeController::tick(TimePoint now, int64_t wall_ms) {
-  wall_ms_ = wall_ms;
+void NodeController::tick(TimePoint now, int64_t wall_clock_ms) {
+  wall_clock_ms_ = wall_clock_ms;
   if (raft_) {
     raft_->tick(now);
-    entry_.hint_leader(leader_node());
+    entry_.set_leader_hint(leader_node());
   }
-  if (leaving_ && raft_ && raft_->is_leader() && now >= next_hand_over_) {
-    next_hand_over_ = now + kHandOverRetry;
+  if (leaving_ && raft_ && raft_->is_leader() && now >= next_hand_over_at_) {
+    next_hand_over_at_ = now + kHandOverRetryInterval;
     raft_->hand_over(now);
   }
   if (auto heartbeat = entry_.tick(now, raft_ ? raft_->id() : ReplicaId())) {
     send(now, std::move(*heartbeat));
   }
   resend_pending(now);
-  if (acts_as_leader(now) && led_term_ == raft_->term()) {
+  if (acts_as_leader(now) && leader_started_term_ == raft_->term()) {
     leader_.tick(now, *raft_, state_);
   }
   process(now);
@@ -64,14 +64,14 @@
   } else if (envelope.__isset.heartbeat) {
     handle_heartbeat(now, envelope);
   } else if (envelope.__isset.heartbeat_reply) {
-    entry_.heartbeat_reply(now, envelope);
+    entry_.on_heartbeat_reply(now, envelope);
   } else if (envelope.__isset.claim_request) {
     if (acts_as_leader(now)) {
-      leader_.claim_request(envelope.from_node, envelope.claim_request);
+      leader_.on_claim_request(envelope.from_node, envelope.claim_request);
     }
   } else if (envelope.__isset.resolution) {
     if (acts_as_leader(now)) {
-      leader_.resolution_request(envelope.from_node, envelope.resolution);
+      leader_.on_resolution_request(envelope.from_node, envelope.resolution);
     }
   } else if (envelope.__isset.operator_request) {
     handle_operator_request(now, envelope);
@@ -81,7 +81,7 @@
   process(now);
 }
 
-void NodeController::written(TimePoint now, consensus::RaftOutput batch) {
+void NodeController::on_storage_written(TimePoint now, consensus::RaftOutput batch) {
   if (raft_) {
     send_raft(now, std::move(batch.messages_after_sync));
     raft_->synced(now, batch.ticket);
@@ -99,8 +99,8 @@
   wire::Envelope answer;
   answer.to_node = envelope.from_node;
   answer.__isset.heartbeat_reply = true;
-  if (acts_as_leader(now) && led_term_ == raft_->term()) {
-    answer.heartbeat_reply = leader_.heartbeat(now, envelope, *raft_, state_);
+  if (acts_as_leader(now) && leader_started_term_ == raft_->term()) {
+    answer.heartbeat_reply = leader_.on_heartbeat(now, envelope, *raft_, state_);
   } else {
     answer.heartbeat_reply.not_leader = true;
     answer.heartbeat_reply.sequence = envelope.heartbeat.sequence;
@@ -110,8 +110,8 @@
 }
 
 void NodeController::handle_operator_request(TimePoint now, const wire::Envelope& envelope) {
-  if (acts_as_leader(now) && led_term_ == raft_->term()) {
-    leader_.operator_request(now, envelope.from_node, envelope.operator_request, *raft_, state_);
+  if (acts_as_leader(now) && leader_started_term_ == raft_->term()) {
+    leader_.on_operator_request(now, envelope.from_node, envelope.operator_request, *raft_, state_);
   }
   // Otherwise silent: the asking node repeats the request to whoever leads by then.
 }
@@ -126,8 +126,8 @@
     outcome.request_id = found->first;
     outcome.decided = true;
     outcome.granted = envelope.claim_reply.granted;
-    outcome.standing = envelope.claim_reply.standing;
-    outcome.expired_key = !envelope.claim_reply.message.empty();
+    outcome.existing_claim = envelope.claim_reply.standing;
+    outcome.key_expired = !envelope.claim_reply.message.empty();
     outputs_.claim_outcomes.push_back(std::move(outcome));
     claims_.erase(found);
   } else if (envelope.__isset.resolution_reply) {
@@ -176,15 +176,15 @@
   process(now);
 }
 
-wire::Envelope NodeController::to_leader() const {
+wire::Envelope NodeController::envelope_to_leader() const {
   wire::Envelope envelope;
   envelope.to_node = entry_.leader();
   return envelope;
 }
 
 void NodeController::resend_pending(TimePoint now) {
-  const auto due = [&](const auto& pending) {
-    return pending.sent_at == TimePoint::min() || now - pending.sent_at >= options_.request_retry;
+  const auto is_due = [&](const auto& pending) {
+    return pending.sent_at == TimePoint::min() || now - pending.sent_at >= options_.request_retry_interval;
   };
   for (auto item = operator_requests_.begin(); item != operator_requests_.end();) {
     auto& pending = item->second;
@@ -195,9 +195,9 @@
       item = operator_requests_.erase(item);
       continue;
     }
-    if (due(pending)) {
+    if (is_due(pending)) {
       pending.sent_at = now;
-      auto envelope = to_leader();
+      auto envelope = envelope_to_leader();
       envelope.__set_operator_request(pending.request);
       send(now, std::move(envelope));
     }
@@ -212,18 +212,18 @@
       item = claims_.erase(item);
       continue;
     }
-    if (due(pending)) {
+    if (is_due(pending)) {
       pending.sent_at = now;
-      auto envelope = to_leader();
+      auto envelope = envelope_to_leader();
       envelope.__set_claim_request(pending.request);
       send(now, std::move(envelope));
     }
     ++item;
   }
   for (auto& [id, pending] : resolutions_) {
-    if (due(pending)) {
+    if (is_due(pending)) {
       pending.sent_at = now;
-      auto envelope = to_leader();
+      auto envelope = envelope_to_leader();
       envelope.__set_resolution(pending.request);
       send(now, std::move(envelope));
     }
@@ -236,7 +236,7 @@
   envelope.from_node = node_;
   envelope.from_incarnation = incarnation_.value();
   if (envelope.to_node == node_) {
-    loopback_.push_back(std::move(envelope));
+    envelopes_to_self_.push_back(std::move(envelope));
   } else if (!envelope.to_node.empty()) {
     outputs_.envelopes.push_back(std::move(envelope));
   }
@@ -254,25 +254,25 @@
     const auto command = wire::decode<wire::Command>(entry.payload);
     if (command) {
       const auto result = state_.apply(entry.index, *command);
-      state_.extend_history(entry.index, entry.payload);
-      leader_.applied(now, entry.index, entry.term, result);
+      state_.extend_history_digest(entry.index, entry.payload);
+      leader_.on_entry_applied(now, entry.index, entry.term, result);
     }
   }
-  if (state_.applied_index() - last_snapshot_index_ >= options_.control.snapshot_interval) {
+  if (state_.applied_index() - last_snapshot_index_ >= options_.control.snapshot_interval_entries) {
     last_snapshot_index_ = state_.applied_index();
-    raft_->compact(state_.applied_index(), state_.snapshot(), options_.control.snapshot_trailing);
+    raft_->compact(state_.applied_index(), state_.snapshot(), options_.control.snapshot_trailing_entries);
   }
 }
 
-void NodeController::carry_leader_outputs(TimePoint now) {
+void NodeController::carry_out_leader_outputs(TimePoint now) {
   auto leader_outputs = leader_.take_outputs();
   if (!acts_as_leader(now)) {
     return;  // Deposed in the meantime: nothing of this leaves.
   }
   for (auto& proposal : leader_outputs.proposals) {
-    proposal.command.at_ms = std::max(wall_ms_, state_.clock_ms());
+    proposal.command.at_ms = std::max(wall_clock_ms_, state_.clock_ms());
     if (const auto index = raft_->propose(now, wire::encode(proposal.command))) {
-      leader_.proposed(*index, raft_->term(), std::move(proposal));
+      leader_.on_proposal_appended(*index, raft_->term(), std::move(proposal));
     }
   }
   if (leader_outputs.replicas) {
@@ -286,12 +286,12 @@
 
 void NodeController::process(TimePoint now) {
   if (raft_) {
-    if (raft_->is_leader() && led_term_ != raft_->term()) {
-      led_term_ = raft_->term();
+    if (raft_->is_leader() && leader_started_term_ != raft_->term()) {
+      leader_started_term_ = raft_->term();
       leader_.start(now);
     }
     apply_committed(now);
-    carry_leader_outputs(now);
+    carry_out_leader_outputs(now);
     replica_routes_.note_all(raft_->replicas());
     auto output = raft_->take_output();
     send_raft(now, std::exchange(output.messages, {}));
@@ -299,9 +299,9 @@
       outputs_.storage.push_back(std::move(output));
     }
   }
-  std::vector<wire::Envelope> local = std::move(loopback_);
-  loopback_.clear();
-  for (auto& envelope : local) {
+  std::vector<wire::Envelope> to_self = std::move(envelopes_to_self_);
+  envelopes_to_self_.clear();
+  for (auto& envelope : to_self) {
     receive(now, std::move(envelope));
   }
 }
@@ -309,13 +309,13 @@
 void NodeController::begin_leaving(TimePoint now) {
   leaving_ = true;
   entry_.set_leaving();
-  next_hand_over_ = now;
+  next_hand_over_at_ = now;
   leaving_since_ = now;
 }
 
 bool NodeController::may_stop(TimePoint now) const {
   const bool settled = resolutions_.empty() && !(raft_ && raft_->is_leader());
-  return settled || now >= leaving_since_ + kLeavingPatience;
+  return settled || now >= leaving_since_ + kMaxLeavingTime;
 }
 
 NodeOutputs NodeController::take_outputs() {
--- a/src/core/node/node_controller.h
+++ b/src/core/node/node_controller.h
@@ -22,7 +22,7 @@
   size_t queue_limit = 256;
   std::vector<std::string> control_nodes;
   /// How often an unanswered request to the leader is sent again.
-  Duration request_retry = milliseconds(400);
+  Duration request_retry_interval = milliseconds(400);
   uint64_t seed = 1;
 };
 
@@ -32,8 +32,8 @@
   /// False: no quorum answered in time. The claim may stand, so the caller must resolve it as not run.
   bool decided = false;
   bool granted = false;
-  bool expired_key = false;
-  wire::Claim standing;
+  bool key_expired = false;
+  wire::Claim existing_claim;
 };
 
 struct NodeOutputs {
@@ -59,14 +59,17 @@
   /// The data folder failed: this node goes on as an entry without a replica.
   void replica_failed();
 
-  /// To be called at least every few milliseconds. `wall_ms` is the wall clock, used only for expiry and the audit.
-  void tick(TimePoint now, int64_t wall_ms);
+  /// To be called at least every few milliseconds. `wall_clock_ms` is the wall clock, used only for expiry and the
+  /// audit.
+  void tick(TimePoint now, int64_t wall_clock_ms);
   void receive(TimePoint now, wire::Envelope envelope);
   /// A batch from `NodeOutputs::storage`, and all before it, are on disk: what waited for that may leave now.
-  void written(TimePoint now, consensus::RaftOutput batch);
-  void order_result(const control::OrderResult& result) { leader_.order_result(result); }
-  void sighting(TimePoint asked_at, const wire::MachineSighting& sighting) { entry_.sighting(asked_at, sighting); }
-  void membership_list(const std::vector<wire::Machine>& machines) { leader_.membership_list(machines); }
+  void on_storage_written(TimePoint now, consensus::RaftOutput batch);
+  void on_order_result(const control::OrderResult& result) { leader_.on_order_result(result); }
+  void on_sighting(TimePoint poll_sent_at, const wire::MachineSighting& sighting) {
+    entry_.on_sighting(poll_sent_at, sighting);
+  }
+  void on_membership_list(const std::vector<wire::Machine>& machines) { leader_.on_membership_list(machines); }
 
   /// Sends an operator's request to the leader; the answer comes in `operator_replies` under the returned id. After
   /// `deadline` an answer with an empty leader name is given.
@@ -94,7 +97,7 @@
 
  private:
   template <typename Request>
-  struct Pending {
+  struct PendingRequest {
     Request request;
     TimePoint deadline{};
     TimePoint sent_at = TimePoint::min();
@@ -102,14 +105,14 @@
 
   void process(TimePoint now);
   void apply_committed(TimePoint now);
-  void carry_leader_outputs(TimePoint now);
+  void carry_out_leader_outputs(TimePoint now);
   void handle_heartbeat(TimePoint now, const wire::Envelope& envelope);
   void handle_operator_request(TimePoint now, const wire::Envelope& envelope);
   void handle_reply(const wire::Envelope& envelope);
   void resend_pending(TimePoint now);
   void send_raft(TimePoint now, std::vector<wire::RaftMessage> messages);
   void send(TimePoint now, wire::Envelope envelope);
-  wire::Envelope to_leader() const;
+  wire::Envelope envelope_to_leader() const;
   std::string leader_node() const { return raft_ ? raft_->leader_node() : ""; }
 
   NodeControllerOptions options_;
@@ -120,18 +123,18 @@
   control::ControlState state_;
   control::ControlLeader leader_;
   std::optional<consensus::RaftNode> raft_;
-  int64_t led_term_ = -1;
-  int64_t wall_ms_ = 0;
+  int64_t leader_started_term_ = -1;
+  int64_t wall_clock_ms_ = 0;
   int64_t last_snapshot_index_ = 0;
   bool leaving_ = false;
-  TimePoint next_hand_over_{};
+  TimePoint next_hand_over_at_{};
   TimePoint leaving_since_{};
-  std::map<int64_t, Pending<wire::OperatorRequest>> operator_requests_;
-  std::map<int64_t, Pending<wire::ClaimRequest>> claims_;
-  std::map<int64_t, Pending<wire::ResolutionRequest>> resolutions_;
+  std::map<int64_t, PendingRequest<wire::OperatorRequest>> operator_requests_;
+  std::map<int64_t, PendingRequest<wire::ClaimRequest>> claims_;
+  std::map<int64_t, PendingRequest<wire::ResolutionRequest>> resolutions_;
   /// Node of each replica that was named in a replica set or spoke to us.
   consensus::ReplicaRoutes replica_routes_;
-  std::vector<wire::Envelope> loopback_;
+  std::vector<wire::Envelope> envelopes_to_self_;
   NodeOutputs outputs_;
 };
 
--- a/src/core/placement/group_lifecycle.cc
+++ b/src/core/placement/group_lifecycle.cc
@@ -50,10 +50,10 @@
 
 using Lifecycle = boost::msm::back::state_machine<LifecycleDefinition>;
 
-constexpr size_t kStates = 7;
-constexpr size_t kEvents = 7;
+constexpr size_t kStateCount = 7;
+constexpr size_t kEventCount = 7;
 
-void process(Lifecycle& machine, GroupEvent event) {
+void send_event(Lifecycle& machine, GroupEvent event) {
   switch (event) {
     case GroupEvent::kOrdersSent:
       machine.process_event(OrdersSent{});
@@ -86,7 +86,7 @@
   TransitionTable() {
     Lifecycle machine;
     machine.start();
-    explore(machine);
+    visit_state(machine);
   }
 
   std::optional<wire::GroupState::type> next(size_t state, size_t event) const {
@@ -96,23 +96,23 @@
 
  private:
   // MSM numbers states in the order of the table's sources, then targets: the same order as wire::GroupState.
-  void explore(const Lifecycle& machine) {
+  void visit_state(const Lifecycle& machine) {
     const auto state = static_cast<size_t>(machine.current_state()[0]);
-    if (seen_.at(state)) {
+    if (visited_.at(state)) {
       return;
     }
-    seen_.at(state) = true;
-    for (size_t event = 0; event < kEvents; ++event) {
+    visited_.at(state) = true;
+    for (size_t event = 0; event < kEventCount; ++event) {
       Lifecycle copy = machine;
-      process(copy, static_cast<GroupEvent>(event));
+      send_event(copy, static_cast<GroupEvent>(event));
       const int after = copy.current_state()[0];
       table_.at(state).at(event) = after == static_cast<int>(state) ? -1 : after;
-      explore(copy);
+      visit_state(copy);
     }
   }
 
-  std::array<std::array<int, kEvents>, kStates> table_{};
-  std::array<bool, kStates> seen_{};
+  std::array<std::array<int, kEventCount>, kStateCount> table_{};
+  std::array<bool, kStateCount> visited_{};
 };
 
 const TransitionTable& transitions() {
@@ -126,8 +126,8 @@
   return transitions().next(static_cast<size_t>(state), static_cast<size_t>(event));
 }
 
-std::optional<GroupEvent> event_between(wire::GroupState::type from, wire::GroupState::type to) {
-  for (size_t event = 0; event < kEvents; ++event) {
+std::optional<GroupEvent> find_event(wire::GroupState::type from, wire::GroupState::type to) {
+  for (size_t event = 0; event < kEventCount; ++event) {
     if (next_state(from, static_cast<GroupEvent>(event)) == to) {
       return static_cast<GroupEvent>(event);
     }
--- a/src/core/placement/group_lifecycle.h
+++ b/src/core/placement/group_lifecycle.h
@@ -23,6 +23,6 @@
 std::optional<wire::GroupState::type> next_state(wire::GroupState::type state, GroupEvent event);
 
 /// The event that leads from one state straight to the other, if any.
-std::optional<GroupEvent> event_between(wire::GroupState::type from, wire::GroupState::type to);
+std::optional<GroupEvent> find_event(wire::GroupState::type from, wire::GroupState::type to);
 
 }  // namespace larchlever::placement
--- a/src/core/placement/planner.cc
+++ b/src/core/placement/planner.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// A domain that keeps this many spare machines for each of its groups can replace a lost one at once.
-constexpr size_t kSparesPerDomain = 1;
+constexpr size_t kMinSpareMachines = 1;
 
 bool is_usable(const PlanningInput& input, const wire::Machine& machine) {
   return machine.state == wire::MachineState::FREE && !machine.leaving && input.present.contains(machine.id);
@@ -18,25 +18,26 @@
 
 bool is_active(const wire::Group& group) { return group.state <= wire::GroupState::SERVING; }
 
-bool is_current(const wire::Group& group, const std::map<std::string, const wire::Template*>& templates) {
+bool matches_template(const wire::Group& group, const std::map<std::string, const wire::Template*>& templates) {
   const auto found = templates.find(group.template_name);
   if (found == templates.end()) {
     return false;
   }
-  const wire::Template& shape = *found->second;
-  return group.model == shape.model && group.version == shape.version && group.adapters == shape.adapters &&
-         group.machines.size() == static_cast<size_t>(shape.machines_per_group);
+  const wire::Template& group_template = *found->second;
+  return group.model == group_template.model && group.version == group_template.version &&
+         group.adapters == group_template.adapters &&
+         group.machines.size() == static_cast<size_t>(group_template.machines_per_group);
 }
 
-std::map<std::string, DomainView> domain_views(const PlanningInput& input) {
-  std::map<std::string, DomainView> domains;
+std::map<std::string, DomainCapacity> domain_capacities(const PlanningInput& input) {
+  std::map<std::string, DomainCapacity> domains;
   for (const auto& [id, machine] : input.machines) {
-    DomainView& view = domains[machine.domain];
-    view.domain = machine.domain;
-    view.zone = machine.zone;
-    ++view.total;
+    DomainCapacity& capacity = domains[machine.domain];
+    capacity.domain = machine.domain;
+    capacity.zone = machine.zone;
+    ++capacity.total_machines;
     if (is_usable(input, machine)) {
-      view.free.push_back(&machine);
+      capacity.free_machines.push_back(&machine);
     }
   }
   for (const auto& [id, group] : input.groups) {
@@ -46,8 +47,8 @@
 }
 
 /// The `size` free machines to use, those that already hold the weights first: they need nothing from the store.
-std::vector<std::string> pick_machines(const DomainView& domain, size_t size, const std::string& weights) {
-  std::vector<const wire::Machine*> candidates = domain.free;
+std::vector<std::string> pick_machines(const DomainCapacity& domain, size_t size, const std::string& weights) {
+  std::vector<const wire::Machine*> candidates = domain.free_machines;
   std::stable_sort(candidates.begin(), candidates.end(), [&weights](const auto* left, const auto* right) {
     return (left->weights == weights) > (right->weights == weights);
   });
@@ -61,7 +62,7 @@
 class FirstFit : public PlacementPolicy {
  public:
   std::string_view name() const override { return "first_fit"; }
-  size_t choose(const std::vector<const DomainView*>&, size_t, const wire::FleetParameters&) const override {
+  size_t choose_domain(const std::vector<const DomainCapacity*>&, size_t, const wire::FleetParameters&) const override {
     return 0;
   }
 };
@@ -70,9 +71,10 @@
 class BestFit : public PlacementPolicy {
  public:
   std::string_view name() const override { return "best_fit"; }
-  size_t choose(const std::vector<const DomainView*>& domains, size_t, const wire::FleetParameters&) const override {
+  size_t choose_domain(const std::vector<const DomainCapacity*>& domains, size_t,
+                       const wire::FleetParameters&) const override {
     const auto best = std::min_element(domains.begin(), domains.end(), [](const auto* left, const auto* right) {
-      return left->free.size() < right->free.size();
+      return left->free_machines.size() < right->free_machines.size();
     });
     return static_cast<size_t>(best - domains.begin());
   }
@@ -83,16 +85,16 @@
 class SpareAware : public PlacementPolicy {
  public:
   std::string_view name() const override { return "spare_aware"; }
-  size_t choose(const std::vector<const DomainView*>& domains, size_t size,
-                const wire::FleetParameters& parameters) const override {
-    const auto cost = [&](const DomainView& domain) {
-      const size_t remainder = domain.free.size() - size;
+  size_t choose_domain(const std::vector<const DomainCapacity*>& domains, size_t size,
+                       const wire::FleetParameters& parameters) const override {
+    const auto cost = [&](const DomainCapacity& domain) {
+      const size_t remainder = domain.free_machines.size() - size;
       const size_t unusable = remainder % size;
-      const bool keeps_spare = remainder >= kSparesPerDomain;
+      const bool keeps_spare = remainder >= kMinSpareMachines;
       const double downtime = keeps_spare ? 0.0 : 1.0;
       const double idle = static_cast<double>(unusable) / static_cast<double>(size);
       const double weight = parameters.downtime_weight / 100.0;
-      return std::tuple(weight * downtime + (1.0 - weight) * idle, domain.free.size());
+      return std::tuple(weight * downtime + (1.0 - weight) * idle, domain.free_machines.size());
     };
     const auto best = std::min_element(domains.begin(), domains.end(), [&cost](const auto* left, const auto* right) {
       return cost(*left) < cost(*right);
@@ -105,35 +107,35 @@
 class PlanningPass {
  public:
   PlanningPass(const PlanningInput& input, const PlacementPolicy& policy)
-      : input_(input), policy_(policy), domains_(domain_views(input)) {
+      : input_(input), policy_(policy), domains_(domain_capacities(input)) {
     for (const auto& item : input.templates) {
       templates_[item.name] = &item;
     }
   }
 
   Plan run() {
-    drain_leaving();
+    drain_groups_on_leaving_machines();
     auto demands = desired_groups(input_);
     // Larger groups first: they have the fewest places to go.
-    std::stable_sort(demands.begin(), demands.end(), [this](const Demand& left, const Demand& right) {
+    std::stable_sort(demands.begin(), demands.end(), [this](const GroupDemand& left, const GroupDemand& right) {
       return templates_[left.template_name]->machines_per_group > templates_[right.template_name]->machines_per_group;
     });
     std::set<std::pair<std::string, std::string>> wanted;
     for (const auto& demand : demands) {
       wanted.insert({demand.template_name, demand.zone});
-      satisfy(demand);
+      meet_demand(demand);
     }
-    drain_unwanted(wanted);
-    plan_.stranded_accelerators = count_stranded();
+    drain_groups_without_demand(wanted);
+    plan_.stranded_accelerators = count_stranded_accelerators();
     return std::move(plan_);
   }
 
  private:
-  bool already_draining(int64_t id) const {
+  bool is_planned_to_drain(int64_t id) const {
     return std::find(plan_.drain.begin(), plan_.drain.end(), id) != plan_.drain.end();
   }
 
-  void drain_leaving() {
+  void drain_groups_on_leaving_machines() {
     for (const auto& [id, group] : input_.groups) {
       const bool leaving = std::any_of(group.machines.begin(), group.machines.end(), [this](const auto& machine) {
         const auto found = input_.machines.find(machine);
@@ -145,17 +147,17 @@
     }
   }
 
-  void satisfy(const Demand& demand) {
+  void meet_demand(const GroupDemand& demand) {
     std::vector<const wire::Group*> current;
     std::vector<const wire::Group*> outdated;
     for (const auto& [id, group] : input_.groups) {
-      const bool here = group.template_name == demand.template_name && group.zone == demand.zone;
-      if (here && is_active(group) && !already_draining(id)) {
-        (is_current(group, templates_) ? current : outdated).push_back(&group);
+      const bool matches_demand = group.template_name == demand.template_name && group.zone == demand.zone;
+      if (matches_demand && is_active(group) && !is_planned_to_drain(id)) {
+        (matches_template(group, templates_) ? current : outdated).push_back(&group);
       }
     }
     int missing = demand.groups - static_cast<int>(current.size());
-    while (missing > 0 && place(demand)) {
+    while (missing > 0 && place_group(demand)) {
       --missing;
     }
     for (int surplus = -missing; surplus > 0; --surplus) {
@@ -165,7 +167,8 @@
     replace_outdated(outdated, current, missing);
     if (missing > 0) {
       plan_.unmet[demand.zone] += missing;
-      unmet_sizes_[demand.zone].push_back(static_cast<size_t>(templates_[demand.template_name]->machines_per_group));
+      unmet_group_sizes_[demand.zone].push_back(
+          static_cast<size_t>(templates_[demand.template_name]->machines_per_group));
     }
   }
 
@@ -187,25 +190,26 @@
     }
   }
 
-  bool place(const Demand& demand) {
-    const wire::Template& shape = *templates_[demand.template_name];
-    const auto size = static_cast<size_t>(shape.machines_per_group);
-    std::vector<const DomainView*> fitting;
+  bool place_group(const GroupDemand& demand) {
+    const wire::Template& group_template = *templates_[demand.template_name];
+    const auto size = static_cast<size_t>(group_template.machines_per_group);
+    std::vector<const DomainCapacity*> fitting_domains;
     for (const auto& [name, domain] : domains_) {
-      if (domain.zone == demand.zone && domain.free.size() >= size) {
-        fitting.push_back(&domain);
+      if (domain.zone == demand.zone && domain.free_machines.size() >= size) {
+        fitting_domains.push_back(&domain);
       }
     }
-    if (fitting.empty()) {
+    if (fitting_domains.empty()) {
       return false;
     }
-    DomainView& domain = domains_[fitting[policy_.choose(fitting, size, input_.parameters)]->domain];
+    DomainCapacity& domain =
+        domains_[fitting_domains[policy_.choose_domain(fitting_domains, size, input_.parameters)]->domain];
     PlannedGroup group;
     group.template_name = demand.template_name;
     group.zone = demand.zone;
     group.domain = domain.domain;
-    group.machines = pick_machines(domain, size, shape.model + "@" + shape.version);
-    std::erase_if(domain.free, [&group](const auto* machine) {
+    group.machines = pick_machines(domain, size, group_template.model + "@" + group_template.version);
+    std::erase_if(domain.free_machines, [&group](const auto* machine) {
       return std::find(group.machines.begin(), group.machines.end(), machine->id) != group.machines.end();
     });
     ++domain.groups;
@@ -213,21 +217,21 @@
     return true;
   }
 
-  void drain_unwanted(const std::set<std::pair<std::string, std::string>>& wanted) {
+  void drain_groups_without_demand(const std::set<std::pair<std::string, std::string>>& wanted) {
     for (const auto& [id, group] : input_.groups) {
-      if (is_active(group) && !wanted.contains({group.template_name, group.zone}) && !already_draining(id)) {
+      if (is_active(group) && !wanted.contains({group.template_name, group.zone}) && !is_planned_to_drain(id)) {
         plan_.drain.push_back(id);
       }
     }
   }
 
-  int64_t count_stranded() const {
+  int64_t count_stranded_accelerators() const {
     int64_t stranded = 0;
     for (const auto& [name, domain] : domains_) {
-      if (!unmet_sizes_.contains(domain.zone)) {
+      if (!unmet_group_sizes_.contains(domain.zone)) {
         continue;
       }
-      for (const auto* machine : domain.free) {
+      for (const auto* machine : domain.free_machines) {
         stranded += machine->accelerators;
       }
     }
@@ -236,9 +240,9 @@
 
   const PlanningInput& input_;
   const PlacementPolicy& policy_;
-  std::map<std::string, DomainView> domains_;
+  std::map<std::string, DomainCapacity> domains_;
   std::map<std::string, const wire::Template*> templates_;
-  std::map<std::string, std::vector<size_t>> unmet_sizes_;
+  std::map<std::string, std::vector<size_t>> unmet_group_sizes_;
   Plan plan_;
 };
 
@@ -253,7 +257,7 @@
 
 }  // namespace
 
-std::vector<Demand> desired_groups(const PlanningInput& input) {
+std::vector<GroupDemand> desired_groups(const PlanningInput& input) {
   const auto zone_sizes = machines_per_zone(input);
   std::map<std::string, const wire::Template*> templates;
   for (const auto& item : input.templates) {
@@ -261,30 +265,30 @@
   }
   std::map<std::pair<std::string, std::string>, double> wanted;
   for (const auto& tenant : input.tenants) {
-    int permitted = 0;
+    int permitted_machines = 0;
     for (const auto& zone : tenant.zones) {
       const auto size = zone_sizes.find(zone);
-      permitted += size == zone_sizes.end() ? 0 : size->second;
+      permitted_machines += size == zone_sizes.end() ? 0 : size->second;
     }
-    const auto shape = templates.find(tenant.template_name);
-    if (permitted == 0 || shape == templates.end()) {
+    const auto group_template = templates.find(tenant.template_name);
+    if (permitted_machines == 0 || group_template == templates.end()) {
       continue;
     }
     const double machines = static_cast<double>(input.machines.size()) * tenant.share_percent / 100.0;
-    const double groups = std::min<double>(machines, permitted) / shape->second->machines_per_group;
+    const double groups = std::min<double>(machines, permitted_machines) / group_template->second->machines_per_group;
     for (const auto& zone : tenant.zones) {
       if (const auto size = zone_sizes.find(zone); size != zone_sizes.end()) {
-        wanted[{tenant.template_name, zone}] += groups * size->second / permitted;
+        wanted[{tenant.template_name, zone}] += groups * size->second / permitted_machines;
       }
     }
   }
   std::map<std::pair<std::string, std::string>, int> rounded;
   for (const auto& [key, groups] : wanted) {
-    constexpr double kRoundingGuard = 1e-9;
-    rounded[key] = static_cast<int>(std::floor(groups + 0.5 + kRoundingGuard));
+    constexpr double kRoundingTolerance = 1e-9;
+    rounded[key] = static_cast<int>(std::floor(groups + 0.5 + kRoundingTolerance));
   }
   for (const auto& tenant : input.tenants) {
-    std::pair<std::string, std::string> widest;
+    std::pair<std::string, std::string> best_target;
     double best = -1;
     bool served = false;
     for (const auto& zone : tenant.zones) {
@@ -292,23 +296,23 @@
       served = served || (found != wanted.end() && rounded[found->first] > 0);
       if (found != wanted.end() && found->second > best) {
         best = found->second;
-        widest = found->first;
+        best_target = found->first;
       }
     }
     if (!served && best >= 0) {
-      rounded[widest] = 1;
+      rounded[best_target] = 1;
     }
   }
-  std::vector<Demand> result;
+  std::vector<GroupDemand> result;
   for (const auto& [key, groups] : rounded) {
     if (groups > 0) {
-      result.push_back(Demand{key.first, key.second, groups});
+      result.push_back(GroupDemand{key.first, key.second, groups});
     }
   }
   return result;
 }
 
-std::unique_ptr<PlacementPolicy> make_policy(std::string_view name) {
+std::unique_ptr<PlacementPolicy> make_placement_policy(std::string_view name) {
   if (name == "first_fit") {
     return std::make_unique<FirstFit>();
   }
@@ -321,6 +325,6 @@
   return nullptr;
 }
 
-Plan plan(const PlanningInput& input, const PlacementPolicy& policy) { return PlanningPass(input, policy).run(); }
+Plan make_plan(const PlanningInput& input, const PlacementPolicy& policy) { return PlanningPass(input, policy).run(); }
 
 }  // namespace larchlever::placement
--- a/src/core/placement/planner.h
+++ b/src/core/placement/planner.h
@@ -40,7 +40,7 @@
 };
 
 /// Wanted number of groups of one template in one zone.
-struct Demand {
+struct GroupDemand {
   std::string template_name;
   std::string zone;
   int groups = 0;
@@ -48,14 +48,14 @@
 
 /// Groups wanted per template and zone, from the tenants' shares of the fleet and their permitted zones. Every tenant
 /// gets at least one group in a zone that it permits, whatever its share.
-std::vector<Demand> desired_groups(const PlanningInput& input);
+std::vector<GroupDemand> desired_groups(const PlanningInput& input);
 
 /// One fabric domain with machines that are free to use.
-struct DomainView {
+struct DomainCapacity {
   std::string domain;
   std::string zone;
-  std::vector<const wire::Machine*> free;
-  size_t total = 0;
+  std::vector<const wire::Machine*> free_machines;
+  size_t total_machines = 0;
   /// Groups in the domain that would need a spare machine to recover from a loss.
   size_t groups = 0;
 };
@@ -66,14 +66,14 @@
   virtual ~PlacementPolicy() = default;
   virtual std::string_view name() const = 0;
   /// Index of the domain to use among `domains`, each with at least `size` free machines; they come in a fixed order.
-  virtual size_t choose(const std::vector<const DomainView*>& domains, size_t size,
-                        const wire::FleetParameters& parameters) const = 0;
+  virtual size_t choose_domain(const std::vector<const DomainCapacity*>& domains, size_t size,
+                               const wire::FleetParameters& parameters) const = 0;
 };
 
 /// The policy called `name`: first_fit, best_fit or spare_aware; null for another name.
-std::unique_ptr<PlacementPolicy> make_policy(std::string_view name);
+std::unique_ptr<PlacementPolicy> make_placement_policy(std::string_view name);
 
 /// One planning pass. Pure and deterministic: the same input gives the same plan.
-Plan plan(const PlanningInput& input, const PlacementPolicy& policy);
+Plan make_plan(const PlanningInput& input, const PlacementPolicy& policy);
 
 }  // namespace larchlever::placement
--- a/src/node/claim_gate.cc
+++ b/src/node/claim_gate.cc
@@ -29,13 +29,13 @@
 
 asio::awaitable<void> ClaimGate::answer_standing(net::HttpExchange& exchange, const ClaimOutcome& outcome,
                                                  int64_t digest) {
-  const auto& standing = outcome.standing;
+  const auto& standing = outcome.existing_claim;
   Problem problem;
   Outcome told = Outcome::kUnknown;
   if (!outcome.decided) {
     problem = {503, "no quorum could be asked whether this key was used", "send the request again with the same key",
                kRetryAfterSeconds};
-  } else if (outcome.expired_key) {
+  } else if (outcome.key_expired) {
     problem = {410, "the key was issued before the window in which keys are remembered",
                "find out whether the request ran; then use a new key", 0};
   } else if (standing.body_digest != digest) {
--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -163,7 +163,7 @@
 
 void NodeRuntime::on_written(std::vector<consensus::RaftOutput> batches) {
   for (auto& batch : batches) {
-    controller_->written(now(), std::move(batch));
+    controller_->on_storage_written(now(), std::move(batch));
   }
   pump();
 }
@@ -280,7 +280,7 @@
   const auto* loaded = state.if_contains("loaded");
   sighting.loaded = loaded != nullptr && loaded->is_bool() && loaded->as_bool();
   sighting.load = static_cast<int32_t>(integer_field(state, "load"));
-  controller_->sighting(asked_at, sighting);
+  controller_->on_sighting(asked_at, sighting);
 }
 
 asio::awaitable<void> NodeRuntime::membership_loop() {
@@ -317,7 +317,7 @@
         machines.push_back(std::move(machine));
       }
     }
-    controller_->membership_list(machines);
+    controller_->on_membership_list(machines);
     endpoints_.set_leaving(std::move(leaving));
     timer.expires_after(kMembershipInterval);
     co_await timer.async_wait(kAwait);
@@ -366,7 +366,7 @@
                                      : control::OrderVerdict::kUnreachable;
   }
   stats_.order_failures += result.verdict == control::OrderVerdict::kDone ? 0 : 1;
-  controller_->order_result(result);
+  controller_->on_order_result(result);
 }
 
 // ------------------------------------------------------------ what waits here
@@ -391,7 +391,7 @@
                                                            const std::function<bool()>& cancelled) {
   auto& gate = controller_->entry().admission();
   const uint64_t ticket = next_ticket_++;
-  switch (gate.enter(now(), ticket, tenant, priority, deadline)) {
+  switch (gate.request_admission(now(), ticket, tenant, priority, deadline)) {
     case admission::AdmissionVerdict::kAdmitted:
       co_return Admission::kAdmitted;
     case admission::AdmissionVerdict::kRefusedQueueFull:
@@ -420,7 +420,7 @@
 }
 
 void NodeRuntime::leave(const std::string& tenant, Duration service_time) {
-  controller_->entry().admission().leave(tenant, service_time);
+  controller_->entry().admission().finish_request(tenant, service_time);
   settle_admission();
 }
 
--- a/src/settings/fleet_settings.cc
+++ b/src/settings/fleet_settings.cc
@@ -138,8 +138,8 @@
   read_bounds(document, settings, errors);
   read_log(document, settings, errors);
   // A document may be large and the log short: snapshots are cheap, entries are not.
-  settings.options.control.snapshot_interval = 64;
-  settings.options.control.snapshot_trailing = 16;
+  settings.options.control.snapshot_interval_entries = 64;
+  settings.options.control.snapshot_trailing_entries = 16;
   settings.options.control.node_timeout = settings.options.node_timeout;
   settings.options.raft.heartbeat_interval = kLogHeartbeat;
   settings.options.raft.election_timeout_min = kElectionTimeout;
--- a/src/settings/node_settings.cc
+++ b/src/settings/node_settings.cc
@@ -63,12 +63,12 @@
   control.serve_lease = to_duration(reader.integer("serve_lease_ms", 1000, 100, kMinute));
   control.presence_bound = to_duration(reader.integer("presence_bound_ms", 2000, 100, kMinute));
   control.node_timeout = to_duration(reader.integer("node_timeout_ms", 2500, 100, 10 * kMinute));
-  control.node_forget = to_duration(reader.integer("node_forget_ms", 10'000, 1000, 60 * kMinute));
+  control.node_removal_timeout = to_duration(reader.integer("node_forget_ms", 10'000, 1000, 60 * kMinute));
   control.replica_timeout = to_duration(reader.integer("replica_timeout_ms", 8000, 1000, 60 * kMinute));
   control.planning_interval = to_duration(reader.integer("planning_interval_ms", 500, 50, kMinute));
   control.drain_timeout = to_duration(reader.integer("group_drain_timeout_ms", 600'000, 1000, 60 * kMinute));
-  control.snapshot_interval = reader.integer("snapshot_interval_entries", 20'000, 10, 10'000'000);
-  control.snapshot_trailing = reader.integer("snapshot_trailing_entries", 2000, 0, 1'000'000);
+  control.snapshot_interval_entries = reader.integer("snapshot_interval_entries", 20'000, 10, 10'000'000);
+  control.snapshot_trailing_entries = reader.integer("snapshot_trailing_entries", 2000, 0, 1'000'000);
   if (control.configuration_lease < 2 * control.heartbeat_interval) {
     reader.fault("configuration_lease_ms", std::to_string(control.configuration_lease.count() / 1000),
                  "shorter than two heartbeats, so leases would lapse; raise it or lower heartbeat_ms");
--- a/src/simulation/registered_fleet.cc
+++ b/src/simulation/registered_fleet.cc
@@ -44,8 +44,8 @@
   fleet.minimum_voters = 2 * kToleratedLosses + 1;
   fleet.control.minimum_voters = fleet.minimum_voters;
   fleet.control.replica_timeout = milliseconds(1300);
-  fleet.control.snapshot_interval = 8;
-  fleet.control.snapshot_trailing = 2;
+  fleet.control.snapshot_interval_entries = 8;
+  fleet.control.snapshot_trailing_entries = 2;
   controls_.resize(kControls);
   for (int number = 0; number < kControls; ++number) {
     controls_[number].name = "10.0.0." + std::to_string(number + 1) + ":7000";
--- a/src/simulation/simulated_fleet.cc
+++ b/src/simulation/simulated_fleet.cc
@@ -247,7 +247,7 @@
   for (auto& batch : outputs.storage) {
     node.disk.submit(batch);
     if (options_.defects.lying_disk) {
-      node.controller->written(local_now(node), std::move(batch));
+      node.controller->on_storage_written(local_now(node), std::move(batch));
     }
   }
   start_sync(node);
@@ -289,7 +289,7 @@
     on_node(name, generation, [this, identity, batch = std::move(batch)](SimulatedNode& running) {
       if (running.disk.replica_id() == identity && !options_.defects.lying_disk) {
         ++running.cost.synced_batches;
-        book(running, [&] { running.controller->written(local_now(running), batch); });
+        book(running, [&] { running.controller->on_storage_written(local_now(running), batch); });
         pump(running);
       }
     });
@@ -318,8 +318,9 @@
         }
         const auto sighting = machine->second.state(queue_.now());
         queue_.after(random_delay(), [this, name, generation, asked_at, sighting] {
-          on_node(name, generation,
-                  [asked_at, sighting](SimulatedNode& watcher) { watcher.controller->sighting(asked_at, sighting); });
+          on_node(name, generation, [asked_at, sighting](SimulatedNode& watcher) {
+            watcher.controller->on_sighting(asked_at, sighting);
+          });
         });
       });
     }
@@ -341,7 +342,7 @@
       item.leaving = machine.leaving && queue_.now() > machine.leaving_since + options_.membership_lag;
       list.push_back(std::move(item));
     }
-    node.controller->membership_list(list);
+    node.controller->on_membership_list(list);
     queue_.after(kMembershipInterval, [this, name, generation] { publish_members(name, generation); });
   });
 }
@@ -369,7 +370,7 @@
     }
     queue_.after(random_delay(), [this, name, generation, result] {
       on_node(name, generation, [this, result](SimulatedNode& sender) {
-        sender.controller->order_result(result);
+        sender.controller->on_order_result(result);
         pump(sender);
       });
     });
--- a/src/simulation/simulation_run.cc
+++ b/src/simulation/simulation_run.cc
@@ -59,7 +59,7 @@
   for (const auto& [id, machine] : state.machines()) {
     input.present.insert(id);
   }
-  const auto plan = placement::plan(input, *placement::make_policy("first_fit"));
+  const auto plan = placement::make_plan(input, *placement::make_placement_policy("first_fit"));
   if (!plan.create.empty()) {
     monitor.fail(fleet.queue().now(), "a group that could form did not: " + plan.create.front().template_name + " in " +
                                           plan.create.front().zone);
@@ -79,8 +79,8 @@
   options.seed = seed;
   options.fleet.seed = seed;
   options.fleet.zones = {{"a", 2, 3, 8, true}, {"b", 2, 3, 8, true}, {"c", 2, 3, 8, false}};
-  options.fleet.controller.control.snapshot_interval = 150;
-  options.fleet.controller.control.snapshot_trailing = 20;
+  options.fleet.controller.control.snapshot_interval_entries = 150;
+  options.fleet.controller.control.snapshot_trailing_entries = 20;
   options.workload.tenants = {"one", "two", "three"};
   options.configuration = fault_run_configuration();
   return options;
--- a/src/simulation/workload.cc
+++ b/src/simulation/workload.cc
@@ -118,9 +118,9 @@
     finish(node, request, wire::ClaimState::NOT_RUN);
     return;
   }
-  if (outcome.standing.state == wire::ClaimState::RAN) {
+  if (outcome.existing_claim.state == wire::ClaimState::RAN) {
     ++stats_.replayed;
-    fleet_.monitor().told_answer(fleet_.queue().now(), request->key, outcome.standing.answer_body);
+    fleet_.monitor().told_answer(fleet_.queue().now(), request->key, outcome.existing_claim.answer_body);
     return;
   }
   ++stats_.unknown;
--- a/tests/unit/claim_table_test.cc
+++ b/tests/unit/claim_table_test.cc
@@ -31,29 +31,29 @@
   return resolution;
 }
 
-TEST(ClaimTable, GrantsAKeyOnceAndRepeatsTheGrantToTheSameRequest) {
+TEST(ClaimTable, GrantsKeyOnceAndRepeatsGrantToSameRequest) {
   ClaimTable table;
   const auto first = make_claim("k", "n1", 1);
   EXPECT_TRUE(table.claim(first, 1000).granted);
   EXPECT_TRUE(table.claim(first, 1001).granted);
   const auto rival = table.claim(make_claim("k", "n2", 1), 1002);
   EXPECT_FALSE(rival.granted);
-  EXPECT_EQ(rival.standing.state, wire::ClaimState::IN_PROGRESS);
+  EXPECT_EQ(rival.existing_claim.state, wire::ClaimState::IN_PROGRESS);
 }
 
-TEST(ClaimTable, ReplaysTheAnswerAndFreesWhatDidNotRun) {
+TEST(ClaimTable, ReplaysStoredAnswerAndFreesKeyThatDidNotRun) {
   ClaimTable table;
   const auto ran = make_claim("ran", "n1", 1);
   table.claim(ran, 1);
   table.resolve(make_resolution(ran, wire::ClaimState::RAN), 2);
-  EXPECT_EQ(table.claim(make_claim("ran", "n2", 5), 3).standing.answer_body, "answer");
+  EXPECT_EQ(table.claim(make_claim("ran", "n2", 5), 3).existing_claim.answer_body, "answer");
   const auto not_run = make_claim("not", "n1", 2);
   table.claim(not_run, 1);
   table.resolve(make_resolution(not_run, wire::ClaimState::NOT_RUN), 2);
   EXPECT_TRUE(table.claim(make_claim("not", "n2", 6), 3).granted);
 }
 
-TEST(ClaimTable, ANotRunThatOvertakesItsClaimBarsIt) {
+TEST(ClaimTable, NotRunResolutionBlocksLateClaimOfSameRequest) {
   ClaimTable table;
   const auto late = make_claim("k", "n1", 1);
   table.resolve(make_resolution(late, wire::ClaimState::NOT_RUN), 1);
@@ -61,27 +61,27 @@
   EXPECT_TRUE(table.claim(make_claim("k", "n2", 2), 3).granted);
 }
 
-TEST(ClaimTable, ALostEntryLeavesItsRequestsUnknown) {
+TEST(ClaimTable, MarksClaimsOfLostEntryUnknown) {
   ClaimTable table;
   const auto claim = make_claim("k", "n1", 1);
   table.claim(claim, 1);
-  table.end_incarnation("n1", Incarnation(2));
+  table.mark_outcomes_unknown("n1", Incarnation(2));
   EXPECT_EQ(table.find("tenant", "k")->state, wire::ClaimState::IN_PROGRESS) << "another incarnation's end";
-  table.end_incarnation("n1", Incarnation(1));
+  table.mark_outcomes_unknown("n1", Incarnation(1));
   EXPECT_FALSE(table.claim(make_claim("k", "n2", 2), 2).granted);
   EXPECT_EQ(table.find("tenant", "k")->state, wire::ClaimState::UNKNOWN);
 }
 
-TEST(ClaimTable, RefusesKeysOlderThanTheWindow) {
+TEST(ClaimTable, RefusesKeysOlderThanWindow) {
   ClaimTable table;
   table.set_window_ms(1000);
   auto old = make_claim("k", "n1", 1);
   old.claimed_at_ms = 5000;
-  EXPECT_TRUE(table.claim(old, 6000).expired_key);
+  EXPECT_TRUE(table.claim(old, 6000).key_expired);
   EXPECT_FALSE(table.claim(old, 6000).granted);
 }
 
-TEST(ClaimTable, BoundsStoredAnswersAndSurvivesSnapshots) {
+TEST(ClaimTable, BoundsStoredAnswersAndRestoresSnapshot) {
   ClaimTable table(ClaimLimits{1'000'000, 10, 100});
   for (int number = 0; number < 5; ++number) {
     const auto claim = make_claim("k" + std::to_string(number), "n1", number);
@@ -92,13 +92,13 @@
   EXPECT_LE(table.stored_bytes(), 10U);
   EXPECT_EQ(table.size(), 5U);
   ClaimTable copy(ClaimLimits{1'000'000, 10, 100});
-  copy.restore(table.dump());
+  copy.restore(table.all_claims());
   EXPECT_EQ(copy.size(), 5U);
   EXPECT_EQ(copy.stored_bytes(), table.stored_bytes());
   EXPECT_FALSE(copy.claim(make_claim("k0", "n2", 9), 10).granted);
 }
 
-TEST(ClaimTable, NeverGrantsAKeyTwiceWhateverTheOrder) {
+TEST(ClaimTable, GrantsKeyAtMostOnceInAnyOrder) {
   rc::check([] {
     ClaimTable table;
     std::map<std::string, int> ran;
--- a/tests/unit/control_state_test.cc
+++ b/tests/unit/control_state_test.cc
@@ -40,12 +40,12 @@
       command.__set_machine_observation(seen);
       apply(command);
     }
-    wire::Template shape;
-    shape.name = "main";
-    shape.model = "model";
-    shape.version = "1";
-    shape.machines_per_group = 2;
-    EXPECT_EQ(change("setup", {write("template/main", wire::encode(shape)),
+    wire::Template group_template;
+    group_template.name = "main";
+    group_template.model = "model";
+    group_template.version = "1";
+    group_template.machines_per_group = 2;
+    EXPECT_EQ(change("setup", {write("template/main", wire::encode(group_template)),
                                write("tenant/one", wire::encode(make_tenant("one", 30)))})
                   .verdict,
               wire::Verdict::ACCEPTED);
@@ -98,7 +98,7 @@
       << "a blind write may only create";
 }
 
-TEST_F(ControlStateTest, AResentCommandGetsItsFirstAnswerAlsoAfterASnapshot) {
+TEST_F(ControlStateTest, ResentCommandGetsFirstAnswerAfterSnapshotRestore) {
   const auto base = read("tenant/one");
   const auto first = change("a", {write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base});
   const auto refused = change("b", {write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base});
@@ -110,11 +110,11 @@
   EXPECT_EQ(state_.audit().size(), 3U);
 }
 
-TEST_F(ControlStateTest, RefusesInvalidChangesWithARemedyAndChangesNothing) {
+TEST_F(ControlStateTest, RefusesInvalidChangesWithRemedyAndKeepsRecords) {
   const auto revision = state_.records().revision();
-  auto stranger = make_tenant("two", 10);
-  stranger.zones = {"nowhere"};
-  const auto zone = change("a", {write("tenant/two", wire::encode(stranger))});
+  auto tenant_in_unknown_zone = make_tenant("two", 10);
+  tenant_in_unknown_zone.zones = {"nowhere"};
+  const auto zone = change("a", {write("tenant/two", wire::encode(tenant_in_unknown_zone))});
   EXPECT_EQ(zone.verdict, wire::Verdict::INVALID);
   EXPECT_NE(zone.message.find("unknown zone"), std::string::npos);
   const auto shares = change("b", {write("tenant/two", wire::encode(make_tenant("two", 80)))});
@@ -129,7 +129,7 @@
   EXPECT_EQ(state_.records().revision(), revision);
 }
 
-TEST_F(ControlStateTest, AMachineServesOneGroupUntilItsReleaseIsConfirmed) {
+TEST_F(ControlStateTest, MachineBelongsToOneGroupUntilReleaseIsConfirmed) {
   const auto group = create({"m1", "m2"});
   ASSERT_TRUE(group);
   EXPECT_FALSE(create({"m2", "m3"})) << "m2 is taken";
@@ -154,7 +154,7 @@
   EXPECT_TRUE(create({"m2", "m3"}));
 }
 
-TEST_F(ControlStateTest, ANewIncarnationEndsTheGroup) {
+TEST_F(ControlStateTest, NewMachineIncarnationReleasesGroup) {
   const auto group = create({"m1", "m2"});
   wire::Command seen;
   wire::MachineObservation observation;
@@ -165,7 +165,7 @@
   EXPECT_EQ(state_.groups().at(*group).state, wire::GroupState::RELEASING);
 }
 
-TEST(ControlLeader, AnotherLeadersEntryAtTheSameIndexIsNotItsOwn) {
+TEST(ControlLeader, IgnoresEntryOfAnotherTermAtProposedIndex) {
   ControlLeader leader(ControlOptions(), "n1");
   leader.start(TimePoint(seconds(1)));
   wire::ClaimRequest request;
@@ -173,12 +173,12 @@
   ControlLeader::Proposal proposal;
   proposal.command.claims.claims.push_back(request.claim);
   proposal.claim_requests.emplace_back("n2", request.request_id);
-  leader.proposed(10, 3, proposal);
-  leader.applied(TimePoint(seconds(2)), 10, 4, ApplyResult());
+  leader.on_proposal_appended(10, 3, proposal);
+  leader.on_entry_applied(TimePoint(seconds(2)), 10, 4, ApplyResult());
   EXPECT_TRUE(leader.take_outputs().envelopes.empty());
 }
 
-TEST(Planner, PrefersAWarmMachineAndLeavesASpare) {
+TEST(Planner, PrefersMachineWithWeightsAndKeepsSpare) {
   std::map<std::string, wire::Machine> machines;
   const auto add = [&machines](const std::string& domain, int count) {
     for (int number = 1; number <= count; ++number) {
@@ -193,25 +193,25 @@
   add("tight", 2);
   add("wide", 3);
   machines["wide3"].weights = "model@1";
-  wire::Template shape;
-  shape.name = "main";
-  shape.model = "model";
-  shape.version = "1";
-  shape.machines_per_group = 2;
-  placement::PlanningInput input{machines, {}, {shape}, {make_tenant("one", 40)}, {}, {}};
+  wire::Template group_template;
+  group_template.name = "main";
+  group_template.model = "model";
+  group_template.version = "1";
+  group_template.machines_per_group = 2;
+  placement::PlanningInput input{machines, {}, {group_template}, {make_tenant("one", 40)}, {}, {}};
   const std::map<int64_t, wire::Group> none;
-  placement::PlanningInput usable{machines, none, {shape}, {make_tenant("one", 40)}, {}, {}};
+  placement::PlanningInput usable{machines, none, {group_template}, {make_tenant("one", 40)}, {}, {}};
   for (const auto& [id, machine] : machines) {
     usable.present.insert(id);
   }
   usable.parameters.downtime_weight = 100;
-  const auto spare = placement::plan(usable, *placement::make_policy("spare_aware"));
+  const auto spare = placement::make_plan(usable, *placement::make_placement_policy("spare_aware"));
   ASSERT_EQ(spare.create.size(), 1U);
   EXPECT_EQ(spare.create[0].domain, "wide");
   EXPECT_EQ(spare.create[0].machines.front(), "wide3") << "it already holds the weights";
   usable.parameters.downtime_weight = 0;
-  EXPECT_EQ(placement::plan(usable, *placement::make_policy("spare_aware")).create[0].domain, "tight");
-  EXPECT_EQ(placement::plan(usable, *placement::make_policy("best_fit")).create[0].domain, "tight");
+  EXPECT_EQ(placement::make_plan(usable, *placement::make_placement_policy("spare_aware")).create[0].domain, "tight");
+  EXPECT_EQ(placement::make_plan(usable, *placement::make_placement_policy("best_fit")).create[0].domain, "tight");
 }
 
 }  // namespace
--- a/tests/unit/group_lifecycle_test.cc
+++ b/tests/unit/group_lifecycle_test.cc
@@ -7,7 +7,7 @@
 
 using wire::GroupState;
 
-TEST(GroupLifecycle, FollowsThePlannedPath) {
+TEST(GroupLifecycle, AdvancesThroughPlannedStates) {
   EXPECT_EQ(next_state(GroupState::PLANNED, GroupEvent::kOrdersSent), GroupState::LOADING);
   EXPECT_EQ(next_state(GroupState::LOADING, GroupEvent::kAllLoaded), GroupState::READY);
   EXPECT_EQ(next_state(GroupState::READY, GroupEvent::kServe), GroupState::SERVING);
@@ -16,21 +16,21 @@
   EXPECT_EQ(next_state(GroupState::RELEASING, GroupEvent::kAllReleased), GroupState::GONE);
 }
 
-TEST(GroupLifecycle, LossOfAMemberAlwaysReleases) {
+TEST(GroupLifecycle, MemberLossReleasesGroupInEveryState) {
   for (const auto state :
        {GroupState::PLANNED, GroupState::LOADING, GroupState::READY, GroupState::SERVING, GroupState::DRAINING}) {
     EXPECT_EQ(next_state(state, GroupEvent::kMemberLost), GroupState::RELEASING);
   }
 }
 
-TEST(GroupLifecycle, RefusesShortcutsAndResurrection) {
+TEST(GroupLifecycle, RefusesSkippedStatesAndEventsAfterGone) {
   EXPECT_EQ(next_state(GroupState::PLANNED, GroupEvent::kServe), std::nullopt);
   EXPECT_EQ(next_state(GroupState::LOADING, GroupEvent::kServe), std::nullopt);
   EXPECT_EQ(next_state(GroupState::RELEASING, GroupEvent::kServe), std::nullopt);
   for (int event = 0; event < 7; ++event) {
     EXPECT_EQ(next_state(GroupState::GONE, static_cast<GroupEvent>(event)), std::nullopt);
   }
-  EXPECT_EQ(event_between(GroupState::RELEASING, GroupState::SERVING), std::nullopt);
+  EXPECT_EQ(find_event(GroupState::RELEASING, GroupState::SERVING), std::nullopt);
 }
 
 }  // namespace
--- a/tests/unit/node_controller_test.cc
+++ b/tests/unit/node_controller_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// A region of one node whose disk is instantaneous.
-class LoneNode : public testing::Test {
+class NodeControllerTest : public testing::Test {
  protected:
   void SetUp() override {
     NodeControllerOptions options;
@@ -30,28 +30,28 @@
       auto outputs = node_->take_outputs();
       while (!outputs.storage.empty()) {
         for (auto& batch : outputs.storage) {
-          node_->written(now_, std::move(batch));
+          node_->on_storage_written(now_, std::move(batch));
         }
-        claims_.insert(claims_.end(), outputs.claim_outcomes.begin(), outputs.claim_outcomes.end());
+        claim_outcomes_.insert(claim_outcomes_.end(), outputs.claim_outcomes.begin(), outputs.claim_outcomes.end());
         outputs = node_->take_outputs();
       }
-      claims_.insert(claims_.end(), outputs.claim_outcomes.begin(), outputs.claim_outcomes.end());
+      claim_outcomes_.insert(claim_outcomes_.end(), outputs.claim_outcomes.begin(), outputs.claim_outcomes.end());
     }
   }
 
   TimePoint now_ = TimePoint(seconds(100));
   std::unique_ptr<NodeController> node_;
-  std::vector<ClaimOutcome> claims_;
+  std::vector<ClaimOutcome> claim_outcomes_;
 };
 
-TEST_F(LoneNode, LeadsAndHoldsItsConfigurationLease) {
+TEST_F(NodeControllerTest, SingleNodeLeadsAndHoldsConfigurationLease) {
   EXPECT_FALSE(node_->entry().has_configuration_lease(now_));
   run(seconds(4));
   EXPECT_TRUE(node_->acts_as_leader(now_));
   EXPECT_TRUE(node_->entry().has_configuration_lease(now_));
 }
 
-TEST_F(LoneNode, StopsAfterAWhileThoughNobodyCanTakeOver) {
+TEST_F(NodeControllerTest, MayStopAfterTimeoutWithoutSuccessor) {
   run(seconds(4));
   node_->begin_leaving(now_);
   run(seconds(1));
@@ -60,21 +60,21 @@
   EXPECT_TRUE(node_->may_stop(now_));
 }
 
-TEST_F(LoneNode, GrantsAClaimOnceAndAnswersUndecidedWithoutAQuorum) {
+TEST_F(NodeControllerTest, GrantsClaimOnceAndReportsUndecidedWithoutQuorum) {
   wire::Claim claim;
   claim.tenant = "t";
   claim.key = "k";
   node_->submit_claim(now_, claim, now_ + milliseconds(200));
   run(milliseconds(400));
-  ASSERT_EQ(claims_.size(), 1U);
-  EXPECT_FALSE(claims_[0].decided) << "no leader yet";
+  ASSERT_EQ(claim_outcomes_.size(), 1U);
+  EXPECT_FALSE(claim_outcomes_[0].decided) << "no leader yet";
   run(seconds(4));
-  claims_.clear();
+  claim_outcomes_.clear();
   node_->submit_claim(now_, claim, now_ + seconds(2));
   node_->submit_claim(now_, claim, now_ + seconds(2));
   run(seconds(1));
-  ASSERT_EQ(claims_.size(), 2U);
-  EXPECT_NE(claims_[0].granted, claims_[1].granted);
+  ASSERT_EQ(claim_outcomes_.size(), 2U);
+  EXPECT_NE(claim_outcomes_[0].granted, claim_outcomes_[1].granted);
 }
 
 }  // namespace
--- a/tests/unit/replica_supervisor_test.cc
+++ b/tests/unit/replica_supervisor_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// A leader of one voter, long in office, and a node with a fresh disk.
-TEST(ReplicaSupervisor, GivesANewLearnerTimeToAnswer) {
+TEST(ReplicaSupervisor, GivesNewLearnerTimeToAnswer) {
   TimePoint now = TimePoint(seconds(100));
   wire::ReplicaAddress address;
   address.replica_id = 1;
@@ -30,11 +30,11 @@
   supervisor.start(now);
   run(seconds(30));
   membership::NodeDirectory nodes;
-  membership::Arrival arrival{};
+  membership::SenderIncarnation sender_incarnation{};
   for (int64_t number = 2; number <= 3; ++number) {
-    auto* row = nodes.heard(now, "n" + std::to_string(number), Incarnation(1), arrival);
-    row->replica_id = ReplicaId(number);
-    row->zone = "a";
+    auto* node_record = nodes.record_heartbeat(now, "n" + std::to_string(number), Incarnation(1), sender_incarnation);
+    node_record->replica_id = ReplicaId(number);
+    node_record->zone = "a";
   }
   const auto added = supervisor.next_change(now, raft, nodes);
   ASSERT_TRUE(added);
@@ -50,7 +50,7 @@
 
 /// Five voters, one long silent, no spare disk: three would do for a quorum, but a repair must not go below the
 /// minimum.
-TEST(ReplicaSupervisor, NeverGoesBelowTheMinimumOfVoters) {
+TEST(ReplicaSupervisor, KeepsMinimumVoters) {
   TimePoint now = TimePoint(seconds(100));
   wire::ReplicaAddress address;
   address.replica_id = 1;
--- a/tests/unit/requests_test.cc
+++ b/tests/unit/requests_test.cc
@@ -126,18 +126,18 @@
 TEST(AdmissionController, QueuesByPriorityAndRefusesEarly) {
   admission::AdmissionController gate(2);
   using admission::AdmissionVerdict;
-  EXPECT_EQ(gate.enter(kNow, 1, "t", 5, kNow + seconds(5)), AdmissionVerdict::kQueued) << "no budget yet";
+  EXPECT_EQ(gate.request_admission(kNow, 1, "t", 5, kNow + seconds(5)), AdmissionVerdict::kQueued) << "no budget yet";
   gate.set_budget("t", 1, kNow + seconds(10));
-  EXPECT_EQ(gate.take_admitted(kNow), std::vector<admission::TicketId>{1});
-  EXPECT_EQ(gate.enter(kNow, 2, "t", 1, kNow + seconds(5)), AdmissionVerdict::kQueued);
-  EXPECT_EQ(gate.enter(kNow, 3, "t", 9, kNow + seconds(5)), AdmissionVerdict::kQueued);
-  EXPECT_EQ(gate.enter(kNow, 4, "t", 9, kNow + seconds(5)), AdmissionVerdict::kRefusedQueueFull);
+  EXPECT_EQ(gate.take_admitted(kNow), std::vector<admission::AdmissionRequestId>{1});
+  EXPECT_EQ(gate.request_admission(kNow, 2, "t", 1, kNow + seconds(5)), AdmissionVerdict::kQueued);
+  EXPECT_EQ(gate.request_admission(kNow, 3, "t", 9, kNow + seconds(5)), AdmissionVerdict::kQueued);
+  EXPECT_EQ(gate.request_admission(kNow, 4, "t", 9, kNow + seconds(5)), AdmissionVerdict::kRefusedQueueFull);
   gate.leave("t", seconds(2));
-  EXPECT_EQ(gate.take_admitted(kNow), std::vector<admission::TicketId>{3}) << "the higher priority first";
-  EXPECT_EQ(gate.enter(kNow, 5, "t", 5, kNow + seconds(1)), AdmissionVerdict::kRefusedDeadline);
-  EXPECT_EQ(gate.take_expired(kNow + seconds(5)), std::vector<admission::TicketId>{2});
+  EXPECT_EQ(gate.take_admitted(kNow), std::vector<admission::AdmissionRequestId>{3}) << "the higher priority first";
+  EXPECT_EQ(gate.request_admission(kNow, 5, "t", 5, kNow + seconds(1)), AdmissionVerdict::kRefusedDeadline);
+  EXPECT_EQ(gate.take_expired(kNow + seconds(5)), std::vector<admission::AdmissionRequestId>{2});
   gate.leave("t", seconds(2));
-  EXPECT_EQ(gate.enter(kNow + seconds(11), 6, "t", 5, kNow + seconds(20)), AdmissionVerdict::kQueued)
+  EXPECT_EQ(gate.request_admission(kNow + seconds(11), 6, "t", 5, kNow + seconds(20)), AdmissionVerdict::kQueued)
       << "the budget's lease ran out";
 }
 
