--- a/src/core/admission/admission_controller.cc
+++ b/src/core/admission/admission_controller.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Weight of the newest sample in the mean service time.
+/// Weight of the newest sample in the exponential moving average of the service time.
 constexpr double kServiceTimeSmoothing = 0.1;
 
 }  // namespace
@@ -16,7 +16,7 @@
   const auto queued_before = std::distance(tenant_state.queue.begin(), tenant_state.queue.upper_bound(priority));
   const int budget = unexpired_budget(tenant_state, now);
   if (budget <= 0) {
-    return Duration(0);  // Nothing is known of when a budget comes; the deadline itself will tell.
+    return Duration(0);  // The time of the next budget is unknown; the request expires at its deadline if none arrives.
   }
   const double rounds_to_wait = static_cast<double>(queued_before + 1) / budget;
   return Duration(static_cast<int64_t>(rounds_to_wait * tenant_state.mean_service_us));
--- a/src/core/admission/admission_controller.h
+++ b/src/core/admission/admission_controller.h
@@ -15,7 +15,7 @@
   kAdmitted,
   kQueued,
   kRefusedQueueFull,
-  kRefusedDeadline,  ///< Would not be served before its deadline, judged by the queue before it.
+  kRefusedDeadline,  ///< The estimated queueing time exceeds the deadline.
 };
 
 struct AdmissionStats {
@@ -26,10 +26,10 @@
   uint64_t expired = 0;
 };
 
-/// An entry's gate before routing: per tenant a concurrency budget (a lease from the leader) and a bounded queue,
-/// ordered by priority, then by arrival.
+/// Admission control of an entry, applied before routing. Each tenant has a concurrency budget, leased from the leader,
+/// and a bounded queue ordered by priority, then by arrival.
 ///
-/// A ticket is admitted at once, queued, or refused at once. A queued ticket later appears exactly once in
+/// A request is admitted at once, queued, or refused at once. A queued request is later returned exactly once by
 /// `take_admitted` or `take_expired`, unless it is cancelled. Deterministic; single-threaded.
 class AdmissionController {
  public:
@@ -37,11 +37,11 @@
 
   AdmissionVerdict request_admission(TimePoint now, AdmissionRequestId request_id, const std::string& tenant,
                                      int priority, TimePoint deadline);
-  /// An admitted ticket ended. `service_time` feeds the waiting-time estimate.
+  /// Releases the slot of an admitted request that ended. `service_time` is a sample for the queueing-time estimate.
   void finish_request(const std::string& tenant, Duration service_time);
-  /// A queued ticket's caller went away.
+  /// Removes a queued request whose caller disconnected.
   void cancel(AdmissionRequestId request_id);
-  /// A new grant for the tenant, valid until `expires`; when it runs out the budget is zero.
+  /// Sets the tenant's concurrency budget, which drops to zero at `expires` unless it is renewed.
   void set_budget(const std::string& tenant, int concurrent, TimePoint expires);
 
   std::vector<AdmissionRequestId> take_admitted(TimePoint now);
@@ -52,7 +52,7 @@
     int waiting = 0;
     int held_budget = 0;
   };
-  /// Load per tenant that has any, and the unexpired budget it holds.
+  /// Running and queued requests and the unexpired budget of each tenant that has any of them.
   std::map<std::string, Load> loads(TimePoint now) const;
   const AdmissionStats& stats() const { return stats_; }
 
@@ -65,7 +65,7 @@
     int budget = 0;
     TimePoint budget_expires{};
     int running = 0;
-    /// Highest priority first, then arrival order.
+    /// Ordered by descending priority, then by arrival.
     std::multimap<int, QueuedRequest, std::greater<>> queue;
     double mean_service_us = 0;
   };
--- a/src/core/admission/budget_allocator.cc
+++ b/src/core/admission/budget_allocator.cc
@@ -39,8 +39,8 @@
   const int others_granted = shares.granted;
   const int total_demand = shares.demand + demand;
   const int entries = static_cast<int>(shares.by_node.size()) + 1;
-  // Demand first, in proportion when it exceeds the limit; what is left over is spread evenly, so that an entry
-  // without recent traffic can admit a first request without waiting for a heartbeat.
+  // Demand is met first, in proportion when the total exceeds the limit. The remainder is split evenly, so that an
+  // entry without recent traffic can admit a first request without waiting for a heartbeat.
   int target = demand;
   if (total_demand > limit) {
     target = limit * demand / std::max(total_demand, 1);
--- a/src/core/admission/budget_allocator.h
+++ b/src/core/admission/budget_allocator.h
@@ -9,22 +9,22 @@
 
 namespace larchlever::admission {
 
-/// Splits each tenant's fleet-wide concurrency among the entries that admit for it, by recent demand. What entries
-/// hold under unexpired grants, together with what they report running, never exceeds the tenant's limit by more than
-/// what was already running when the limit was lowered.
+/// Divides each tenant's fleet-wide concurrency limit among the entries, in proportion to recent demand. The sum of
+/// unexpired grants and reported running requests exceeds the limit by at most the number of requests that were already
+/// running when the limit was lowered.
 ///
-/// The leader's soft state: after a change of leader it is rebuilt from what entries report they still hold.
+/// Soft state of the leader: a new leader rebuilds it from the budgets that entries report in heartbeats.
 /// Single-threaded.
 class BudgetAllocator {
  public:
   struct DemandReport {
     int running = 0;
     int waiting = 0;
-    int held_budget = 0;  ///< Concurrency that the entry still holds by an earlier grant.
+    int held_budget = 0;  ///< Unexpired concurrency budget that the entry already has.
   };
 
-  /// Decides what `node` may hold of `tenant` until `expires`. While `may_increase` is false (a new leader does not
-  /// know all grants of its predecessor yet) a node gets no more than it holds already.
+  /// Returns the concurrency budget of `node` for `tenant` until `expires`. While `may_increase` is false, the result
+  /// does not exceed the reported budget: a new leader does not know all grants of its predecessor yet.
   int grant(TimePoint now, const std::string& tenant, int limit, const std::string& node, const DemandReport& report,
             TimePoint expires, bool may_increase);
   void remove_node(const std::string& node);
@@ -37,8 +37,8 @@
     TimePoint expires{};
   };
 
-  /// Shares of one tenant, with their sums and their order of expiry kept up to date, so that a grant costs the
-  /// logarithm of the number of entries and not that number.
+  /// Shares of one tenant. Sums and expiry order are maintained incrementally, so that a grant takes time logarithmic,
+  /// not linear, in the number of entries.
   struct TenantShares {
     std::map<std::string, NodeShare> by_node;
     std::set<std::pair<TimePoint, std::string>> by_expiry;
--- a/src/core/config/change_validation.cc
+++ b/src/core/config/change_validation.cc
@@ -14,7 +14,7 @@
 constexpr int kMaxPriority = 9;
 constexpr size_t kMaxNameBytes = 128;
 
-/// The records as they would stand after a change, decoded by type.
+/// The decoded records as they would be after a change, by type.
 struct RecordsAfterChange {
   std::map<std::string, wire::Template> templates;
   std::map<std::string, wire::Tenant> tenants;
@@ -164,7 +164,7 @@
       return CertificationResult{false, read.key, current_revision};
     }
   }
-  // A write whose key is not among the reads is blind: it may only create.
+  // A write without a matching read may only create a record.
   for (const auto& write : change.writes) {
     const bool was_read = std::any_of(change.reads.begin(), change.reads.end(),
                                       [&write](const auto& read) { return read.key == write.key; });
--- a/src/core/config/change_validation.h
+++ b/src/core/config/change_validation.h
@@ -10,31 +10,31 @@
 
 namespace larchlever::config {
 
-/// What validation needs to know of the fleet: its zones, and the machines of the largest fabric domain.
+/// The properties of the fleet that validation depends on.
 struct FleetTopology {
   std::set<std::string> zones;
   size_t largest_domain_machines = 0;
 };
 
-/// Result of certifying a change against the records it was based on.
+/// Whether a change conflicts with the current records.
 struct CertificationResult {
   bool accepted = true;
-  std::string key;            ///< The key that another change got to first.
-  Revision current_revision;  ///< Its present revision.
+  std::string key;            ///< On conflict: the key that was changed since the client read it.
+  Revision current_revision;  ///< On conflict: current revision of that key.
 };
 
-/// First committer wins, per key: the change is certified when no key it read or writes has changed since the revision
-/// it names. Changes to different keys never reject each other. (Idea: certification of write sets in Percona
-/// XtraDB Cluster's documentation; here the log position itself is the total order, and revisions replace the
-/// certification index.)
+/// Optimistic concurrency control per key, first committer wins: accepts the change if no key that it reads or writes
+/// has changed since the revision that it names. Changes to different keys never conflict. The scheme follows the
+/// write-set certification of Percona XtraDB Cluster; the log index gives the total order, and record revisions replace
+/// the certification index.
 CertificationResult certify_change(const RecordTable& table, const wire::ConfigurationChange& change);
 
-/// Checks what the records would be after the change, as a whole: references, zones, shares, sizes. Returns one
-/// message per fault, each naming the key and the remedy; empty means valid. Never modifies `table`.
+/// Validates all records as they would be after the change: references, zones, shares and sizes. Returns one message
+/// per error, each with the key and a remedy; empty if valid. Does not modify `table`.
 std::vector<std::string> validate_change(const RecordTable& table, const wire::ConfigurationChange& change,
                                          const FleetTopology& fleet);
 
-/// Keys that a change to these writes depends on, with their present revisions: what a client should send as `reads`.
+/// Returns the written keys with their current revisions, as a client sends them in `reads`.
 std::vector<wire::KeyRevision> make_read_set(const RecordTable& table, const std::vector<wire::KeyWrite>& writes);
 
 }  // namespace larchlever::config
--- a/src/core/control/control_leader.cc
+++ b/src/core/control/control_leader.cc
@@ -19,8 +19,8 @@
     : options_(options), node_(std::move(node)), groups_(options), replicas_(options) {}
 
 void ControlLeader::start(TimePoint now) {
-  // Every lease of an earlier leader was granted while that leader held the log's lease, which ended before we could
-  // be elected; so none outlives this moment by more than the longest lease.
+  // Every earlier leader granted its leases while it held the leader lease of the log, which expired before this node
+  // could be elected. So no such lease lasts longer than the longest lease period from now.
   old_leases_until_ = now + with_drift_margin(options_.longest_lease());
   nodes_.clear();
   presence_.clear();
@@ -38,7 +38,8 @@
   replicas_.start(now);
   next_supervision_at_ = now;
   next_watch_update_at_ = now;
-  // Watch versions must differ between leaderships, else a node would take an old list for the present one.
+  // Watch versions must differ between terms; otherwise a node would mistake a previous leader's list for the current
+  // one.
   watch_version_ = to_microseconds(now);
 }
 
@@ -116,8 +117,8 @@
 }
 
 void ControlLeader::record_sightings(TimePoint now, const std::string& node, const wire::Heartbeat& heartbeat) {
-  // The heartbeat was sent after the node received the reply it acknowledges, which we sent at a time that we know.
-  // So "seen N ms ago" proves a sighting no earlier than that time less N, however long this heartbeat travelled.
+  // The node sent this heartbeat after it received the acknowledged reply, whose send time is known here. So a machine
+  // "seen N ms ago" was seen no earlier than that time minus N, whatever the heartbeat's transit delay.
   const auto& sent_times = reply_sent_at_[node];
   const auto acknowledged = sent_times.find(heartbeat.acknowledged_sequence);
   if (acknowledged == sent_times.end() || acknowledged->second > now) {
@@ -182,7 +183,7 @@
   claim_batch_.resolution_requests.emplace_back(node, request.request_id);
 }
 
-// --------------------------------------------------------- operators' calls
+// -------------------------------------------------------- operator requests
 
 wire::OperatorReply& ControlLeader::operator_reply(const std::string& node, int64_t request_id) {
   auto& envelope = envelope_to(node);
@@ -244,7 +245,7 @@
 
 void ControlLeader::answer_pending_changes(TimePoint now) {
   std::erase_if(pending_changes_, [&](const PendingChange& change) {
-    // Before the quiet time has passed, a holder of a lease from an earlier leader may be unknown to us.
+    // Until the predecessor's leases have expired, a lease holder may be unknown to this leader.
     const auto missing = nodes_.unconfirmed_lease_holders(now, Revision(change.answer.revision));
     const bool in_force = now >= old_leases_until_ && missing.empty();
     if (!in_force && now < change.deadline) {
@@ -423,7 +424,7 @@
     outputs_.proposals.push_back(std::move(claim_batch_));
     claim_batch_ = Proposal();
   }
-  // Supervision waits for its own earlier proposals, so that it always judges a state that includes them.
+  // Supervision waits until its earlier proposals are applied, so that its decisions take them into account.
   if (!may_supervise || now < next_supervision_at_) {
     return;
   }
--- a/src/core/control/control_leader.h
+++ b/src/core/control/control_leader.h
@@ -26,23 +26,26 @@
   uint64_t claim_batches = 0;
 };
 
-/// What the leader of the region's log does besides replicating: answers heartbeats with configuration, leases,
-/// budgets and watch lists; decides claims; carries operators' changes to "in force"; supervises groups and replicas.
+/// Duties of the log leader other than replication: answers heartbeats with configuration, leases, concurrency budgets
+/// and watch lists; decides claims; tracks until when an operator's change is in force on all nodes; supervises groups
+/// and replicas.
 ///
-/// All its state is soft and belongs to one leadership. `RaftNode::is_ready_leader` must hold at every call that
-/// grants anything (the owner checks). Single-threaded, deterministic.
+/// All state is soft and lasts for one term. The owner must check `RaftNode::is_ready_leader` before each call that
+/// grants anything. Single-threaded, deterministic.
 class ControlLeader {
  public:
   ControlLeader(const ControlOptions& options, std::string node);
 
-  /// A leadership begins: soft state is forgotten and leases of the predecessor are waited out.
+  /// Starts a term: resets the soft state. Waits for the leases of earlier leaders to expire before it relies on new
+  /// ones.
   void start(TimePoint now);
 
-  /// Something to append to the log, with whom to answer once it is applied.
+  /// A command to append to the log, and the requests to answer once it is applied.
   struct Proposal {
     wire::Command command;
-    std::vector<std::pair<std::string, int64_t>> claim_requests;       ///< node, request id; in the order of claims
-    std::vector<std::pair<std::string, int64_t>> resolution_requests;  ///< node, request id
+    std::vector<std::pair<std::string, int64_t>>
+        claim_requests;  ///< Node and request id of each claim, in the same order.
+    std::vector<std::pair<std::string, int64_t>> resolution_requests;  ///< Node and request id.
     std::optional<std::pair<std::string, int64_t>> operator_request;
     int64_t term = 0;
   };
@@ -59,14 +62,14 @@
   void on_resolution_request(const std::string& node, const wire::ResolutionRequest& request);
   void on_operator_request(TimePoint now, const std::string& node, const wire::OperatorRequest& request,
                            const consensus::RaftNode& raft, const ControlState& state);
-  /// The platform's membership list: hints on which machines exist and which are leaving.
+  /// Takes the platform's membership list, which names existing machines and those that are leaving. Advisory only.
   void on_membership_list(const std::vector<wire::Machine>& machines);
   void on_order_result(const OrderResult& result) { groups_.on_order_result(result); }
 
-  /// A proposal stands in the log at `index`, appended in `term`.
+  /// The proposal was appended to the log at `index` in `term`.
   void on_proposal_appended(int64_t index, int64_t term, Proposal proposal);
-  /// The log entry at `index`, of `term`, was applied with this result. An entry of another term than the proposal's is
-  /// another leader's: ours was overwritten, and whoever waits for it must ask again.
+  /// The log entry at `index` with `term` was applied. If its term differs from the proposal's, another leader
+  /// overwrote the proposal; its requesters get no reply and have to retry.
   void on_entry_applied(TimePoint now, int64_t index, int64_t term, const ApplyResult& result);
   void tick(TimePoint now, const consensus::RaftNode& raft, const ControlState& state);
   Outputs take_outputs();
@@ -117,7 +120,7 @@
   std::vector<PendingChange> pending_changes_;
   Proposal claim_batch_;
   std::map<int64_t, Proposal> in_flight_proposals_;
-  /// The tenants as of `tenants_revision_`, decoded once per change.
+  /// Tenants decoded from the records at `tenants_revision_`; a cache.
   std::vector<wire::Tenant> tenants_;
   Revision tenants_revision_{-1};
   Outputs outputs_;
--- a/src/core/control/control_state.cc
+++ b/src/core/control/control_state.cc
@@ -200,8 +200,9 @@
   }
   machine.incarnation = observed.incarnation;
   machine.weights.clear();
-  // The incarnation that the group was formed with is dead, and the group with it. The machine itself stays taken
-  // until a release confirms that nobody still serves by the old epoch.
+  // The group includes the previous incarnation of this machine, which is dead, so the group is released. The machine
+  // stays assigned to the group until its release is confirmed, because other members or entries may still use the old
+  // epoch.
   const auto group = groups_.find(machine.group_id);
   if (machine.state == wire::MachineState::OWNED && group != groups_.end()) {
     start_release(revision, group->second);
@@ -221,7 +222,7 @@
   wire::Group group;
   for (const auto& id : creation.machines) {
     const auto found = machines_.find(id);
-    // Exclusive ownership is decided here, in log order: only a machine that no group holds may join one.
+    // Exclusive ownership is enforced here, in log order: only a free machine can join a group.
     if (found == machines_.end() || found->second.state != wire::MachineState::FREE || found->second.leaving ||
         found->second.domain != creation.domain || found->second.zone != creation.zone) {
       return std::nullopt;
@@ -230,7 +231,8 @@
     group.incarnations.push_back(found->second.incarnation);
   }
   group.id = next_group_id_++;
-  // Epochs rise over the whole fleet, so a machine can refuse every order older than the newest it has seen.
+  // Epochs increase across the whole fleet, so that a machine can refuse any order with an older epoch than it has
+  // seen.
   group.epoch = static_cast<int32_t>(group.id);
   group.state = wire::GroupState::PLANNED;
   group.template_name = group_template->name;
@@ -265,7 +267,7 @@
     return;
   }
   if (transition.to == wire::GroupState::GONE) {
-    return;  // Follows from the releases of its machines, never by order.
+    return;  // A group becomes GONE only through the release of its machines.
   }
   group.state = transition.to;
   group.changed_at_ms = clock_ms_;
--- a/src/core/control/control_state.h
+++ b/src/core/control/control_state.h
@@ -16,31 +16,32 @@
 
 namespace larchlever::control {
 
-/// What applying one log entry produced, for whoever proposed it.
+/// Result of applying one log entry, for the node that proposed it.
 struct ApplyResult {
   std::optional<wire::ChangeAnswer> change_answer;
   std::vector<ledger::ClaimDecision> claim_decisions;
   std::optional<int64_t> created_group;
 };
 
-/// The replicated state of a region: configuration records, machines, groups, claims, operators' answers and the audit
-/// trail. Applying the same entries in the same order gives the same state on every replica; rules that must hold
-/// whoever proposes (exclusive machines, lifecycle order, certification) are enforced here, at apply time.
+/// The replicated state of a region: configuration records, machines, groups, claims, answers to operators and the
+/// audit trail. Replicas that apply the same entries in the same order reach the same state. Rules that must hold for
+/// every proposer (exclusive machines, group state transitions, conflict checks) are enforced when an entry is applied.
 ///
-/// Deterministic, no I/O, no clock: time comes with the commands. Single-threaded.
+/// Deterministic, without I/O or a clock: commands carry the time. Single-threaded.
 class ControlState {
  public:
   static constexpr size_t kMaxAuditRecords = 20'000;
   static constexpr size_t kMaxStoredAnswers = 50'000;
   static constexpr size_t kMaxTombstones = 2'000;
 
-  /// Applies the command at log index `index`; indexes must rise. Never throws; a command that no longer fits the
-  /// state changes nothing.
+  /// Applies the command at log index `index`; indexes must increase. Never throws. A command that is not allowed in
+  /// the current state has no effect.
   ApplyResult apply(int64_t index, const wire::Command& command);
 
-  /// Chains the raw bytes of the entry just applied into the history digest.
+  /// Adds the serialized entry that was just applied to the history digest.
   void extend_history_digest(int64_t index, std::string_view payload);
-  /// Equal on all replicas that applied the same entries; tells apart replicas that did not.
+  /// Digest of all applied entries: equal on replicas with the same history, different otherwise (up to hash
+  /// collisions).
   uint64_t history_digest() const { return history_digest_; }
 
   int64_t applied_index() const { return applied_index_; }
@@ -53,11 +54,11 @@
   const wire::ChangeAnswer* find_answer(const std::string& command_id) const;
   wire::FleetParameters fleet_parameters() const;
   config::FleetTopology fleet_topology() const;
-  /// The verdict that a change would get now; for dry runs and for validation before the log.
+  /// The verdict that a change would get now. For dry runs, and for validation when the change is applied.
   wire::ChangeAnswer check_change(const wire::ConfigurationChange& change) const;
 
   std::string snapshot() const;
-  /// False when the bytes are unreadable; the state is then unchanged.
+  /// Returns false, and leaves the state unchanged, if the snapshot cannot be decoded.
   bool restore(const std::string& snapshot);
 
  private:
--- a/src/core/control/engine_order.h
+++ b/src/core/control/engine_order.h
@@ -8,8 +8,8 @@
 
 enum class OrderKind { kLoad, kRelease };
 
-/// An order to one machine's engine. Engines that check fences refuse an order whose (epoch, term) is older than the
-/// newest they have seen; for the others only the lease-holding leader sends orders.
+/// An order to the engine on one machine. Engines that check fencing tokens refuse an order whose (epoch, term) is
+/// older than the newest they have seen; for other engines, only the leader's lease prevents orders from an old leader.
 struct EngineOrder {
   OrderKind kind = OrderKind::kLoad;
   std::string machine;
--- a/src/core/control/group_supervisor.cc
+++ b/src/core/control/group_supervisor.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// How long a list of leases may be handed out before it is worked out anew.
+/// Maximum age of a cached list of leases.
 constexpr Duration kMaxLeaseListAge = milliseconds(20);
 
 }  // namespace
@@ -48,7 +48,7 @@
   for (const auto& [id, group] : state.groups()) {
     advance_group(now, group, state, presence, actions);
   }
-  // Plans only on a settled state: a plan made while transitions are under way would count machines twice.
+  // Plans only when no transition is proposed; otherwise the plan would count machines twice.
   if (actions.proposals.empty() && now >= next_plan_at_) {
     next_plan_at_ = now + options_.planning_interval;
     run_planner(state, presence, now, actions);
@@ -95,7 +95,7 @@
 
 bool GroupSupervisor::has_lost_member(TimePoint now, const wire::Group& group, const ControlState& state,
                                       const PresenceTable& presence) const {
-  // A new leader has seen nobody yet: machines get one bound from its first tick on to show up.
+  // A new leader has no sightings yet, so machines get one presence bound to be seen before they count as lost.
   const bool had_time_to_be_seen = now >= old_leases_until_ + options_.presence_bound;
   for (size_t rank = 0; rank < group.machines.size(); ++rank) {
     const std::string& id = group.machines[rank];
@@ -130,8 +130,8 @@
   if (now - since >= options_.drain_timeout) {
     return true;
   }
-  // Idle only counts when seen after the last lease ended: before that an entry may still have dispatched. One
-  // presence bound covers a dispatch that was on its way when its lease ended.
+  // The group must be seen idle after the last lease expired, since entries may dispatch until then. The additional
+  // presence bound covers a dispatch that was in transit when the lease expired.
   const auto* sighting = presence.find(group.machines.front());
   return sighting != nullptr && sighting->seen_at > since + options_.presence_bound && sighting->load == 0;
 }
@@ -144,7 +144,7 @@
 void GroupSupervisor::load_group(TimePoint now, const wire::Group& group, const ControlState& state, Actions& actions) {
   const bool load_started = load_orders_.contains(OrderKey(group.machines.front(), group.epoch));
   if (!load_started && loads_in_progress_ >= state.fleet_parameters().max_concurrent_loads) {
-    return;  // The weight store is rate-limited: groups wait here rather than all load slowly.
+    return;  // The weight store is rate-limited: limiting concurrent loads avoids slowing down all of them.
   }
   ++loads_in_progress_;
   bool all_done = true;
@@ -219,7 +219,7 @@
     return;
   }
   stats_.orders_fenced += result.verdict == OrderVerdict::kFenced ? 1 : 0;
-  // A machine that has accepted a newer epoch, or restarted, holds nothing of this one: released all the same.
+  // A machine that has accepted a newer epoch or has restarted no longer serves this epoch, so it counts as released.
   const bool already_released =
       result.kind == OrderKind::kRelease &&
       (result.verdict == OrderVerdict::kFenced || result.verdict == OrderVerdict::kWrongIncarnation);
@@ -277,7 +277,7 @@
   leases_.clear();
   leases_applied_index_ = state.applied_index();
   leases_valid_until_ = now + kMaxLeaseListAge;
-  // The list may be handed out until it is renewed, so the leases on it end that much later by our count.
+  // The cached list is returned until it is renewed, so the leader counts its leases from the end of that period.
   const TimePoint until = leases_valid_until_ + with_drift_margin(options_.serve_lease);
   for (const auto& [id, group] : state.groups()) {
     if (group.state != wire::GroupState::SERVING || !are_all_members_present(leases_valid_until_, group, presence)) {
--- a/src/core/control/group_supervisor.h
+++ b/src/core/control/group_supervisor.h
@@ -16,7 +16,7 @@
 
 namespace larchlever::control {
 
-/// What a planning pass looks at, borrowed from `state`, with no machine marked present yet.
+/// Input of a planning pass, which refers to `state`. No machine is marked present yet.
 placement::PlanningInput planning_input(const ControlState& state);
 
 struct GroupStats {
@@ -28,38 +28,40 @@
   uint64_t planning_passes = 0;
 };
 
-/// Leads every group through its life on the lease-holding leader: plans, loads, opens, watches, drains, releases.
+/// Drives the life cycle of every group on the leader: plans, loads, opens, monitors, drains and releases groups.
 ///
-/// Guarantees: a serve lease is granted only while every member was seen alive, under the incarnation and in the epoch
-/// of the group, within the presence bound; a machine is released only after every serve lease on its group has run
-/// out, and then only when its engine confirmed the release or its old incarnation is dead.
+/// Guarantees: a serve lease is granted only if every member was seen alive within the presence bound, with the group's
+/// incarnation and epoch. A machine is released only after all serve leases on its group have expired, and its engine
+/// has confirmed the release or its old incarnation is dead.
 ///
-/// Soft state of one leadership: `start` forgets everything. Single-threaded, deterministic.
+/// Soft state of one term, reset by `start`. Single-threaded, deterministic.
 class GroupSupervisor {
  public:
   explicit GroupSupervisor(const ControlOptions& options) : options_(options) {}
 
-  /// A leadership begins. Until `old_leases_until` leases of the predecessor may be alive: nothing is released and no
-  /// order leaves before.
+  /// Starts a term. Until `old_leases_until`, leases granted by the predecessor may be valid: no machine is released
+  /// and no order is sent.
   void start(TimePoint now, TimePoint old_leases_until);
 
   struct Actions {
     std::vector<wire::Command> proposals;
     std::vector<EngineOrder> orders;
   };
-  /// Looks at every group and returns what to propose and which orders to send. Call only when every earlier proposal
-  /// of this leader has been applied, or was given up.
+  /// Advances every group, and returns the commands to propose and the orders to send. Call only when every earlier
+  /// proposal of this leader has been applied or abandoned.
   Actions tick(TimePoint now, int64_t term, const ControlState& state, const PresenceTable& presence);
   void on_order_result(const OrderResult& result);
 
-  /// Machines that the platform calls leaving: their groups get no lease, hence no new work, from now on.
+  /// Sets the machines that the platform reports as leaving. Their groups get no further leases, and so no new
+  /// requests.
   void set_leaving(std::set<std::string> machines) {
     leaving_ = std::move(machines);
     leases_valid_until_ = TimePoint::min();
   }
 
-  /// Grants every open group for one serve lease (drift included) and lists the grants. The list is worked out anew
-  /// when it is older than a few milliseconds or a machine's state may have changed: hundreds of nodes ask each second.
+  /// Grants each serving group with all members present a serve lease, including the clock drift margin, and returns
+  /// the leases. The result is cached for a few milliseconds or until the state changes, since hundreds of nodes send
+  /// heartbeats each second.
   const std::vector<wire::GroupLease>& grant_leases(TimePoint now, const ControlState& state,
                                                     const PresenceTable& presence);
 
@@ -67,7 +69,7 @@
   const GroupStats& stats() const { return stats_; }
 
  private:
-  using OrderKey = std::pair<std::string, int32_t>;  ///< machine, epoch
+  using OrderKey = std::pair<std::string, int32_t>;  ///< Machine and epoch.
 
   struct OrderProgress {
     TimePoint sent_at = TimePoint::min();
@@ -85,7 +87,8 @@
   bool all_loaded(const wire::Group& group, const PresenceTable& presence) const;
   bool is_drained(TimePoint now, const wire::Group& group, const PresenceTable& presence);
   bool have_leases_expired(TimePoint now, int64_t group_id) const;
-  /// Every member was seen at `at` within the presence bound, as what the group needs it to be, and none is leaving.
+  /// Whether at `at` every member has been seen within the presence bound with the group's incarnation, id and epoch,
+  /// and no member is leaving.
   bool are_all_members_present(TimePoint at, const wire::Group& group, const PresenceTable& presence) const;
   bool send_order(TimePoint now, OrderKind kind, const wire::Group& group, size_t rank, const ControlState& state,
                   Actions& actions);
--- a/src/core/control/presence_table.h
+++ b/src/core/control/presence_table.h
@@ -9,8 +9,8 @@
 
 namespace larchlever::control {
 
-/// When each machine was last seen alive, and as what. Times are lower bounds: the latest moment at which the leader
-/// can prove that the machine was alive, however long reports were under way. Leader's soft state; single-threaded.
+/// Last sighting of each machine. Its time is a lower bound: the latest moment at which the leader can prove that the
+/// machine was alive, regardless of how long reports were in transit. Soft state of the leader; single-threaded.
 class PresenceTable {
  public:
   struct Sighting {
@@ -22,10 +22,10 @@
     int32_t load = 0;
   };
 
-  /// Notes a sighting; an older one than known is ignored, so reordered reports do no harm.
+  /// Records a sighting. Ignored if it is older than the latest known, so reports may arrive out of order.
   void record_sighting(const wire::MachineSighting& report, TimePoint seen_at);
   const Sighting* find(const std::string& machine) const;
-  /// Seen alive under `incarnation` within `bound` before `now`.
+  /// Whether the machine was seen alive with this `incarnation` less than `bound` before `now`.
   bool is_present(const std::string& machine, int64_t incarnation, TimePoint now, Duration bound) const;
   const std::map<std::string, Sighting>& all_sightings() const { return sightings_; }
   void clear() { sightings_.clear(); }
--- a/src/core/control/replica_supervisor.cc
+++ b/src/core/control/replica_supervisor.cc
@@ -19,7 +19,7 @@
   return list;
 }
 
-/// Largest odd number of voters that the known disks allow.
+/// Largest odd number of voters, up to the maximum, for this many usable replicas.
 size_t target_voters(size_t usable_replicas) {
   const size_t largest_odd =
       usable_replicas % 2 == 0 ? usable_replicas - (usable_replicas > 0 ? 1 : 0) : usable_replicas;
@@ -95,7 +95,8 @@
       std::max(options_.minimum_voters, target_voters(live_voters + next.learners.size() + spare_replicas.size()));
   if (live_voters < voters_wanted) {
     for (const auto& learner : next.learners) {
-      // Promoted only when it holds everything committed: from then on losing another copy loses nothing.
+      // A learner is promoted only when it has all committed entries, so that losing another replica then loses no
+      // data.
       if (raft.match_index(ReplicaId(learner.replica_id)) >= raft.commit_index()) {
         next.voters.push_back(learner);
         next.learners = remove_replica(next.learners, learner.replica_id);
@@ -125,7 +126,7 @@
   const bool superseded =
       lost && current_identities.contains(lost->node) && current_identities[lost->node] != lost->replica_id;
   if (superseded && live_voters >= voters_wanted && live_voters >= 1) {
-    // Its disk is gone for good, so the entry only makes quorums harder to reach.
+    // The replica's identity is gone for good; keeping it as a voter only makes a quorum harder to reach.
     next.voters = remove_replica(next.voters, lost->replica_id);
     return next;
   }
--- a/src/core/control/replica_supervisor.h
+++ b/src/core/control/replica_supervisor.h
@@ -11,11 +11,11 @@
 
 namespace larchlever::control {
 
-/// Keeps the region's voters whole: admits disk nodes as learners, promotes those that hold all committed state,
-/// retires voters that are lost, rolled back or replaced by a newer identity of their node.
+/// Maintains the set of voters: adds nodes with a disk as learners, promotes learners that have all committed state,
+/// and removes voters that are lost, have lost written data, or were replaced by a newer identity of their node.
 ///
-/// One change at a time, each of one replica. A copy is added before a dead one is removed, so a repair never lowers
-/// the number of complete copies. Single-threaded, deterministic.
+/// Makes one change at a time, each to one replica. A replica is added before a lost one is removed, so a repair never
+/// reduces the number of complete replicas. Single-threaded, deterministic.
 class ReplicaSupervisor {
  public:
   explicit ReplicaSupervisor(const ControlOptions& options) : options_(options) {}
@@ -24,7 +24,7 @@
     term_started_at_ = now;
     first_seen_as_member_.clear();
   }
-  /// The next replica set to propose, if any.
+  /// The next replica set to propose, if a change is needed.
   std::optional<wire::ReplicaSet> next_change(TimePoint now, const consensus::RaftNode& raft,
                                               const membership::NodeDirectory& nodes);
 
@@ -36,7 +36,7 @@
 
   ControlOptions options_;
   TimePoint term_started_at_{};
-  /// When this leadership first saw each replica in the set: a new one has that long had the chance to answer.
+  /// When each current member was first seen in this term; its replica timeout starts no earlier.
   std::map<int64_t, TimePoint> first_seen_as_member_;
 };
 
--- a/src/core/ledger/claim_table.cc
+++ b/src/core/ledger/claim_table.cc
@@ -61,7 +61,7 @@
   wire::Claim& claim = found->second;
   const bool is_holder = claim.entry == resolution.entry && claim.entry_incarnation == resolution.entry_incarnation &&
                          claim.nonce == resolution.nonce;
-  // An UNKNOWN set because the entry seemed lost may still be settled by that entry itself.
+  // An entry that was wrongly considered lost may still resolve its claims that were marked UNKNOWN.
   const bool is_unresolved = claim.state == wire::ClaimState::IN_PROGRESS || claim.state == wire::ClaimState::UNKNOWN;
   if (!is_holder || !is_unresolved) {
     return;
--- a/src/core/ledger/claim_table.h
+++ b/src/core/ledger/claim_table.h
@@ -20,27 +20,28 @@
 
 struct ClaimDecision {
   bool granted = false;
-  wire::Claim existing_claim;  ///< When not granted: the claim in the way, or the refusal's reason in its state.
+  wire::Claim existing_claim;  ///< When neither granted nor expired: the claim that holds the key.
   bool key_expired = false;
 };
 
-/// Which requests with an idempotency key were let through, and what became of them. A key is granted to one request
-/// only, for the whole window, unless that request is known not to have run.
+/// Claims on idempotency keys and their outcomes. A key is granted to at most one request within the deduplication
+/// window, unless that request is known not to have run.
 ///
-/// Deterministic: time comes with the log entries. Single-threaded.
+/// Deterministic: callers pass the time of the log entry. Single-threaded.
 class ClaimTable {
  public:
   explicit ClaimTable(ClaimLimits limits = {}) : limits_(limits) {}
 
-  /// `now_ms` is the log's clock. `claim.claimed_at_ms` is when the caller says that it first issued the key; zero if
-  /// unknown. A key issued longer ago than the window is refused: its first run may have been forgotten.
+  /// Claims an idempotency key for a request. `now_ms` is the time of the log entry. `claim.claimed_at_ms` is when the
+  /// caller first issued the key, or zero if unknown; a key older than the window is refused, because its earlier claim
+  /// may have been removed.
   ClaimDecision claim(const wire::Claim& claim, int64_t now_ms);
-  /// Records an outcome. Ignored unless it comes from the request that holds the claim; a NOT_RUN for a claim that
-  /// never arrived bars that request's late claim message.
+  /// Records the outcome of a request; ignored unless that request holds the claim. A NOT_RUN that arrives before the
+  /// claim is stored as a tombstone, which refuses the late claim of the same request.
   void resolve(const wire::ClaimResolution& resolution, int64_t now_ms);
-  /// Requests in progress at an entry incarnation that ended: their outcome is unknown for good.
+  /// Marks the claims that the given incarnation of `entry` holds in progress as UNKNOWN, after it was lost.
   void mark_outcomes_unknown(const std::string& entry, Incarnation incarnation);
-  /// Forgets claims older than the window and stored answers beyond the limit, oldest first.
+  /// Removes claims older than the window, and the oldest stored answers beyond the size limit.
   void expire(int64_t now_ms);
 
   void set_window_ms(int64_t window_ms) { limits_.window_ms = window_ms; }
--- a/src/core/membership/incarnation_ranks.h
+++ b/src/core/membership/incarnation_ranks.h
@@ -10,8 +10,8 @@
 
 namespace larchlever::membership {
 
-/// Orders the incarnations of each node by their first arrival here: they are drawn from clocks, which may be set back,
-/// so their numbers alone say nothing. Single-threaded.
+/// Numbers the incarnations of each node in the order in which this process first sees them. Incarnations are taken
+/// from wall clocks, which may be set back, so their values do not give an order. Single-threaded.
 class IncarnationRanks {
  public:
   Incarnation rank(const std::string& node, int64_t incarnation) {
--- a/src/core/membership/node_directory.cc
+++ b/src/core/membership/node_directory.cc
@@ -21,7 +21,7 @@
   sender_incarnation =
       incarnation > node_record.incarnation ? SenderIncarnation::kNewIncarnation : SenderIncarnation::kCurrent;
   if (sender_incarnation == SenderIncarnation::kNewIncarnation) {
-    // The lease of the old incarnation is kept: that process may not have noticed yet that it is replaced.
+    // The lease of the old incarnation is kept, because that process may still be running and use it.
     node_record.applied_revision = Revision();
   }
   node_record.incarnation = incarnation;
--- a/src/core/membership/node_directory.h
+++ b/src/core/membership/node_directory.h
@@ -10,14 +10,14 @@
 
 namespace larchlever::membership {
 
-/// One of our own nodes, as the leader knows it from its heartbeats.
+/// State of a larchlever node, as reported in its heartbeats.
 struct NodeRecord {
   std::string node;
   std::string zone;
   Incarnation incarnation;
   TimePoint last_heartbeat_at{};
   Revision applied_revision;
-  /// Until when the node may serve by what it holds, by the leader's count.
+  /// When the node's configuration lease expires, on the leader's clock.
   TimePoint configuration_lease_until = TimePoint::min();
   bool leaving = false;
   ReplicaId replica_id;
@@ -27,22 +27,23 @@
 
 enum class SenderIncarnation { kCurrent, kNew, kNewIncarnation, kStale };
 
-/// The leader's table of nodes. Soft state: a new leader fills it from heartbeats. Single-threaded.
+/// The nodes known to the leader. Soft state: a new leader rebuilds it from heartbeats. Single-threaded.
 class NodeDirectory {
  public:
-  /// Notes a heartbeat. Returns null when it stems from an incarnation older than the one known: a process that was
-  /// replaced and came back as if nothing had happened.
+  /// Records a heartbeat. Returns null if it comes from an older incarnation than the latest known, that is from a
+  /// process that has been replaced.
   NodeRecord* record_heartbeat(TimePoint now, const std::string& node, Incarnation incarnation,
                                SenderIncarnation& sender_incarnation);
   const std::map<std::string, NodeRecord>& all_nodes() const { return nodes_; }
   NodeRecord* find(const std::string& node);
-  /// This process stood still for `pause` until now: no node's silence in that time counts.
+  /// Excludes a pause of this process that ended at `now` from the silence of all nodes, since their heartbeats could
+  /// not be received during it.
   void exclude_own_pause(TimePoint now, Duration pause);
-  /// Nodes heard within `timeout` that are not leaving.
+  /// Nodes whose last heartbeat is at most `timeout` old and that are not leaving.
   std::vector<const NodeRecord*> live_nodes(TimePoint now, Duration timeout) const;
-  /// Nodes that hold an unexpired configuration lease but have not confirmed `revision`.
+  /// Nodes with an unexpired configuration lease that have not confirmed `revision`.
   std::vector<std::string> unconfirmed_lease_holders(TimePoint now, Revision revision) const;
-  /// Forgets nodes that have been silent for `timeout` and hold no lease; returns them.
+  /// Removes and returns the nodes that have been silent for longer than `timeout` and hold no lease.
   std::vector<NodeRecord> remove_silent(TimePoint now, Duration timeout);
   void clear() { nodes_.clear(); }
 
--- a/src/core/node/entry_agent.cc
+++ b/src/core/node/entry_agent.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr size_t kMaxTrackedHeartbeats = 64;
-/// Unanswered heartbeats before another control node is tried.
+/// Unanswered heartbeats before the next control node is tried.
 constexpr int kMaxUnansweredHeartbeats = 2;
 
 }  // namespace
@@ -20,7 +20,7 @@
       control_nodes_(std::move(control_nodes)),
       router_(policy, seed),
       admission_(queue_limit),
-      // As for request ids: a late reply to the process before this one must match nothing.
+      // Sequence numbers start at the incarnation, so that a late reply to the previous process matches no heartbeat.
       sequence_(identity_.incarnation.value()) {
   try_next_control_node();
 }
@@ -64,7 +64,7 @@
   heartbeat.peer_address = identity_.peer_address;
   heartbeat.service_address = identity_.service_address;
   for (auto& [machine, timed_sighting] : latest_sightings_) {
-    // A finding goes into several heartbeats, so that one lost on the way costs no presence.
+    // Each sighting is sent in several heartbeats, so that losing one does not make the machine count as lost.
     wire::MachineSighting sighting = timed_sighting.sighting;
     sighting.seen_ago_ms =
         static_cast<int32_t>(std::chrono::ceil<milliseconds>(now - timed_sighting.poll_sent_at).count());
@@ -116,10 +116,11 @@
   if (changed || reply.full) {
     records_.apply_update(reply.records, reply.full, Revision(reply.revision));
     router_.set_table(routing::RoutingTable(records_));
-    // Confirm at once: the operator's change is in force when the last holder of a lease has said so.
+    // Confirm the new revision at once: a change is in force only when every lease holder has confirmed it.
     next_heartbeat_at_ = TimePoint::min();
   }
-  // Leases count from the moment the heartbeat left: the leader's own count starts later, so it ends later.
+  // The lease period starts when the heartbeat was sent. The leader starts its own count later, so the lease expires
+  // here first.
   const TimePoint until = sent_at + milliseconds(reply.lease_ms);
   router_.set_configuration_lease(std::max(router_.configuration_lease_until(), until));
   router_.set_leases(reply.leases, sent_at + milliseconds(reply.serve_lease_ms));
--- a/src/core/node/entry_agent.h
+++ b/src/core/node/entry_agent.h
@@ -17,12 +17,12 @@
 
 namespace larchlever::node {
 
-/// Who a node is, from its settings and its start.
+/// Identity of a node, from its settings and its current process.
 struct NodeIdentity {
   std::string node;
   std::string zone;
-  /// Rises with every start of the process, by more than the messages that the process before it sent: the daemon
-  /// takes microseconds of the wall clock.
+  /// Increases with every process start, by more than the number of messages that the previous process sent. The daemon
+  /// uses the wall clock in microseconds.
   Incarnation incarnation;
   std::string peer_address;
   std::string service_address;
@@ -36,25 +36,24 @@
   uint64_t leader_changes = 0;
 };
 
-/// The entry's side of the control plane: reports to the leader, installs configuration and holds leases.
+/// The control-plane client of an entry: reports to the leader, applies configuration updates and holds leases.
 ///
-/// Guarantees: the router dispatches nothing unless a lease from the leader covers this moment, counted from when the
-/// renewal was *sent*; the configuration never goes back to an older revision. Single-threaded, deterministic.
+/// Guarantees: the router dispatches only under an unexpired lease from the leader, counted from when the heartbeat was
+/// *sent*; the configuration never goes back to an older revision. Single-threaded, deterministic.
 class EntryAgent {
  public:
-  /// `control_nodes` are asked in turn until one names the leader.
+  /// Sends heartbeats to the `control_nodes` in turn until one names the leader.
   EntryAgent(const control::ControlOptions& options, NodeIdentity identity, std::vector<std::string> control_nodes,
              routing::RoutingPolicy policy, size_t queue_limit, uint64_t seed);
 
-  /// A heartbeat to send, if one is due.
+  /// Returns a heartbeat to send, if one is due.
   std::optional<wire::Envelope> tick(TimePoint now, ReplicaId replica_id);
   void on_heartbeat_reply(TimePoint now, const wire::Envelope& envelope);
-  /// What a poll of a watched machine found. `poll_sent_at` is when the poll was sent: the machine was alive then or
-  /// later.
+  /// Takes the result of polling a machine. The machine was alive at `poll_sent_at` or later.
   void on_sighting(TimePoint poll_sent_at, const wire::MachineSighting& sighting);
-  /// This node is stopping: it announces so and gets no more budgets.
+  /// Marks this node as stopping in its heartbeats. It gets no further concurrency budgets.
   void set_leaving() { leaving_ = true; }
-  /// The replicated log, where this node holds a replica, knows the leader at once.
+  /// Sets the leader as known from this node's replica of the log, which learns of a new leader first.
   void set_leader_hint(const std::string& node);
 
   const std::string& leader() const { return leader_; }
--- a/src/core/node/node_controller.cc
+++ b/src/core/node/node_controller.cc
@@ -17,8 +17,7 @@
     : options_(options),
       node_(identity.node),
       incarnation_(identity.incarnation),
-      // Never the same in two incarnations: an answer that was under way when the process restarted must not pass for
-      // the answer to a new request.
+      // Request ids start at the incarnation, so that a late reply to the previous process cannot match a new request.
       next_request_id_(identity.incarnation.value()),
       entry_(options.control, std::move(identity), options.control_nodes, options.routing_policy, options.queue_limit,
              options.seed),
@@ -113,7 +112,7 @@
   if (acts_as_leader(now) && leader_started_term_ == raft_->term()) {
     leader_.on_operator_request(now, envelope.from_node, envelope.operator_request, *raft_, state_);
   }
-  // Otherwise silent: the asking node repeats the request to whoever leads by then.
+  // A node that is not the ready leader does not reply; the requesting node retries with the current leader.
 }
 
 void NodeController::handle_reply(const wire::Envelope& envelope) {
@@ -267,7 +266,7 @@
 void NodeController::carry_out_leader_outputs(TimePoint now) {
   auto leader_outputs = leader_.take_outputs();
   if (!acts_as_leader(now)) {
-    return;  // Deposed in the meantime: nothing of this leaves.
+    return;  // Leadership was lost in the meantime, so the outputs are dropped.
   }
   for (auto& proposal : leader_outputs.proposals) {
     proposal.command.at_ms = std::max(wall_clock_ms_, state_.clock_ms());
--- a/src/core/node/node_controller.h
+++ b/src/core/node/node_controller.h
@@ -21,15 +21,15 @@
   routing::RoutingPolicy routing_policy = routing::RoutingPolicy::kPrefixAffinity;
   size_t queue_limit = 256;
   std::vector<std::string> control_nodes;
-  /// How often an unanswered request to the leader is sent again.
+  /// Interval at which an unanswered request to the leader is sent again.
   Duration request_retry_interval = milliseconds(400);
   uint64_t seed = 1;
 };
 
-/// What became of a claim that this node asked for.
+/// Result of a claim that this node submitted.
 struct ClaimOutcome {
   int64_t request_id = 0;
-  /// False: no quorum answered in time. The claim may stand, so the caller must resolve it as not run.
+  /// False if no quorum replied in time. The claim may have been granted, so the caller must resolve it as not run.
   bool decided = false;
   bool granted = false;
   bool key_expired = false;
@@ -38,32 +38,33 @@
 
 struct NodeOutputs {
   std::vector<wire::Envelope> envelopes;
-  /// To be written in this order, each then handed back to `NodeController::written`.
+  /// Batches to write to storage in this order; after each, call `NodeController::on_storage_written`.
   std::vector<consensus::RaftOutput> storage;
   std::vector<control::EngineOrder> orders;
   std::vector<ClaimOutcome> claim_outcomes;
   std::vector<wire::OperatorReply> operator_replies;
 };
 
-/// All decisions of one node: its replica of the log (if it has a disk), the leader's work while it leads, and the
-/// entry's side. The daemon and the simulator run this same object; they differ in who carries its outputs.
+/// The decision logic of one node: its log replica (if it has a disk), the leader's duties while it leads, and the
+/// entry's control-plane client. The daemon and the simulator run the same class and differ in how they carry out its
+/// outputs.
 ///
-/// Inputs are methods that take the time; outputs are collected until `take_outputs`. Nothing here reads a clock,
-/// touches a file or socket, or keeps a thread. Single-threaded.
+/// Input methods take the current time; outputs are collected until `take_outputs`. The class reads no clock, performs
+/// no I/O and starts no thread. Single-threaded.
 class NodeController {
  public:
   NodeController(const NodeControllerOptions& options, NodeIdentity identity, TimePoint now);
 
-  /// Joins the log under the data folder's identity. May be called again after `replica_failed` or an identity change.
+  /// Starts the log replica with the identity stored in the data folder. May be called again after `replica_failed` or
+  /// a change of identity.
   void start_replica(TimePoint now, ReplicaId replica_id, consensus::PersistedState persisted);
-  /// The data folder failed: this node goes on as an entry without a replica.
+  /// Stops the log replica after a failure of the data folder. The node continues as an entry.
   void replica_failed();
 
-  /// To be called at least every few milliseconds. `wall_clock_ms` is the wall clock, used only for expiry and the
-  /// audit.
+  /// Call at least every few milliseconds. `wall_clock_ms` is used only for expiry and the audit trail.
   void tick(TimePoint now, int64_t wall_clock_ms);
   void receive(TimePoint now, wire::Envelope envelope);
-  /// A batch from `NodeOutputs::storage`, and all before it, are on disk: what waited for that may leave now.
+  /// `batch` and all earlier batches from `NodeOutputs::storage` are durable: sends the messages that waited for this.
   void on_storage_written(TimePoint now, consensus::RaftOutput batch);
   void on_order_result(const control::OrderResult& result) { leader_.on_order_result(result); }
   void on_sighting(TimePoint poll_sent_at, const wire::MachineSighting& sighting) {
@@ -71,18 +72,19 @@
   }
   void on_membership_list(const std::vector<wire::Machine>& machines) { leader_.on_membership_list(machines); }
 
-  /// Sends an operator's request to the leader; the answer comes in `operator_replies` under the returned id. After
-  /// `deadline` an answer with an empty leader name is given.
+  /// Sends an operator's request to the leader and returns its id; the reply appears in `operator_replies`. After
+  /// `deadline` this is a reply with an empty leader name.
   int64_t submit_operator_request(TimePoint now, wire::OperatorRequest request, TimePoint deadline);
-  /// Asks a quorum for the right to run a request; the outcome comes in `claim_outcomes` under the returned id.
+  /// Requests a claim, the right to run a request, through the replicated log and returns the request's id; the result
+  /// appears in `claim_outcomes`.
   int64_t submit_claim(TimePoint now, wire::Claim claim, TimePoint deadline);
-  /// Records what became of a claimed request; repeated until a quorum holds it.
+  /// Records the outcome of a claimed request; retried until the leader confirms that it is committed.
   void resolve_claim(TimePoint now, wire::ClaimResolution resolution);
 
-  /// The process is about to stop: leadership is handed over and the leader told to count on this node no more.
+  /// Prepares to stop the process: hands over leadership and reports this node as leaving.
   void begin_leaving(TimePoint now);
-  /// Everything that must reach a quorum before the process ends has reached it, and another leads; or that was tried
-  /// for long enough, as when the whole region is being stopped and nobody is left to take over.
+  /// Whether all outcomes are committed and this node does not lead, or the maximum time for this has passed, as when
+  /// the whole region is stopped and no other node can take over leadership.
   bool may_stop(TimePoint now) const;
 
   NodeOutputs take_outputs();
@@ -132,7 +134,7 @@
   std::map<int64_t, PendingRequest<wire::OperatorRequest>> operator_requests_;
   std::map<int64_t, PendingRequest<wire::ClaimRequest>> claims_;
   std::map<int64_t, PendingRequest<wire::ResolutionRequest>> resolutions_;
-  /// Node of each replica that was named in a replica set or spoke to us.
+  /// The node of each replica, learned from replica sets and received messages.
   consensus::ReplicaRoutes replica_routes_;
   std::vector<wire::Envelope> envelopes_to_self_;
   NodeOutputs outputs_;
--- a/src/core/placement/group_lifecycle.cc
+++ b/src/core/placement/group_lifecycle.cc
@@ -29,8 +29,7 @@
 struct MemberLost {};
 struct AllReleased {};
 
-// The names below are fixed by Boost.MSM's front end.
-// NOLINTBEGIN(readability-identifier-naming)
+// Boost.MSM requires these names.
 struct LifecycleDefinition : front::state_machine_def<LifecycleDefinition> {
   using initial_state = Planned;
   struct transition_table
@@ -79,8 +78,8 @@
   }
 }
 
-/// The machine's transitions as a table, worked out once by walking the machine from its start: the records hold only
-/// the state's number, and MSM has no way to start a machine in a given state.
+/// Transition table of the state machine, built once by visiting all states from the initial one. It is needed because
+/// a stored group has only the number of its state, and MSM cannot start a state machine in a given state.
 class TransitionTable {
  public:
   TransitionTable() {
@@ -95,7 +94,8 @@
   }
 
  private:
-  // MSM numbers states in the order of the table's sources, then targets: the same order as wire::GroupState.
+  // MSM numbers the states by first appearance in the transition table, sources before targets. This order matches
+  // wire::GroupState.
   void visit_state(const Lifecycle& machine) {
     const auto state = static_cast<size_t>(machine.current_state()[0]);
     if (visited_.at(state)) {
--- a/src/core/placement/group_lifecycle.h
+++ b/src/core/placement/group_lifecycle.h
@@ -7,22 +7,22 @@
 namespace larchlever::placement {
 
 enum class GroupEvent {
-  kOrdersSent,   ///< Every member was told to load the weights.
-  kAllLoaded,    ///< Every member was seen holding the weights of this epoch.
+  kOrdersSent,   ///< The load order was confirmed by every member.
+  kAllLoaded,    ///< Every member was seen with the weights of this epoch loaded.
   kServe,        ///< The group is opened for requests.
-  kDrain,        ///< Planned end: no new work.
-  kDrained,      ///< Nothing in flight is left, or the drain's time ran out.
-  kMemberLost,   ///< A member died, paused beyond the bound or came back under another incarnation.
-  kAllReleased,  ///< Every member confirmed its release or is known dead.
+  kDrain,        ///< The group is to be removed as planned and takes no new requests.
+  kDrained,      ///< No in-flight requests remain, or the drain timeout expired.
+  kMemberLost,   ///< A member died, was not seen within the presence bound, or restarted with another incarnation.
+  kAllReleased,  ///< Every member confirmed its release or is known to be dead.
 };
 
-/// The group's life as a Boost.MSM machine: planned, loading, ready, serving, draining, releasing, gone. Pure: the
-/// state stands in the group's record; these functions only say what follows it.
+/// The life cycle of a group as a Boost.MSM state machine: planned, loading, ready, serving, draining, releasing, gone.
+/// These functions are pure; the current state is stored in the group's record.
 
-/// State after `event` in `state`; nothing when the event is not allowed there.
+/// The state that follows `state` on `event`; empty if the event is not allowed in `state`.
 std::optional<wire::GroupState::type> next_state(wire::GroupState::type state, GroupEvent event);
 
-/// The event that leads from one state straight to the other, if any.
+/// The event that leads directly from state `from` to `to`, if any.
 std::optional<GroupEvent> find_event(wire::GroupState::type from, wire::GroupState::type to);
 
 }  // namespace larchlever::placement
--- a/src/core/placement/planner.cc
+++ b/src/core/placement/planner.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A domain that keeps this many spare machines for each of its groups can replace a lost one at once.
+/// Free machines that a domain should keep after a placement, to replace a lost machine at once.
 constexpr size_t kMinSpareMachines = 1;
 
 bool is_usable(const PlanningInput& input, const wire::Machine& machine) {
@@ -46,7 +46,7 @@
   return domains;
 }
 
-/// The `size` free machines to use, those that already hold the weights first: they need nothing from the store.
+/// Picks `size` free machines, preferring those that already hold the weights and need no download.
 std::vector<std::string> pick_machines(const DomainCapacity& domain, size_t size, const std::string& weights) {
   std::vector<const wire::Machine*> candidates = domain.free_machines;
   std::stable_sort(candidates.begin(), candidates.end(), [&weights](const auto* left, const auto* right) {
@@ -67,7 +67,7 @@
   }
 };
 
-/// The domain with the smallest remainder: large holes stay whole for large groups.
+/// Chooses the domain with the fewest free machines, which keeps large free areas for large groups.
 class BestFit : public PlacementPolicy {
  public:
   std::string_view name() const override { return "best_fit"; }
@@ -80,8 +80,8 @@
   }
 };
 
-/// Weighs a spare machine left beside the group (quick recovery after a loss) against the remainder that no further
-/// group of this size can use (idle machines).
+/// Trades off a spare machine left in the domain (fast recovery after a loss) against remaining machines that cannot
+/// form another group of this size (idle machines).
 class SpareAware : public PlacementPolicy {
  public:
   std::string_view name() const override { return "spare_aware"; }
@@ -103,7 +103,7 @@
   }
 };
 
-/// Adds groups where demand exceeds what stands, drains where it is the other way round.
+/// Computes one plan: creates groups where demand exceeds the existing groups, and drains surplus ones.
 class PlanningPass {
  public:
   PlanningPass(const PlanningInput& input, const PlacementPolicy& policy)
@@ -116,7 +116,7 @@
   Plan run() {
     drain_groups_on_leaving_machines();
     auto demands = desired_groups(input_);
-    // Larger groups first: they have the fewest places to go.
+    // Larger groups are placed first, because the fewest domains have room for them.
     std::stable_sort(demands.begin(), demands.end(), [this](const GroupDemand& left, const GroupDemand& right) {
       return templates_[left.template_name]->machines_per_group > templates_[right.template_name]->machines_per_group;
     });
@@ -172,8 +172,8 @@
     }
   }
 
-  /// Outdated groups serve on until new ones stand in for them; where there is no room for both, one at a time makes
-  /// way.
+  /// Drains outdated groups once all current ones are serving. If no machines are free for the missing groups, drains
+  /// one outdated group at a time to free some.
   void replace_outdated(const std::vector<const wire::Group*>& outdated, const std::vector<const wire::Group*>& current,
                         int missing) {
     const bool all_serving = std::all_of(current.begin(), current.end(),
@@ -246,7 +246,7 @@
   Plan plan_;
 };
 
-/// Free and taken machines per zone: the ground on which shares are split.
+/// Machines per zone, free or not; tenants' shares are computed from these.
 std::map<std::string, int> machines_per_zone(const PlanningInput& input) {
   std::map<std::string, int> result;
   for (const auto& [id, machine] : input.machines) {
--- a/src/core/placement/planner.h
+++ b/src/core/placement/planner.h
@@ -11,14 +11,14 @@
 
 namespace larchlever::placement {
 
-/// Everything a planning pass looks at; borrowed for the call.
+/// Input of a planning pass. The references must outlive the call.
 struct PlanningInput {
   const std::map<std::string, wire::Machine>& machines;
   const std::map<int64_t, wire::Group>& groups;
   std::vector<wire::Template> templates;
   std::vector<wire::Tenant> tenants;
   wire::FleetParameters parameters;
-  /// Machines seen alive within the presence bound under their known incarnation.
+  /// Machines seen alive within the presence bound with their known incarnation.
   std::set<std::string> present;
 };
 
@@ -31,11 +31,11 @@
 
 struct Plan {
   std::vector<PlannedGroup> create;
-  /// Groups to drain: surplus, outdated by their template, or holding a leaving machine.
+  /// Groups to drain: surplus groups, groups outdated by a change of their template, and groups with a leaving machine.
   std::vector<int64_t> drain;
-  /// Groups wanted and not formed for want of machines, by zone.
+  /// Number of wanted groups that could not be placed for lack of machines, by zone.
   std::map<std::string, int> unmet;
-  /// Accelerators that sit idle although their zone wants a group that cannot form.
+  /// Idle accelerators in zones where a wanted group cannot be placed.
   int64_t stranded_accelerators = 0;
 };
 
@@ -46,34 +46,34 @@
   int groups = 0;
 };
 
-/// Groups wanted per template and zone, from the tenants' shares of the fleet and their permitted zones. Every tenant
-/// gets at least one group in a zone that it permits, whatever its share.
+/// Computes the wanted groups per template and zone from the tenants' shares of the fleet and their permitted zones.
+/// Every tenant gets at least one group in a permitted zone, however small its share.
 std::vector<GroupDemand> desired_groups(const PlanningInput& input);
 
-/// One fabric domain with machines that are free to use.
+/// Free machines and groups of one fabric domain.
 struct DomainCapacity {
   std::string domain;
   std::string zone;
   std::vector<const wire::Machine*> free_machines;
   size_t total_machines = 0;
-  /// Groups in the domain that would need a spare machine to recover from a loss.
+  /// Active groups in the domain, each of which would need a spare machine to recover from a loss.
   size_t groups = 0;
 };
 
-/// Chooses the domain for a group. Implementations are stateless.
+/// Strategy that chooses the domain for a group. Implementations are stateless.
 class PlacementPolicy {
  public:
   virtual ~PlacementPolicy() = default;
   virtual std::string_view name() const = 0;
-  /// Index of the domain to use among `domains`, each with at least `size` free machines; they come in a fixed order.
+  /// Returns the index in `domains` of the domain to use. Each has at least `size` free machines; their order is fixed.
   virtual size_t choose_domain(const std::vector<const DomainCapacity*>& domains, size_t size,
                                const wire::FleetParameters& parameters) const = 0;
 };
 
-/// The policy called `name`: first_fit, best_fit or spare_aware; null for another name.
+/// Returns the policy first_fit, best_fit or spare_aware by name; null for any other name.
 std::unique_ptr<PlacementPolicy> make_placement_policy(std::string_view name);
 
-/// One planning pass. Pure and deterministic: the same input gives the same plan.
+/// Runs one planning pass. Pure and deterministic: the same input gives the same plan.
 Plan make_plan(const PlanningInput& input, const PlacementPolicy& policy);
 
 }  // namespace larchlever::placement
