--- a/src/core/admission/admission_controller.cc
+++ b/src/core/admission/admission_controller.cc
@@ -94,11 +94,11 @@
   return expired;
 }
 
-std::map<std::string, AdmissionController::Load> AdmissionController::loads(TimePoint now) const {
-  std::map<std::string, Load> result;
+std::map<std::string, AdmissionController::TenantLoad> AdmissionController::tenant_loads(TimePoint now) const {
+  std::map<std::string, TenantLoad> result;
   for (const auto& [tenant, tenant_state] : tenants_) {
-    const Load load{tenant_state.running, static_cast<int>(tenant_state.queue.size()),
-                    unexpired_budget(tenant_state, now)};
+    const TenantLoad load{tenant_state.running, static_cast<int>(tenant_state.queue.size()),
+                          unexpired_budget(tenant_state, now)};
     if (load.running + load.waiting + load.held_budget > 0) {
       result[tenant] = load;
     }
--- a/src/core/admission/admission_controller.h
+++ b/src/core/admission/admission_controller.h
@@ -47,13 +47,13 @@
   std::vector<AdmissionRequestId> take_admitted(TimePoint now);
   std::vector<AdmissionRequestId> take_expired(TimePoint now);
 
-  struct Load {
+  struct TenantLoad {
     int running = 0;
     int waiting = 0;
     int held_budget = 0;
   };
   /// Running and queued requests and the unexpired budget of each tenant that has any of them.
-  std::map<std::string, Load> loads(TimePoint now) const;
+  std::map<std::string, TenantLoad> tenant_loads(TimePoint now) const;
   const AdmissionStats& stats() const { return stats_; }
 
  private:
--- a/src/core/admission/budget_allocator.cc
+++ b/src/core/admission/budget_allocator.cc
@@ -38,21 +38,21 @@
   const int demand = report.running + report.waiting;
   const int others_granted = shares.granted;
   const int total_demand = shares.demand + demand;
-  const int entries = static_cast<int>(shares.by_node.size()) + 1;
+  const int entry_count = static_cast<int>(shares.by_node.size()) + 1;
   // Demand is met first, in proportion when the total exceeds the limit. The remainder is split evenly, so that an
   // entry without recent traffic can admit a first request without waiting for a heartbeat.
-  int target = demand;
+  int target_budget = demand;
   if (total_demand > limit) {
-    target = limit * demand / std::max(total_demand, 1);
-    target = std::max(target, demand > 0 ? 1 : 0);
+    target_budget = limit * demand / std::max(total_demand, 1);
+    target_budget = std::max(target_budget, demand > 0 ? 1 : 0);
   } else {
-    target += (limit - total_demand) / entries;
+    target_budget += (limit - total_demand) / entry_count;
   }
   if (!may_increase) {
-    target = std::min(target, report.held_budget);
+    target_budget = std::min(target_budget, report.held_budget);
   }
-  const int available = std::max(limit - others_granted, 0);
-  const int granted = std::min(target, available);
+  const int available_budget = std::max(limit - others_granted, 0);
+  const int granted = std::min(target_budget, available_budget);
   shares.set_share(node, NodeShare{std::max(granted, report.running), demand, expires});
   return granted;
 }
--- a/src/core/config/change_validation.cc
+++ b/src/core/config/change_validation.cc
@@ -83,16 +83,18 @@
   return records;
 }
 
-void check_template(const wire::Template& item, const FleetTopology& fleet, std::vector<std::string>& errors) {
-  const std::string key = template_key(item.name);
-  if (item.model.empty() || item.version.empty()) {
+void check_template(const wire::Template& group_template, const FleetTopology& fleet,
+                    std::vector<std::string>& errors) {
+  const std::string key = template_key(group_template.name);
+  if (group_template.model.empty() || group_template.version.empty()) {
     errors.push_back(key + ": model and version are both needed; name the model and version to serve");
   }
-  if (item.machines_per_group < kMinMachinesPerGroup || item.machines_per_group > kMaxMachinesPerGroup) {
+  if (group_template.machines_per_group < kMinMachinesPerGroup ||
+      group_template.machines_per_group > kMaxMachinesPerGroup) {
     errors.push_back(key + ": machines_per_group must lie between 1 and 32");
   } else if (fleet.largest_domain_machines > 0 &&
-             static_cast<size_t>(item.machines_per_group) > fleet.largest_domain_machines) {
-    errors.push_back(key + ": machines_per_group is " + std::to_string(item.machines_per_group) +
+             static_cast<size_t>(group_template.machines_per_group) > fleet.largest_domain_machines) {
+    errors.push_back(key + ": machines_per_group is " + std::to_string(group_template.machines_per_group) +
                      " but the largest fabric domain has " + std::to_string(fleet.largest_domain_machines) +
                      " machines; lower it");
   }
@@ -182,8 +184,8 @@
   if (change.writes.empty()) {
     errors.emplace_back("the change writes nothing; name at least one key");
   }
-  for (const auto& [name, item] : records.templates) {
-    check_template(item, fleet, errors);
+  for (const auto& [name, group_template] : records.templates) {
+    check_template(group_template, fleet, errors);
   }
   int total_share = 0;
   for (const auto& [name, tenant] : records.tenants) {
--- a/src/core/config/record_table.cc
+++ b/src/core/config/record_table.cc
@@ -13,11 +13,11 @@
 void RecordTable::store_record(wire::Record record) {
   const auto existing = records_.find(record.key);
   if (existing != records_.end()) {
-    by_revision_.erase({existing->second.revision, record.key});
+    keys_by_revision_.erase({existing->second.revision, record.key});
     tombstone_count_ -= existing->second.deleted ? 1 : 0;
   }
   tombstone_count_ += record.deleted ? 1 : 0;
-  by_revision_.insert({record.revision, record.key});
+  keys_by_revision_.insert({record.revision, record.key});
   revision_ = std::max(revision_, Revision(record.revision));
   records_[record.key] = std::move(record);
 }
@@ -64,7 +64,7 @@
     return std::nullopt;
   }
   std::vector<wire::Record> result;
-  for (auto item = by_revision_.lower_bound({since.value() + 1, ""}); item != by_revision_.end(); ++item) {
+  for (auto item = keys_by_revision_.lower_bound({since.value() + 1, ""}); item != keys_by_revision_.end(); ++item) {
     result.push_back(records_.find(item->second)->second);
   }
   return result;
@@ -83,7 +83,7 @@
 void RecordTable::apply_update(const std::vector<wire::Record>& records, bool replace_all, Revision revision) {
   if (replace_all) {
     records_.clear();
-    by_revision_.clear();
+    keys_by_revision_.clear();
     tombstone_count_ = 0;
     oldest_served_revision_ = revision;
   }
@@ -94,7 +94,7 @@
 }
 
 void RecordTable::trim_tombstones(size_t max_tombstones) {
-  for (auto item = by_revision_.begin(); tombstone_count_ > max_tombstones && item != by_revision_.end();) {
+  for (auto item = keys_by_revision_.begin(); tombstone_count_ > max_tombstones && item != keys_by_revision_.end();) {
     const auto record = records_.find(item->second);
     if (!record->second.deleted) {
       ++item;
@@ -102,7 +102,7 @@
     }
     oldest_served_revision_ = std::max(oldest_served_revision_, Revision(item->first));
     records_.erase(record);
-    item = by_revision_.erase(item);
+    item = keys_by_revision_.erase(item);
     --tombstone_count_;
   }
 }
--- a/src/core/config/record_table.h
+++ b/src/core/config/record_table.h
@@ -66,7 +66,7 @@
   void store_record(wire::Record record);
 
   std::map<std::string, wire::Record, std::less<>> records_;
-  std::set<std::pair<int64_t, std::string>> by_revision_;
+  std::set<std::pair<int64_t, std::string>> keys_by_revision_;
   size_t tombstone_count_ = 0;
   Revision revision_;
   Revision oldest_served_revision_;
--- a/src/core/control/control_leader.cc
+++ b/src/core/control/control_leader.cc
@@ -101,10 +101,10 @@
       wire::WatchTarget target;
       target.machine = machine;
       const auto listed = listed_machines_.find(machine);
-      const auto known = state.machines().find(machine);
-      target.endpoint = listed != listed_machines_.end()  ? listed->second.endpoint
-                        : known != state.machines().end() ? known->second.endpoint
-                                                          : "";
+      const auto known_machine = state.machines().find(machine);
+      target.endpoint = listed != listed_machines_.end()          ? listed->second.endpoint
+                        : known_machine != state.machines().end() ? known_machine->second.endpoint
+                                                                  : "";
       reply.watches.push_back(std::move(target));
     }
   }
@@ -195,8 +195,8 @@
 
 void ControlLeader::on_operator_request(TimePoint now, const std::string& node, const wire::OperatorRequest& request,
                                         const consensus::RaftNode& raft, const ControlState& state) {
-  const bool changes = request.action == wire::OperatorAction::APPLY || request.action == wire::OperatorAction::DRAIN;
-  if (!changes) {
+  const bool is_change = request.action == wire::OperatorAction::APPLY || request.action == wire::OperatorAction::DRAIN;
+  if (!is_change) {
     auto& reply = operator_reply(node, request.request_id);
     reply.answer.revision = state.records().revision().value();
     if (request.action == wire::OperatorAction::GET) {
@@ -205,8 +205,8 @@
       }
     } else if (request.action == wire::OperatorAction::AUDIT) {
       const auto& audit = state.audit();
-      const size_t from = audit.size() > kMaxAuditRecordsPerReply ? audit.size() - kMaxAuditRecordsPerReply : 0;
-      reply.audit.assign(audit.begin() + static_cast<std::ptrdiff_t>(from), audit.end());
+      const size_t first_record = audit.size() > kMaxAuditRecordsPerReply ? audit.size() - kMaxAuditRecordsPerReply : 0;
+      reply.audit.assign(audit.begin() + static_cast<std::ptrdiff_t>(first_record), audit.end());
     } else {
       reply.__set_status(make_status_report(now, raft, state));
     }
@@ -218,8 +218,8 @@
   }
   const std::string& command_id =
       request.action == wire::OperatorAction::APPLY ? request.change.command_id : request.drain.command_id;
-  if (const auto* first = state.find_answer(command_id)) {
-    add_pending_change(now, node, request.request_id, *first);
+  if (const auto* earlier_answer = state.find_answer(command_id)) {
+    add_pending_change(now, node, request.request_id, *earlier_answer);
     return;
   }
   Proposal proposal;
@@ -328,18 +328,18 @@
 
 void ControlLeader::propose_observations(const ControlState& state) {
   for (const auto& [id, sighting] : presence_.all_sightings()) {
-    const auto known = state.machines().find(id);
+    const auto known_machine = state.machines().find(id);
     const auto listed = listed_machines_.find(id);
-    const bool is_new = known == state.machines().end();
-    const bool restarted = !is_new && known->second.incarnation < sighting.incarnation;
+    const bool is_new = known_machine == state.machines().end();
+    const bool restarted = !is_new && known_machine->second.incarnation < sighting.incarnation;
     const bool newly_leaving =
-        !is_new && listed != listed_machines_.end() && listed->second.leaving && !known->second.leaving;
+        !is_new && listed != listed_machines_.end() && listed->second.leaving && !known_machine->second.leaving;
     if ((is_new && listed == listed_machines_.end()) || !(is_new || restarted || newly_leaving)) {
       continue;
     }
     wire::Command command;
     wire::MachineObservation observation;
-    observation.machine = is_new ? listed->second : known->second;
+    observation.machine = is_new ? listed->second : known_machine->second;
     observation.machine.leaving = observation.machine.leaving || newly_leaving;
     observation.machine.incarnation = sighting.incarnation;
     command.__set_machine_observation(observation);
@@ -413,9 +413,9 @@
   size_t claim_batches = 0;
   bool may_supervise = true;
   for (const auto& [index, proposal] : in_flight_proposals_) {
-    const bool claims = !proposal.claim_requests.empty() || !proposal.resolution_requests.empty();
-    claim_batches += claims ? 1 : 0;
-    may_supervise = may_supervise && claims;
+    const bool is_claim_batch = !proposal.claim_requests.empty() || !proposal.resolution_requests.empty();
+    claim_batches += is_claim_batch ? 1 : 0;
+    may_supervise = may_supervise && is_claim_batch;
   }
   const bool has_claims = !claim_batch_.claim_requests.empty() || !claim_batch_.resolution_requests.empty();
   if (has_claims &&
@@ -436,7 +436,7 @@
     propose(std::move(command));
   }
   outputs_.orders.insert(outputs_.orders.end(), actions.orders.begin(), actions.orders.end());
-  outputs_.replicas = replicas_.next_change(now, raft, nodes_);
+  outputs_.replicas = replicas_.next_replica_set(now, raft, nodes_);
 }
 
 ControlLeader::Outputs ControlLeader::take_outputs() {
--- a/src/core/control/control_state.cc
+++ b/src/core/control/control_state.cc
@@ -97,8 +97,8 @@
 }
 
 wire::ChangeAnswer ControlState::apply_change(Revision revision, const wire::ConfigurationChange& change) {
-  if (const auto* first = find_answer(change.command_id)) {
-    return *first;
+  if (const auto* earlier_answer = find_answer(change.command_id)) {
+    return *earlier_answer;
   }
   wire::ChangeAnswer answer = check_change(change);
   std::vector<wire::KeyRevision> changed_from;
@@ -119,8 +119,8 @@
 }
 
 wire::ChangeAnswer ControlState::apply_drain(Revision revision, const wire::MachineDrain& drain) {
-  if (const auto* first = find_answer(drain.command_id)) {
-    return *first;
+  if (const auto* earlier_answer = find_answer(drain.command_id)) {
+    return *earlier_answer;
   }
   const auto machine = machines_.find(drain.machine);
   wire::ChangeAnswer answer;
@@ -215,8 +215,8 @@
   if (!group_template || creation.machines.size() != static_cast<size_t>(group_template->machines_per_group)) {
     return std::nullopt;
   }
-  const std::set<std::string> distinct(creation.machines.begin(), creation.machines.end());
-  if (distinct.size() != creation.machines.size()) {
+  const std::set<std::string> unique_machines(creation.machines.begin(), creation.machines.end());
+  if (unique_machines.size() != creation.machines.size()) {
     return std::nullopt;
   }
   wire::Group group;
@@ -279,8 +279,8 @@
   store_group(revision, group);
 }
 
-void ControlState::start_release(Revision revision, wire::Group& stored) {
-  wire::Group group = stored;
+void ControlState::start_release(Revision revision, wire::Group& stored_group) {
+  wire::Group group = stored_group;
   if (group.state == wire::GroupState::RELEASING) {
     return;
   }
@@ -312,9 +312,9 @@
     return;
   }
   const auto& members = group->second.machines;
-  const bool held =
+  const bool has_unreleased_machine =
       std::any_of(members.begin(), members.end(), [&](const auto& id) { return machines_[id].group_id == group_id; });
-  if (!held) {
+  if (!has_unreleased_machine) {
     records_.remove(config::group_key(group_id), revision);
     groups_.erase(group);
   }
--- a/src/core/control/group_supervisor.cc
+++ b/src/core/control/group_supervisor.cc
@@ -126,14 +126,14 @@
   if (!have_leases_expired(now, group.id)) {
     return false;
   }
-  const TimePoint since = draining_since_.try_emplace(group.id, now).first->second;
-  if (now - since >= options_.drain_timeout) {
+  const TimePoint leases_expired_at = draining_since_.try_emplace(group.id, now).first->second;
+  if (now - leases_expired_at >= options_.drain_timeout) {
     return true;
   }
   // The group must be seen idle after the last lease expired, since entries may dispatch until then. The additional
   // presence bound covers a dispatch that was in transit when the lease expired.
   const auto* sighting = presence.find(group.machines.front());
-  return sighting != nullptr && sighting->seen_at > since + options_.presence_bound && sighting->load == 0;
+  return sighting != nullptr && sighting->seen_at > leases_expired_at + options_.presence_bound && sighting->load == 0;
 }
 
 bool GroupSupervisor::have_leases_expired(TimePoint now, int64_t group_id) const {
@@ -185,8 +185,8 @@
 
 bool GroupSupervisor::send_order(TimePoint now, OrderKind kind, const wire::Group& group, size_t rank,
                                  const ControlState& state, Actions& actions) {
-  auto& table = kind == OrderKind::kLoad ? load_orders_ : release_orders_;
-  OrderProgress& progress = table[OrderKey(group.machines[rank], group.epoch)];
+  auto& order_progress = kind == OrderKind::kLoad ? load_orders_ : release_orders_;
+  OrderProgress& progress = order_progress[OrderKey(group.machines[rank], group.epoch)];
   if (progress.done) {
     return true;
   }
@@ -213,9 +213,9 @@
 }
 
 void GroupSupervisor::on_order_result(const OrderResult& result) {
-  auto& table = result.kind == OrderKind::kLoad ? load_orders_ : release_orders_;
-  const auto found = table.find(OrderKey(result.machine, result.epoch));
-  if (found == table.end()) {
+  auto& order_progress = result.kind == OrderKind::kLoad ? load_orders_ : release_orders_;
+  const auto found = order_progress.find(OrderKey(result.machine, result.epoch));
+  if (found == order_progress.end()) {
     return;
   }
   stats_.orders_fenced += result.verdict == OrderVerdict::kFenced ? 1 : 0;
--- a/src/core/control/replica_supervisor.cc
+++ b/src/core/control/replica_supervisor.cc
@@ -34,8 +34,8 @@
     return false;
   }
   const auto identity = current_identities.find(replica.node);
-  const bool replaced = identity != current_identities.end() && identity->second != replica.replica_id;
-  if (replaced || raft.rolled_back().contains(replica.replica_id)) {
+  const bool is_replaced = identity != current_identities.end() && identity->second != replica.replica_id;
+  if (is_replaced || raft.rolled_back().contains(replica.replica_id)) {
     return true;
   }
   const auto since = first_seen_as_member_.find(replica.replica_id);
@@ -55,8 +55,8 @@
   first_seen_as_member_ = std::move(members);
 }
 
-std::optional<wire::ReplicaSet> ReplicaSupervisor::next_change(TimePoint now, const consensus::RaftNode& raft,
-                                                               const membership::NodeDirectory& nodes) {
+std::optional<wire::ReplicaSet> ReplicaSupervisor::next_replica_set(TimePoint now, const consensus::RaftNode& raft,
+                                                                    const membership::NodeDirectory& nodes) {
   track_members(now, raft.replicas());
   if (raft.replica_change_pending()) {
     return std::nullopt;
@@ -69,10 +69,10 @@
       continue;
     }
     current_identities[name] = node_record.replica_id.value();
-    const bool member = contains_replica(next.voters, node_record.replica_id.value()) ||
-                        contains_replica(next.learners, node_record.replica_id.value());
-    const bool live = now - node_record.last_heartbeat_at <= options_.node_timeout && !node_record.leaving;
-    if (!member && live && !raft.rolled_back().contains(node_record.replica_id.value())) {
+    const bool is_member = contains_replica(next.voters, node_record.replica_id.value()) ||
+                           contains_replica(next.learners, node_record.replica_id.value());
+    const bool is_live = now - node_record.last_heartbeat_at <= options_.node_timeout && !node_record.leaving;
+    if (!is_member && is_live && !raft.rolled_back().contains(node_record.replica_id.value())) {
       spare_replicas.push_back(&node_record);
     }
   }
@@ -83,10 +83,10 @@
     }
   }
   size_t live_voters = 0;
-  std::optional<wire::ReplicaAddress> lost;
+  std::optional<wire::ReplicaAddress> lost_voter;
   for (const auto& voter : next.voters) {
     if (is_lost(now, voter, raft, current_identities)) {
-      lost = voter;
+      lost_voter = voter;
     } else {
       ++live_voters;
     }
@@ -119,15 +119,15 @@
       return next;
     }
   }
-  if (lost && live_voters >= voters_wanted && next.voters.size() > voters_wanted) {
-    next.voters = remove_replica(next.voters, lost->replica_id);
+  if (lost_voter && live_voters >= voters_wanted && next.voters.size() > voters_wanted) {
+    next.voters = remove_replica(next.voters, lost_voter->replica_id);
     return next;
   }
-  const bool superseded =
-      lost && current_identities.contains(lost->node) && current_identities[lost->node] != lost->replica_id;
-  if (superseded && live_voters >= voters_wanted && live_voters >= 1) {
+  const bool is_superseded = lost_voter && current_identities.contains(lost_voter->node) &&
+                             current_identities[lost_voter->node] != lost_voter->replica_id;
+  if (is_superseded && live_voters >= voters_wanted && live_voters >= 1) {
     // The replica's identity is gone for good; keeping it as a voter only makes a quorum harder to reach.
-    next.voters = remove_replica(next.voters, lost->replica_id);
+    next.voters = remove_replica(next.voters, lost_voter->replica_id);
     return next;
   }
   return std::nullopt;
--- a/src/core/control/replica_supervisor.h
+++ b/src/core/control/replica_supervisor.h
@@ -25,8 +25,8 @@
     first_seen_as_member_.clear();
   }
   /// The next replica set to propose, if a change is needed.
-  std::optional<wire::ReplicaSet> next_change(TimePoint now, const consensus::RaftNode& raft,
-                                              const membership::NodeDirectory& nodes);
+  std::optional<wire::ReplicaSet> next_replica_set(TimePoint now, const consensus::RaftNode& raft,
+                                                   const membership::NodeDirectory& nodes);
 
  private:
   bool is_lost(TimePoint now, const wire::ReplicaAddress& replica, const consensus::RaftNode& raft,
--- a/src/core/fleet/fleet_leader.cc
+++ b/src/core/fleet/fleet_leader.cc
@@ -387,7 +387,7 @@
   note_evacuations(now, log);
   if (now >= next_supervision_) {
     next_supervision_ = now + kSupervisionInterval;
-    outputs_.replicas = replicas_.next_change(now, raft, nodes_);
+    outputs_.replicas = replicas_.next_replica_set(now, raft, nodes_);
     forget_lost_entries(now);
     version_ += instances_.tick(now) ? 1 : 0;
     version_ += blocker_.tick(now) ? 1 : 0;
--- a/src/core/ledger/claim_table.cc
+++ b/src/core/ledger/claim_table.cc
@@ -4,7 +4,7 @@
 
 namespace larchlever::ledger {
 
-void ClaimTable::store_claim(const Key& key, wire::Claim claim) {
+void ClaimTable::store_claim(const ClaimKey& key, wire::Claim claim) {
   claims_by_time_.emplace_back(claim.claimed_at_ms, key);
   claims_[key] = std::move(claim);
 }
@@ -15,7 +15,7 @@
     decision.key_expired = true;
     return decision;
   }
-  const Key key(request.tenant, request.key);
+  const ClaimKey key(request.tenant, request.key);
   const auto found = claims_.find(key);
   if (found != claims_.end()) {
     const wire::Claim& existing = found->second;
@@ -42,7 +42,7 @@
 }
 
 void ClaimTable::resolve(const wire::ClaimResolution& resolution, int64_t now_ms) {
-  const Key key(resolution.tenant, resolution.key);
+  const ClaimKey key(resolution.tenant, resolution.key);
   const auto found = claims_.find(key);
   if (found == claims_.end()) {
     if (resolution.state == wire::ClaimState::NOT_RUN) {
@@ -107,7 +107,7 @@
 }
 
 const wire::Claim* ClaimTable::find(const std::string& tenant, const std::string& key) const {
-  const auto found = claims_.find(Key(tenant, key));
+  const auto found = claims_.find(ClaimKey(tenant, key));
   return found == claims_.end() ? nullptr : &found->second;
 }
 
@@ -129,7 +129,7 @@
   std::stable_sort(claims_by_time.begin(), claims_by_time.end(),
                    [](const auto& left, const auto& right) { return left.claimed_at_ms < right.claimed_at_ms; });
   for (auto& claim : claims_by_time) {
-    const Key key(claim.tenant, claim.key);
+    const ClaimKey key(claim.tenant, claim.key);
     if (!claim.answer_body.empty()) {
       stored_bytes_ += claim.answer_body.size();
       stored_answers_.push_back(key);
--- a/src/core/ledger/claim_table.h
+++ b/src/core/ledger/claim_table.h
@@ -52,14 +52,14 @@
   void restore(const std::vector<wire::Claim>& claims);
 
  private:
-  using Key = std::pair<std::string, std::string>;
+  using ClaimKey = std::pair<std::string, std::string>;
 
-  void store_claim(const Key& key, wire::Claim claim);
+  void store_claim(const ClaimKey& key, wire::Claim claim);
 
   ClaimLimits limits_;
-  std::map<Key, wire::Claim> claims_;
-  std::deque<std::pair<int64_t, Key>> claims_by_time_;
-  std::deque<Key> stored_answers_;
+  std::map<ClaimKey, wire::Claim> claims_;
+  std::deque<std::pair<int64_t, ClaimKey>> claims_by_time_;
+  std::deque<ClaimKey> stored_answers_;
   size_t stored_bytes_ = 0;
 };
 
--- a/src/core/membership/watch_assignment.cc
+++ b/src/core/membership/watch_assignment.cc
@@ -28,8 +28,8 @@
     std::vector<const WatcherCandidate*> chosen;
     for (const bool new_zones_only : {true, false}) {
       for (const auto& [weight, node] : ranked) {
-        const bool taken = std::find(chosen.begin(), chosen.end(), node) != chosen.end();
-        if (chosen.size() < watchers_per_machine && !taken && !(new_zones_only && zones.contains(node->zone))) {
+        const bool is_chosen = std::find(chosen.begin(), chosen.end(), node) != chosen.end();
+        if (chosen.size() < watchers_per_machine && !is_chosen && !(new_zones_only && zones.contains(node->zone))) {
           chosen.push_back(node);
           zones.insert(node->zone);
         }
--- a/src/core/node/entry_agent.cc
+++ b/src/core/node/entry_agent.cc
@@ -43,9 +43,9 @@
   if (now < next_heartbeat_at_ || leader_.empty()) {
     return std::nullopt;
   }
-  const bool silent = sequence_ > 0 && now - std::max(last_reply_at_, TimePoint()) >
-                                           kMaxUnansweredHeartbeats * options_.heartbeat_interval;
-  if (silent && sequence_ % kMaxUnansweredHeartbeats == 0) {
+  const bool leader_is_silent = sequence_ > 0 && now - std::max(last_reply_at_, TimePoint()) >
+                                                     kMaxUnansweredHeartbeats * options_.heartbeat_interval;
+  if (leader_is_silent && sequence_ % kMaxUnansweredHeartbeats == 0) {
     try_next_control_node();
   }
   next_heartbeat_at_ = now + options_.heartbeat_interval;
@@ -72,7 +72,7 @@
       heartbeat.sightings.push_back(std::move(sighting));
     }
   }
-  for (const auto& [tenant, load] : admission_.loads(now)) {
+  for (const auto& [tenant, load] : admission_.tenant_loads(now)) {
     wire::TenantDemand demand;
     demand.tenant = tenant;
     demand.running = load.running;
@@ -82,9 +82,9 @@
   }
   envelope.heartbeat = std::move(heartbeat);
   envelope.__isset.heartbeat = true;
-  sent_at_[sequence_] = now;
-  while (sent_at_.size() > kMaxTrackedHeartbeats) {
-    sent_at_.erase(sent_at_.begin());
+  heartbeat_sent_at_[sequence_] = now;
+  while (heartbeat_sent_at_.size() > kMaxTrackedHeartbeats) {
+    heartbeat_sent_at_.erase(heartbeat_sent_at_.begin());
   }
   ++stats_.heartbeats_sent;
   return envelope;
@@ -98,10 +98,10 @@
     }
     return;
   }
-  const auto sent = sent_at_.find(reply.sequence);
-  const bool stale = sent == sent_at_.end() || reply.lease_ms <= 0 || reply.sequence <= acknowledged_sequence_ ||
-                     Revision(reply.revision) < records_.revision();
-  if (stale) {
+  const auto sent_heartbeat = heartbeat_sent_at_.find(reply.sequence);
+  const bool is_stale = sent_heartbeat == heartbeat_sent_at_.end() || reply.lease_ms <= 0 ||
+                        reply.sequence <= acknowledged_sequence_ || Revision(reply.revision) < records_.revision();
+  if (is_stale) {
     ++stats_.stale_replies;
     return;
   }
@@ -109,11 +109,11 @@
   acknowledged_sequence_ = reply.sequence;
   last_reply_at_ = now;
   leader_ = envelope.from_node;
-  const TimePoint sent_at = sent->second;
-  sent_at_.erase(sent_at_.begin(), std::next(sent));
-  const bool changed = Revision(reply.revision) > records_.revision();
+  const TimePoint sent_at = sent_heartbeat->second;
+  heartbeat_sent_at_.erase(heartbeat_sent_at_.begin(), std::next(sent_heartbeat));
+  const bool revision_changed = Revision(reply.revision) > records_.revision();
   stats_.full_copies += reply.full ? 1 : 0;
-  if (changed || reply.full) {
+  if (revision_changed || reply.full) {
     records_.apply_update(reply.records, reply.full, Revision(reply.revision));
     router_.set_table(routing::RoutingTable(records_));
     // Confirm the new revision at once: a change is in force only when every lease holder has confirmed it.
@@ -121,11 +121,11 @@
   }
   // The lease period starts when the heartbeat was sent. The leader starts its own count later, so the lease expires
   // here first.
-  const TimePoint until = sent_at + milliseconds(reply.lease_ms);
-  router_.set_configuration_lease(std::max(router_.configuration_lease_until(), until));
+  const TimePoint lease_until = sent_at + milliseconds(reply.lease_ms);
+  router_.set_configuration_lease(std::max(router_.configuration_lease_until(), lease_until));
   router_.set_leases(reply.leases, sent_at + milliseconds(reply.serve_lease_ms));
   for (const auto& budget : reply.budgets) {
-    admission_.set_budget(budget.tenant, budget.concurrent, until);
+    admission_.set_budget(budget.tenant, budget.concurrent, lease_until);
   }
   if (reply.watch_version != watch_version_) {
     watch_version_ = reply.watch_version;
--- a/src/core/node/entry_agent.h
+++ b/src/core/node/entry_agent.h
@@ -84,7 +84,7 @@
   int64_t acknowledged_sequence_ = 0;
   TimePoint next_heartbeat_at_ = TimePoint::min();
   TimePoint last_reply_at_ = TimePoint::min();
-  std::map<int64_t, TimePoint> sent_at_;
+  std::map<int64_t, TimePoint> heartbeat_sent_at_;
   struct TimedSighting {
     TimePoint poll_sent_at{};
     wire::MachineSighting sighting;
--- a/src/core/node/node_controller.cc
+++ b/src/core/node/node_controller.cc
@@ -51,7 +51,7 @@
   if (acts_as_leader(now) && leader_started_term_ == raft_->term()) {
     leader_.tick(now, *raft_, state_);
   }
-  process(now);
+  process_pending_work(now);
 }
 
 void NodeController::receive(TimePoint now, wire::Envelope envelope) {
@@ -77,14 +77,14 @@
   } else {
     handle_reply(envelope);
   }
-  process(now);
+  process_pending_work(now);
 }
 
 void NodeController::on_storage_written(TimePoint now, consensus::RaftOutput batch) {
   if (raft_) {
     send_raft(now, std::move(batch.messages_after_sync));
     raft_->synced(now, batch.ticket);
-    process(now);
+    process_pending_work(now);
   }
 }
 
@@ -117,8 +117,8 @@
 
 void NodeController::handle_reply(const wire::Envelope& envelope) {
   if (envelope.__isset.claim_reply) {
-    const auto found = claims_.find(envelope.claim_reply.request_id);
-    if (found == claims_.end() || !envelope.claim_reply.decided) {
+    const auto found = pending_claims_.find(envelope.claim_reply.request_id);
+    if (found == pending_claims_.end() || !envelope.claim_reply.decided) {
       return;
     }
     ClaimOutcome outcome;
@@ -128,11 +128,11 @@
     outcome.existing_claim = envelope.claim_reply.standing;
     outcome.key_expired = !envelope.claim_reply.message.empty();
     outputs_.claim_outcomes.push_back(std::move(outcome));
-    claims_.erase(found);
+    pending_claims_.erase(found);
   } else if (envelope.__isset.resolution_reply) {
-    resolutions_.erase(envelope.resolution_reply.request_id);
+    pending_resolutions_.erase(envelope.resolution_reply.request_id);
   } else if (envelope.__isset.operator_reply) {
-    if (operator_requests_.erase(envelope.operator_reply.request_id) > 0) {
+    if (pending_operator_requests_.erase(envelope.operator_reply.request_id) > 0) {
       outputs_.operator_replies.push_back(envelope.operator_reply);
     }
   }
@@ -143,9 +143,9 @@
 int64_t NodeController::submit_operator_request(TimePoint now, wire::OperatorRequest request, TimePoint deadline) {
   const int64_t id = next_request_id_++;
   request.request_id = id;
-  operator_requests_[id] = {std::move(request), deadline, TimePoint::min()};
+  pending_operator_requests_[id] = {std::move(request), deadline, TimePoint::min()};
   resend_pending(now);
-  process(now);
+  process_pending_work(now);
   return id;
 }
 
@@ -157,9 +157,9 @@
   wire::ClaimRequest request;
   request.request_id = id;
   request.claim = std::move(claim);
-  claims_[id] = {std::move(request), deadline, TimePoint::min()};
+  pending_claims_[id] = {std::move(request), deadline, TimePoint::min()};
   resend_pending(now);
-  process(now);
+  process_pending_work(now);
   return id;
 }
 
@@ -170,9 +170,9 @@
   wire::ResolutionRequest request;
   request.request_id = id;
   request.resolution = std::move(resolution);
-  resolutions_[id] = {std::move(request), TimePoint::max(), TimePoint::min()};
+  pending_resolutions_[id] = {std::move(request), TimePoint::max(), TimePoint::min()};
   resend_pending(now);
-  process(now);
+  process_pending_work(now);
 }
 
 wire::Envelope NodeController::envelope_to_leader() const {
@@ -185,13 +185,13 @@
   const auto is_due = [&](const auto& pending) {
     return pending.sent_at == TimePoint::min() || now - pending.sent_at >= options_.request_retry_interval;
   };
-  for (auto item = operator_requests_.begin(); item != operator_requests_.end();) {
+  for (auto item = pending_operator_requests_.begin(); item != pending_operator_requests_.end();) {
     auto& pending = item->second;
     if (now >= pending.deadline) {
       wire::OperatorReply reply;
       reply.request_id = item->first;
       outputs_.operator_replies.push_back(std::move(reply));
-      item = operator_requests_.erase(item);
+      item = pending_operator_requests_.erase(item);
       continue;
     }
     if (is_due(pending)) {
@@ -202,13 +202,13 @@
     }
     ++item;
   }
-  for (auto item = claims_.begin(); item != claims_.end();) {
+  for (auto item = pending_claims_.begin(); item != pending_claims_.end();) {
     auto& pending = item->second;
     if (now >= pending.deadline) {
       ClaimOutcome outcome;
       outcome.request_id = item->first;
       outputs_.claim_outcomes.push_back(std::move(outcome));
-      item = claims_.erase(item);
+      item = pending_claims_.erase(item);
       continue;
     }
     if (is_due(pending)) {
@@ -219,7 +219,7 @@
     }
     ++item;
   }
-  for (auto& [id, pending] : resolutions_) {
+  for (auto& [id, pending] : pending_resolutions_) {
     if (is_due(pending)) {
       pending.sent_at = now;
       auto envelope = envelope_to_leader();
@@ -283,7 +283,7 @@
   outputs_.orders.insert(outputs_.orders.end(), leader_outputs.orders.begin(), leader_outputs.orders.end());
 }
 
-void NodeController::process(TimePoint now) {
+void NodeController::process_pending_work(TimePoint now) {
   if (raft_) {
     if (raft_->is_leader() && leader_started_term_ != raft_->term()) {
       leader_started_term_ = raft_->term();
@@ -313,8 +313,8 @@
 }
 
 bool NodeController::may_stop(TimePoint now) const {
-  const bool settled = resolutions_.empty() && !(raft_ && raft_->is_leader());
-  return settled || now >= leaving_since_ + kMaxLeavingTime;
+  const bool nothing_pending = pending_resolutions_.empty() && !(raft_ && raft_->is_leader());
+  return nothing_pending || now >= leaving_since_ + kMaxLeavingTime;
 }
 
 NodeOutputs NodeController::take_outputs() {
--- a/src/core/node/node_controller.h
+++ b/src/core/node/node_controller.h
@@ -105,7 +105,7 @@
     TimePoint sent_at = TimePoint::min();
   };
 
-  void process(TimePoint now);
+  void process_pending_work(TimePoint now);
   void apply_committed(TimePoint now);
   void carry_out_leader_outputs(TimePoint now);
   void handle_heartbeat(TimePoint now, const wire::Envelope& envelope);
@@ -131,9 +131,9 @@
   bool leaving_ = false;
   TimePoint next_hand_over_at_{};
   TimePoint leaving_since_{};
-  std::map<int64_t, PendingRequest<wire::OperatorRequest>> operator_requests_;
-  std::map<int64_t, PendingRequest<wire::ClaimRequest>> claims_;
-  std::map<int64_t, PendingRequest<wire::ResolutionRequest>> resolutions_;
+  std::map<int64_t, PendingRequest<wire::OperatorRequest>> pending_operator_requests_;
+  std::map<int64_t, PendingRequest<wire::ClaimRequest>> pending_claims_;
+  std::map<int64_t, PendingRequest<wire::ResolutionRequest>> pending_resolutions_;
   /// The node of each replica, learned from replica sets and received messages.
   consensus::ReplicaRoutes replica_routes_;
   std::vector<wire::Envelope> envelopes_to_self_;
--- a/src/core/placement/planner.cc
+++ b/src/core/placement/planner.cc
@@ -282,29 +282,29 @@
       }
     }
   }
-  std::map<std::pair<std::string, std::string>, int> rounded;
+  std::map<std::pair<std::string, std::string>, int> group_counts;
   for (const auto& [key, groups] : wanted) {
     constexpr double kRoundingTolerance = 1e-9;
-    rounded[key] = static_cast<int>(std::floor(groups + 0.5 + kRoundingTolerance));
+    group_counts[key] = static_cast<int>(std::floor(groups + 0.5 + kRoundingTolerance));
   }
   for (const auto& tenant : input.tenants) {
     std::pair<std::string, std::string> best_target;
     double best = -1;
-    bool served = false;
+    bool has_group = false;
     for (const auto& zone : tenant.zones) {
       const auto found = wanted.find({tenant.template_name, zone});
-      served = served || (found != wanted.end() && rounded[found->first] > 0);
+      has_group = has_group || (found != wanted.end() && group_counts[found->first] > 0);
       if (found != wanted.end() && found->second > best) {
         best = found->second;
         best_target = found->first;
       }
     }
-    if (!served && best >= 0) {
-      rounded[best_target] = 1;
+    if (!has_group && best >= 0) {
+      group_counts[best_target] = 1;
     }
   }
   std::vector<GroupDemand> result;
-  for (const auto& [key, groups] : rounded) {
+  for (const auto& [key, groups] : group_counts) {
     if (groups > 0) {
       result.push_back(GroupDemand{key.first, key.second, groups});
     }
--- a/tests/unit/claim_table_test.cc
+++ b/tests/unit/claim_table_test.cc
@@ -36,9 +36,9 @@
   const auto first = make_claim("k", "n1", 1);
   EXPECT_TRUE(table.claim(first, 1000).granted);
   EXPECT_TRUE(table.claim(first, 1001).granted);
-  const auto rival = table.claim(make_claim("k", "n2", 1), 1002);
-  EXPECT_FALSE(rival.granted);
-  EXPECT_EQ(rival.existing_claim.state, wire::ClaimState::IN_PROGRESS);
+  const auto competing_claim = table.claim(make_claim("k", "n2", 1), 1002);
+  EXPECT_FALSE(competing_claim.granted);
+  EXPECT_EQ(competing_claim.existing_claim.state, wire::ClaimState::IN_PROGRESS);
 }
 
 TEST(ClaimTable, ReplaysStoredAnswerAndFreesKeyThatDidNotRun) {
@@ -55,9 +55,9 @@
 
 TEST(ClaimTable, NotRunResolutionBlocksLateClaimOfSameRequest) {
   ClaimTable table;
-  const auto late = make_claim("k", "n1", 1);
-  table.resolve(make_resolution(late, wire::ClaimState::NOT_RUN), 1);
-  EXPECT_FALSE(table.claim(late, 2).granted);
+  const auto late_claim = make_claim("k", "n1", 1);
+  table.resolve(make_resolution(late_claim, wire::ClaimState::NOT_RUN), 1);
+  EXPECT_FALSE(table.claim(late_claim, 2).granted);
   EXPECT_TRUE(table.claim(make_claim("k", "n2", 2), 3).granted);
 }
 
@@ -75,10 +75,10 @@
 TEST(ClaimTable, RefusesKeysOlderThanWindow) {
   ClaimTable table;
   table.set_window_ms(1000);
-  auto old = make_claim("k", "n1", 1);
-  old.claimed_at_ms = 5000;
-  EXPECT_TRUE(table.claim(old, 6000).key_expired);
-  EXPECT_FALSE(table.claim(old, 6000).granted);
+  auto old_claim = make_claim("k", "n1", 1);
+  old_claim.claimed_at_ms = 5000;
+  EXPECT_TRUE(table.claim(old_claim, 6000).key_expired);
+  EXPECT_FALSE(table.claim(old_claim, 6000).granted);
 }
 
 TEST(ClaimTable, BoundsStoredAnswersAndRestoresSnapshot) {
@@ -91,11 +91,11 @@
   }
   EXPECT_LE(table.stored_bytes(), 10U);
   EXPECT_EQ(table.size(), 5U);
-  ClaimTable copy(ClaimLimits{1'000'000, 10, 100});
-  copy.restore(table.all_claims());
-  EXPECT_EQ(copy.size(), 5U);
-  EXPECT_EQ(copy.stored_bytes(), table.stored_bytes());
-  EXPECT_FALSE(copy.claim(make_claim("k0", "n2", 9), 10).granted);
+  ClaimTable restored(ClaimLimits{1'000'000, 10, 100});
+  restored.restore(table.all_claims());
+  EXPECT_EQ(restored.size(), 5U);
+  EXPECT_EQ(restored.stored_bytes(), table.stored_bytes());
+  EXPECT_FALSE(restored.claim(make_claim("k0", "n2", 9), 10).granted);
 }
 
 TEST(ClaimTable, GrantsKeyAtMostOnceInAnyOrder) {
@@ -115,10 +115,10 @@
       } else if (granted.contains(id)) {
         const bool not_run = *rc::gen::inRange(0, 2) == 0;
         const auto* standing = table.find("tenant", key);
-        const bool holds = standing != nullptr && standing->entry == claim.entry && standing->nonce == claim.nonce &&
-                           standing->state == wire::ClaimState::IN_PROGRESS;
+        const bool holds_claim = standing != nullptr && standing->entry == claim.entry &&
+                                 standing->nonce == claim.nonce && standing->state == wire::ClaimState::IN_PROGRESS;
         table.resolve(make_resolution(claim, not_run ? wire::ClaimState::NOT_RUN : wire::ClaimState::RAN), step);
-        if (holds && not_run) {
+        if (holds_claim && not_run) {
           --ran[key];
         }
       }
--- a/tests/unit/control_state_test.cc
+++ b/tests/unit/control_state_test.cc
@@ -19,7 +19,7 @@
   return tenant;
 }
 
-wire::KeyWrite write(const std::string& key, std::string value) {
+wire::KeyWrite make_write(const std::string& key, std::string value) {
   wire::KeyWrite item;
   item.key = key;
   item.value = std::move(value);
@@ -45,8 +45,8 @@
     group_template.model = "model";
     group_template.version = "1";
     group_template.machines_per_group = 2;
-    EXPECT_EQ(change("setup", {write("template/main", wire::encode(group_template)),
-                               write("tenant/one", wire::encode(make_tenant("one", 30)))})
+    EXPECT_EQ(change("setup", {make_write("template/main", wire::encode(group_template)),
+                               make_write("tenant/one", wire::encode(make_tenant("one", 30)))})
                   .verdict,
               wire::Verdict::ACCEPTED);
   }
@@ -64,14 +64,14 @@
     return *apply(command).change_answer;
   }
 
-  wire::KeyRevision read(const std::string& key) {
+  wire::KeyRevision read_revision(const std::string& key) {
     wire::KeyRevision revision;
     revision.key = key;
     revision.revision = state_.records().revision_of(key).value();
     return revision;
   }
 
-  std::optional<int64_t> create(std::vector<std::string> machines, const std::string& domain = "d1") {
+  std::optional<int64_t> create_group(std::vector<std::string> machines, const std::string& domain = "d1") {
     wire::Command command;
     command.__isset.group_creation = true;
     command.group_creation.template_name = "main";
@@ -86,27 +86,32 @@
 };
 
 TEST_F(ControlStateTest, FirstCommitterWinsPerKey) {
-  const auto base = read("tenant/one");
-  EXPECT_EQ(change("a", {write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base}).verdict,
+  const auto base_revision = read_revision("tenant/one");
+  EXPECT_EQ(change("a", {make_write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base_revision}).verdict,
             wire::Verdict::ACCEPTED);
-  const auto loser = change("b", {write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base});
-  EXPECT_EQ(loser.verdict, wire::Verdict::CONFLICT);
-  EXPECT_NE(loser.message.find("read it again"), std::string::npos);
-  EXPECT_EQ(change("c", {write("tenant/two", wire::encode(make_tenant("two", 10)))}).verdict, wire::Verdict::ACCEPTED)
+  const auto conflicting_answer =
+      change("b", {make_write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base_revision});
+  EXPECT_EQ(conflicting_answer.verdict, wire::Verdict::CONFLICT);
+  EXPECT_NE(conflicting_answer.message.find("read it again"), std::string::npos);
+  EXPECT_EQ(change("c", {make_write("tenant/two", wire::encode(make_tenant("two", 10)))}).verdict,
+            wire::Verdict::ACCEPTED)
       << "another key does not conflict";
-  EXPECT_EQ(change("d", {write("tenant/two", wire::encode(make_tenant("two", 5)))}).verdict, wire::Verdict::CONFLICT)
+  EXPECT_EQ(change("d", {make_write("tenant/two", wire::encode(make_tenant("two", 5)))}).verdict,
+            wire::Verdict::CONFLICT)
       << "a blind write may only create";
 }
 
 TEST_F(ControlStateTest, ResentCommandGetsFirstAnswerAfterSnapshotRestore) {
-  const auto base = read("tenant/one");
-  const auto first = change("a", {write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base});
-  const auto refused = change("b", {write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base});
-  ControlState copy;
-  ASSERT_TRUE(copy.restore(state_.snapshot()));
-  state_ = copy;
-  EXPECT_EQ(change("a", {write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base}).revision, first.revision);
-  EXPECT_EQ(change("b", {write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base}).verdict, refused.verdict);
+  const auto base_revision = read_revision("tenant/one");
+  const auto first = change("a", {make_write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base_revision});
+  const auto refused = change("b", {make_write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base_revision});
+  ControlState restored;
+  ASSERT_TRUE(restored.restore(state_.snapshot()));
+  state_ = restored;
+  EXPECT_EQ(change("a", {make_write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base_revision}).revision,
+            first.revision);
+  EXPECT_EQ(change("b", {make_write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base_revision}).verdict,
+            refused.verdict);
   EXPECT_EQ(state_.audit().size(), 3U);
 }
 
@@ -114,48 +119,48 @@
   const auto revision = state_.records().revision();
   auto tenant_in_unknown_zone = make_tenant("two", 10);
   tenant_in_unknown_zone.zones = {"nowhere"};
-  const auto zone = change("a", {write("tenant/two", wire::encode(tenant_in_unknown_zone))});
+  const auto zone = change("a", {make_write("tenant/two", wire::encode(tenant_in_unknown_zone))});
   EXPECT_EQ(zone.verdict, wire::Verdict::INVALID);
   EXPECT_NE(zone.message.find("unknown zone"), std::string::npos);
-  const auto shares = change("b", {write("tenant/two", wire::encode(make_tenant("two", 80)))});
+  const auto shares = change("b", {make_write("tenant/two", wire::encode(make_tenant("two", 80)))});
   EXPECT_EQ(shares.verdict, wire::Verdict::INVALID);
   EXPECT_NE(shares.message.find("100 %"), std::string::npos);
   wire::KeyWrite removal;
   removal.key = "template/main";
   removal.remove = true;
-  EXPECT_EQ(change("c", {removal}, {read("template/main")}).verdict, wire::Verdict::INVALID)
+  EXPECT_EQ(change("c", {removal}, {read_revision("template/main")}).verdict, wire::Verdict::INVALID)
       << "a tenant still uses it";
-  EXPECT_EQ(change("d", {write("group/1", "x")}).verdict, wire::Verdict::INVALID);
+  EXPECT_EQ(change("d", {make_write("group/1", "x")}).verdict, wire::Verdict::INVALID);
   EXPECT_EQ(state_.records().revision(), revision);
 }
 
 TEST_F(ControlStateTest, MachineBelongsToOneGroupUntilReleaseIsConfirmed) {
-  const auto group = create({"m1", "m2"});
+  const auto group = create_group({"m1", "m2"});
   ASSERT_TRUE(group);
-  EXPECT_FALSE(create({"m2", "m3"})) << "m2 is taken";
-  EXPECT_FALSE(create({"m3", "m4"})) << "two domains";
-  EXPECT_FALSE(create({"m3", "m3"})) << "one machine twice";
-  wire::Command lost;
-  lost.__isset.group_transition = true;
-  lost.group_transition.group_id = *group;
-  lost.group_transition.epoch = static_cast<int32_t>(*group);
-  lost.group_transition.to = wire::GroupState::RELEASING;
-  apply(lost);
-  EXPECT_FALSE(create({"m2", "m3"})) << "not released yet";
+  EXPECT_FALSE(create_group({"m2", "m3"})) << "m2 is taken";
+  EXPECT_FALSE(create_group({"m3", "m4"})) << "two domains";
+  EXPECT_FALSE(create_group({"m3", "m3"})) << "one machine twice";
+  wire::Command release_transition;
+  release_transition.__isset.group_transition = true;
+  release_transition.group_transition.group_id = *group;
+  release_transition.group_transition.epoch = static_cast<int32_t>(*group);
+  release_transition.group_transition.to = wire::GroupState::RELEASING;
+  apply(release_transition);
+  EXPECT_FALSE(create_group({"m2", "m3"})) << "not released yet";
   wire::Command release;
   release.__isset.machine_release = true;
   release.machine_release.machine = "m2";
   release.machine_release.group_id = *group;
   release.machine_release.epoch = static_cast<int32_t>(*group) + 1;
   apply(release);
-  EXPECT_FALSE(create({"m2", "m3"})) << "a release of another epoch";
+  EXPECT_FALSE(create_group({"m2", "m3"})) << "a release of another epoch";
   release.machine_release.epoch = static_cast<int32_t>(*group);
   apply(release);
-  EXPECT_TRUE(create({"m2", "m3"}));
+  EXPECT_TRUE(create_group({"m2", "m3"}));
 }
 
 TEST_F(ControlStateTest, NewMachineIncarnationReleasesGroup) {
-  const auto group = create({"m1", "m2"});
+  const auto group = create_group({"m1", "m2"});
   wire::Command seen;
   wire::MachineObservation observation;
   observation.machine = state_.machines().at("m1");
@@ -180,7 +185,7 @@
 
 TEST(Planner, PrefersMachineWithWeightsAndKeepsSpare) {
   std::map<std::string, wire::Machine> machines;
-  const auto add = [&machines](const std::string& domain, int count) {
+  const auto add_machines = [&machines](const std::string& domain, int count) {
     for (int number = 1; number <= count; ++number) {
       wire::Machine machine;
       machine.domain = domain;
@@ -190,8 +195,8 @@
       machines[machine.id] = machine;
     }
   };
-  add("tight", 2);
-  add("wide", 3);
+  add_machines("tight", 2);
+  add_machines("wide", 3);
   machines["wide3"].weights = "model@1";
   wire::Template group_template;
   group_template.name = "main";
@@ -199,19 +204,26 @@
   group_template.version = "1";
   group_template.machines_per_group = 2;
   placement::PlanningInput input{machines, {}, {group_template}, {make_tenant("one", 40)}, {}, {}};
-  const std::map<int64_t, wire::Group> none;
-  placement::PlanningInput usable{machines, none, {group_template}, {make_tenant("one", 40)}, {}, {}};
+  const std::map<int64_t, wire::Group> no_groups;
+  placement::PlanningInput input_with_machines_present{machines, no_groups, {group_template}, {make_tenant("one", 40)},
+                                                       {},       {}};
   for (const auto& [id, machine] : machines) {
-    usable.present.insert(id);
+    input_with_machines_present.present.insert(id);
   }
-  usable.parameters.downtime_weight = 100;
-  const auto spare = placement::make_plan(usable, *placement::make_placement_policy("spare_aware"));
-  ASSERT_EQ(spare.create.size(), 1U);
-  EXPECT_EQ(spare.create[0].domain, "wide");
-  EXPECT_EQ(spare.create[0].machines.front(), "wide3") << "it already holds the weights";
-  usable.parameters.downtime_weight = 0;
-  EXPECT_EQ(placement::make_plan(usable, *placement::make_placement_policy("spare_aware")).create[0].domain, "tight");
-  EXPECT_EQ(placement::make_plan(usable, *placement::make_placement_policy("best_fit")).create[0].domain, "tight");
+  input_with_machines_present.parameters.downtime_weight = 100;
+  const auto plan_with_spare =
+      placement::make_plan(input_with_machines_present, *placement::make_placement_policy("spare_aware"));
+  ASSERT_EQ(plan_with_spare.create.size(), 1U);
+  EXPECT_EQ(plan_with_spare.create[0].domain, "wide");
+  EXPECT_EQ(plan_with_spare.create[0].machines.front(), "wide3") << "it already holds the weights";
+  input_with_machines_present.parameters.downtime_weight = 0;
+  EXPECT_EQ(placement::make_plan(input_with_machines_present, *placement::make_placement_policy("spare_aware"))
+                .create[0]
+                .domain,
+            "tight");
+  EXPECT_EQ(
+      placement::make_plan(input_with_machines_present, *placement::make_placement_policy("best_fit")).create[0].domain,
+      "tight");
 }
 
 }  // namespace
--- a/tests/unit/replica_supervisor_test.cc
+++ b/tests/unit/replica_supervisor_test.cc
@@ -36,14 +36,14 @@
     node_record->replica_id = ReplicaId(number);
     node_record->zone = "a";
   }
-  const auto added = supervisor.next_change(now, raft, nodes);
+  const auto added = supervisor.next_replica_set(now, raft, nodes);
   ASSERT_TRUE(added);
   ASSERT_EQ(added->learners.size(), 1U);
   ASSERT_TRUE(raft.propose_replicas(now, *added));
   run(milliseconds(100));
-  EXPECT_FALSE(supervisor.next_change(now, raft, nodes)) << "it was just added and may still answer";
+  EXPECT_FALSE(supervisor.next_replica_set(now, raft, nodes)) << "it was just added and may still answer";
   run(seconds(3));
-  const auto removed = supervisor.next_change(now, raft, nodes);
+  const auto removed = supervisor.next_replica_set(now, raft, nodes);
   ASSERT_TRUE(removed) << "silent for longer than the timeout";
   EXPECT_TRUE(removed->learners.empty());
 }
@@ -65,15 +65,15 @@
   ControlOptions options;
   options.replica_timeout = seconds(1);
   membership::NodeDirectory nodes;
-  const auto change = [&](size_t minimum) {
+  const auto next_set_with_minimum = [&](size_t minimum) {
     options.minimum_voters = minimum;
     ReplicaSupervisor supervisor(options);
     supervisor.start(now);
-    supervisor.next_change(now, raft, nodes);
-    return supervisor.next_change(now + seconds(10), raft, nodes);
+    supervisor.next_replica_set(now, raft, nodes);
+    return supervisor.next_replica_set(now + seconds(10), raft, nodes);
   };
-  EXPECT_TRUE(change(1)) << "without a minimum the silent ones are retired";
-  EXPECT_FALSE(change(5));
+  EXPECT_TRUE(next_set_with_minimum(1)) << "without a minimum the silent ones are retired";
+  EXPECT_FALSE(next_set_with_minimum(5));
 }
 
 }  // namespace
