--- a/src/core/config/change_validation.cc
+++ b/src/core/config/change_validation.cc
@@ -41,7 +41,7 @@
                  std::vector<std::string>& errors) {
   const std::string name = write.key.substr(prefix.size());
   if (!is_valid_name(name)) {
-    errors.push_back(write.key + ": bad name; use letters, digits, '-', '_' and '.'");
+    errors.push_back(write.key + ": invalid name; use letters, digits, '-', '_' and '.'");
     return;
   }
   if (write.remove) {
@@ -52,7 +52,7 @@
   }
   auto value = wire::decode<Value>(write.value);
   if (!value || value->name != name) {
-    errors.push_back(write.key + ": unreadable value; send it with a client of this version");
+    errors.push_back(write.key + ": value cannot be decoded; use a client of this version");
     return;
   }
   values[name] = std::move(*value);
@@ -76,7 +76,7 @@
         records.errors.push_back(write.key + ": downtime_weight must lie between 0 and 100");
       }
     } else {
-      records.errors.push_back(write.key + ": not a key that operators may change; use template/, tenant/, service/ " +
+      records.errors.push_back(write.key + ": operators cannot change this key; use template/, tenant/, service/ " +
                                "or " + std::string(kFleetParametersKey));
     }
   }
@@ -87,7 +87,7 @@
                     std::vector<std::string>& errors) {
   const std::string key = template_key(group_template.name);
   if (group_template.model.empty() || group_template.version.empty()) {
-    errors.push_back(key + ": model and version are both needed; name the model and version to serve");
+    errors.push_back(key + ": model and version are required; set the model and version to serve");
   }
   if (group_template.machines_per_group < kMinMachinesPerGroup ||
       group_template.machines_per_group > kMaxMachinesPerGroup) {
@@ -103,7 +103,7 @@
 void check_zones(const std::string& key, const std::vector<std::string>& zones, const FleetTopology& fleet,
                  std::vector<std::string>& errors) {
   if (zones.empty()) {
-    errors.push_back(key + ": names no zone; list the zones that may hold its data");
+    errors.push_back(key + ": zones is empty; list the zones that may hold its data");
   }
   for (const auto& zone : zones) {
     if (!fleet.zones.empty() && !fleet.zones.contains(zone)) {
@@ -133,7 +133,7 @@
   const auto& template_adapters = found->second.adapters;
   for (const auto& adapter : tenant.adapters) {
     if (std::find(template_adapters.begin(), template_adapters.end(), adapter) == template_adapters.end()) {
-      errors.push_back(key + ": adapter '" + adapter + "' is not among those of template '" + tenant.template_name +
+      errors.push_back(key + ": adapter '" + adapter + "' is not offered by template '" + tenant.template_name +
                        "'; add it there first");
     }
   }
@@ -144,14 +144,14 @@
   const std::string key = std::string(kServicePrefix) + service.name;
   check_zones(key, service.zones, fleet, errors);
   if (!service.path_prefix.starts_with("/") || service.path_prefix.starts_with("/v1/")) {
-    errors.push_back(key + ": path_prefix must start with '/' and not lie below /v1/");
+    errors.push_back(key + ": path_prefix must start with '/' and must not start with /v1/");
   }
   if (service.endpoints.empty()) {
-    errors.push_back(key + ": names no endpoint; list host:port pairs");
+    errors.push_back(key + ": endpoints is empty; list host:port pairs");
   }
   for (const auto& [name, other] : records.services) {
     if (name != service.name && other.path_prefix == service.path_prefix) {
-      errors.push_back(key + ": path_prefix is taken by service/" + name + "; choose another");
+      errors.push_back(key + ": path_prefix is already used by service/" + name + "; choose another");
     }
   }
 }
@@ -182,7 +182,7 @@
   RecordsAfterChange records = apply_writes(table, change);
   std::vector<std::string> errors = std::move(records.errors);
   if (change.writes.empty()) {
-    errors.emplace_back("the change writes nothing; name at least one key");
+    errors.emplace_back("the change has no writes; include at least one key");
   }
   for (const auto& [name, group_template] : records.templates) {
     check_template(group_template, fleet, errors);
--- a/src/core/control/control_leader.h
+++ b/src/core/control/control_leader.h
@@ -27,7 +27,7 @@
 };
 
 /// Duties of the log leader other than replication: answers heartbeats with configuration, leases, concurrency budgets
-/// and watch lists; decides claims; tracks until when an operator's change is in force on all nodes; supervises groups
+/// and watch lists; decides claims; replies to operators once their change is in force on all nodes; supervises groups
 /// and replicas.
 ///
 /// All state is soft and lasts for one term. The owner must check `RaftNode::is_ready_leader` before each call that
@@ -36,8 +36,7 @@
  public:
   ControlLeader(const ControlOptions& options, std::string node);
 
-  /// Starts a term: resets the soft state. Waits for the leases of earlier leaders to expire before it relies on new
-  /// ones.
+  /// Starts a term: resets the soft state and the time until which leases of earlier leaders may be valid.
   void start(TimePoint now);
 
   /// A command to append to the log, and the requests to answer once it is applied.
--- a/src/core/control/control_options.h
+++ b/src/core/control/control_options.h
@@ -20,7 +20,7 @@
   Duration node_removal_timeout = seconds(10);
   /// A voter without contact for this long is replaced if another node with a disk is available.
   Duration replica_timeout = seconds(8);
-  /// Lower bound on the number of voters when replicas are removed.
+  /// A repair never reduces the number of voters below this.
   size_t minimum_voters = 1;
   Duration planning_interval = milliseconds(500);
   /// Interval at which an unanswered order to an engine is sent again.
--- a/src/core/control/control_state.cc
+++ b/src/core/control/control_state.cc
@@ -80,10 +80,10 @@
 wire::ChangeAnswer ControlState::check_change(const wire::ConfigurationChange& change) const {
   const auto certification = config::certify_change(records_, change);
   if (!certification.accepted) {
-    return make_answer(
-        wire::Verdict::CONFLICT, certification.current_revision,
-        certification.key + " was changed at revision " + std::to_string(certification.current_revision.value()) +
-            " since you read it; read it again, redo the change on top and apply under a new command id");
+    return make_answer(wire::Verdict::CONFLICT, certification.current_revision,
+                       certification.key + " was changed at revision " +
+                           std::to_string(certification.current_revision.value()) +
+                           " since you read it; read it again, redo the change and apply it with a new command id");
   }
   const auto errors = config::validate_change(records_, change, fleet_topology());
   if (!errors.empty()) {
@@ -129,7 +129,7 @@
                          "unknown machine '" + drain.machine + "'; 'larchlever machines' lists them");
   } else {
     machine->second.leaving = drain.leaving;
-    answer = make_answer(wire::Verdict::ACCEPTED, revision, drain.leaving ? "draining" : "back in use");
+    answer = make_answer(wire::Verdict::ACCEPTED, revision, drain.leaving ? "draining" : "returned to service");
   }
   store_answer(drain.operator_name, drain.command_id, answer, {});
   return answer;
--- a/src/core/control/replica_supervisor.cc
+++ b/src/core/control/replica_supervisor.cc
@@ -126,7 +126,8 @@
   const bool is_superseded = lost_voter && current_identities.contains(lost_voter->node) &&
                              current_identities[lost_voter->node] != lost_voter->replica_id;
   if (is_superseded && live_voters >= voters_wanted && live_voters >= 1) {
-    // The replica's identity is gone for good; keeping it as a voter only makes a quorum harder to reach.
+    // The node has a new replica identity, so the disk of this replica is gone for good; keeping it as a voter only
+    // makes a quorum harder to reach.
     next.voters = remove_replica(next.voters, lost_voter->replica_id);
     return next;
   }
--- a/tests/unit/claim_table_test.cc
+++ b/tests/unit/claim_table_test.cc
@@ -66,7 +66,8 @@
   const auto claim = make_claim("k", "n1", 1);
   table.claim(claim, 1);
   table.mark_outcomes_unknown("n1", Incarnation(2));
-  EXPECT_EQ(table.find("tenant", "k")->state, wire::ClaimState::IN_PROGRESS) << "another incarnation's end";
+  EXPECT_EQ(table.find("tenant", "k")->state, wire::ClaimState::IN_PROGRESS)
+      << "the lost incarnation is a different one";
   table.mark_outcomes_unknown("n1", Incarnation(1));
   EXPECT_FALSE(table.claim(make_claim("k", "n2", 2), 2).granted);
   EXPECT_EQ(table.find("tenant", "k")->state, wire::ClaimState::UNKNOWN);
--- a/tests/unit/control_state_test.cc
+++ b/tests/unit/control_state_test.cc
@@ -95,10 +95,10 @@
   EXPECT_NE(conflicting_answer.message.find("read it again"), std::string::npos);
   EXPECT_EQ(change("c", {make_write("tenant/two", wire::encode(make_tenant("two", 10)))}).verdict,
             wire::Verdict::ACCEPTED)
-      << "another key does not conflict";
+      << "changes to different keys do not conflict";
   EXPECT_EQ(change("d", {make_write("tenant/two", wire::encode(make_tenant("two", 5)))}).verdict,
             wire::Verdict::CONFLICT)
-      << "a blind write may only create";
+      << "a write without a matching read may only create a record";
 }
 
 TEST_F(ControlStateTest, ResentCommandGetsFirstAnswerAfterSnapshotRestore) {
@@ -129,7 +129,7 @@
   removal.key = "template/main";
   removal.remove = true;
   EXPECT_EQ(change("c", {removal}, {read_revision("template/main")}).verdict, wire::Verdict::INVALID)
-      << "a tenant still uses it";
+      << "a tenant still uses the template";
   EXPECT_EQ(change("d", {make_write("group/1", "x")}).verdict, wire::Verdict::INVALID);
   EXPECT_EQ(state_.records().revision(), revision);
 }
@@ -137,23 +137,23 @@
 TEST_F(ControlStateTest, MachineBelongsToOneGroupUntilReleaseIsConfirmed) {
   const auto group = create_group({"m1", "m2"});
   ASSERT_TRUE(group);
-  EXPECT_FALSE(create_group({"m2", "m3"})) << "m2 is taken";
-  EXPECT_FALSE(create_group({"m3", "m4"})) << "two domains";
-  EXPECT_FALSE(create_group({"m3", "m3"})) << "one machine twice";
+  EXPECT_FALSE(create_group({"m2", "m3"})) << "m2 belongs to the group";
+  EXPECT_FALSE(create_group({"m3", "m4"})) << "the machines are in different domains";
+  EXPECT_FALSE(create_group({"m3", "m3"})) << "the same machine is listed twice";
   wire::Command release_transition;
   release_transition.__isset.group_transition = true;
   release_transition.group_transition.group_id = *group;
   release_transition.group_transition.epoch = static_cast<int32_t>(*group);
   release_transition.group_transition.to = wire::GroupState::RELEASING;
   apply(release_transition);
-  EXPECT_FALSE(create_group({"m2", "m3"})) << "not released yet";
+  EXPECT_FALSE(create_group({"m2", "m3"})) << "the release of m2 is not confirmed yet";
   wire::Command release;
   release.__isset.machine_release = true;
   release.machine_release.machine = "m2";
   release.machine_release.group_id = *group;
   release.machine_release.epoch = static_cast<int32_t>(*group) + 1;
   apply(release);
-  EXPECT_FALSE(create_group({"m2", "m3"})) << "a release of another epoch";
+  EXPECT_FALSE(create_group({"m2", "m3"})) << "the release has another epoch";
   release.machine_release.epoch = static_cast<int32_t>(*group);
   apply(release);
   EXPECT_TRUE(create_group({"m2", "m3"}));
--- a/tests/unit/node_controller_test.cc
+++ b/tests/unit/node_controller_test.cc
@@ -5,7 +5,7 @@
 namespace larchlever::node {
 namespace {
 
-/// A region of one node whose disk is instantaneous.
+/// A region of a single node whose storage writes complete at once.
 class NodeControllerTest : public testing::Test {
  protected:
   void SetUp() override {
@@ -55,7 +55,7 @@
   run(seconds(4));
   node_->begin_leaving(now_);
   run(seconds(1));
-  EXPECT_FALSE(node_->may_stop(now_)) << "a successor may still be found";
+  EXPECT_FALSE(node_->may_stop(now_)) << "another node may still take over leadership";
   run(seconds(5));
   EXPECT_TRUE(node_->may_stop(now_));
 }
@@ -67,7 +67,7 @@
   node_->submit_claim(now_, claim, now_ + milliseconds(200));
   run(milliseconds(400));
   ASSERT_EQ(claim_outcomes_.size(), 1U);
-  EXPECT_FALSE(claim_outcomes_[0].decided) << "no leader yet";
+  EXPECT_FALSE(claim_outcomes_[0].decided) << "no leader is elected yet";
   run(seconds(4));
   claim_outcomes_.clear();
   node_->submit_claim(now_, claim, now_ + seconds(2));
--- a/tests/unit/replica_supervisor_test.cc
+++ b/tests/unit/replica_supervisor_test.cc
@@ -5,7 +5,7 @@
 namespace larchlever::control {
 namespace {
 
-/// A leader of one voter, long in office, and a node with a fresh disk.
+/// A new learner must not count as lost just because the leader's term started long before it was added.
 TEST(ReplicaSupervisor, GivesNewLearnerTimeToAnswer) {
   TimePoint now = TimePoint(seconds(100));
   wire::ReplicaAddress address;
@@ -41,15 +41,15 @@
   ASSERT_EQ(added->learners.size(), 1U);
   ASSERT_TRUE(raft.propose_replicas(now, *added));
   run(milliseconds(100));
-  EXPECT_FALSE(supervisor.next_replica_set(now, raft, nodes)) << "it was just added and may still answer";
+  EXPECT_FALSE(supervisor.next_replica_set(now, raft, nodes)) << "it was just added and may still reply";
   run(seconds(3));
   const auto removed = supervisor.next_replica_set(now, raft, nodes);
   ASSERT_TRUE(removed) << "silent for longer than the timeout";
   EXPECT_TRUE(removed->learners.empty());
 }
 
-/// Five voters, one long silent, no spare disk: three would do for a quorum, but a repair must not go below the
-/// minimum.
+/// Five voters, four of them silent, and no spare replica. The supervisor would remove silent voters, but must not
+/// reduce the voters below the configured minimum.
 TEST(ReplicaSupervisor, KeepsMinimumVoters) {
   TimePoint now = TimePoint(seconds(100));
   wire::ReplicaAddress address;
@@ -72,7 +72,7 @@
     supervisor.next_replica_set(now, raft, nodes);
     return supervisor.next_replica_set(now + seconds(10), raft, nodes);
   };
-  EXPECT_TRUE(next_set_with_minimum(1)) << "without a minimum the silent ones are retired";
+  EXPECT_TRUE(next_set_with_minimum(1)) << "with a minimum of 1 a silent voter is removed";
   EXPECT_FALSE(next_set_with_minimum(5));
 }
 
