--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -95,7 +95,7 @@
         machine.id = machine.domain + "-" + std::to_string(number);
         machine.accelerators = 4;
         machines[machine.id] = machine;
-        input.present.insert(machine.id);
+        input.present_machines.insert(machine.id);
       }
     }
   }
@@ -110,8 +110,8 @@
   const auto began = Clock::now();
   const auto plan = placement::make_plan(input, *policy);
   const double ms = elapsed_ms(began);
-  print("planning pass, 1,400 servers, " + std::to_string(plan.create.size()) + " groups", "<= 50 ms", ms, "ms",
-        ms <= 50);
+  print("planning pass, 1,400 servers, " + std::to_string(plan.groups_to_create.size()) + " groups", "<= 50 ms", ms,
+        "ms", ms <= 50);
 }
 
 /// Restart of a replica that holds 100,000 entries after its snapshot.
--- a/src/core/control/control_leader.cc
+++ b/src/core/control/control_leader.cc
@@ -43,7 +43,7 @@
   watch_version_ = to_microseconds(now);
 }
 
-wire::Envelope& ControlLeader::envelope_to(const std::string& node) {
+wire::Envelope& ControlLeader::add_envelope(const std::string& node) {
   auto& envelope = outputs_.envelopes.emplace_back();
   envelope.to_node = node;
   return envelope;
@@ -120,12 +120,12 @@
   // The node sent this heartbeat after it received the acknowledged reply, whose send time is known here. So a machine
   // "seen N ms ago" was seen no earlier than that time minus N, whatever the heartbeat's transit delay.
   const auto& sent_times = reply_sent_at_[node];
-  const auto acknowledged = sent_times.find(heartbeat.acknowledged_sequence);
-  if (acknowledged == sent_times.end() || acknowledged->second > now) {
+  const auto acknowledged_reply = sent_times.find(heartbeat.acknowledged_sequence);
+  if (acknowledged_reply == sent_times.end() || acknowledged_reply->second > now) {
     return;
   }
   for (const auto& sighting : heartbeat.sightings) {
-    presence_.record_sighting(sighting, acknowledged->second - milliseconds(sighting.seen_ago_ms));
+    presence_.record_sighting(sighting, acknowledged_reply->second - milliseconds(sighting.seen_ago_ms));
   }
 }
 
@@ -143,7 +143,7 @@
   }
 }
 
-void ControlLeader::fill_budgets(TimePoint now, TimePoint until, const std::string& node,
+void ControlLeader::fill_budgets(TimePoint now, TimePoint budgets_until, const std::string& node,
                                  const wire::Heartbeat& heartbeat, const ControlState& state,
                                  wire::HeartbeatReply& reply) {
   if (heartbeat.leaving) {
@@ -163,7 +163,7 @@
     wire::TenantBudget budget;
     budget.tenant = tenant.name;
     budget.concurrent =
-        budgets_.grant(now, tenant.name, tenant.max_concurrent, node, report, until, now >= old_leases_until_);
+        budgets_.grant(now, tenant.name, tenant.max_concurrent, node, report, budgets_until, now >= old_leases_until_);
     reply.budgets.push_back(std::move(budget));
   }
 }
@@ -185,8 +185,8 @@
 
 // -------------------------------------------------------- operator requests
 
-wire::OperatorReply& ControlLeader::operator_reply(const std::string& node, int64_t request_id) {
-  auto& envelope = envelope_to(node);
+wire::OperatorReply& ControlLeader::add_operator_reply(const std::string& node, int64_t request_id) {
+  auto& envelope = add_envelope(node);
   envelope.__isset.operator_reply = true;
   envelope.operator_reply.request_id = request_id;
   envelope.operator_reply.leader = node_;
@@ -197,7 +197,7 @@
                                         const consensus::RaftNode& raft, const ControlState& state) {
   const bool is_change = request.action == wire::OperatorAction::APPLY || request.action == wire::OperatorAction::DRAIN;
   if (!is_change) {
-    auto& reply = operator_reply(node, request.request_id);
+    auto& reply = add_operator_reply(node, request.request_id);
     reply.answer.revision = state.records().revision().value();
     if (request.action == wire::OperatorAction::GET) {
       for (const auto* record : state.records().find_by_prefix(request.prefix)) {
@@ -213,7 +213,7 @@
     return;
   }
   if (request.action == wire::OperatorAction::APPLY && request.dry_run) {
-    operator_reply(node, request.request_id).answer = state.check_change(request.change);
+    add_operator_reply(node, request.request_id).answer = state.check_change(request.change);
     return;
   }
   const std::string& command_id =
@@ -235,7 +235,7 @@
 void ControlLeader::add_pending_change(TimePoint now, const std::string& node, int64_t request_id,
                                        const wire::ChangeAnswer& answer) {
   if (answer.verdict != wire::Verdict::ACCEPTED) {
-    operator_reply(node, request_id).answer = answer;
+    add_operator_reply(node, request_id).answer = answer;
     return;
   }
   std::erase_if(pending_changes_, [&](const auto& item) { return item.node == node && item.request_id == request_id; });
@@ -251,7 +251,7 @@
     if (!in_force && now < change.deadline) {
       return false;
     }
-    auto& reply = operator_reply(change.node, change.request_id);
+    auto& reply = add_operator_reply(change.node, change.request_id);
     reply.answer = change.answer;
     reply.in_force = in_force;
     reply.missing_nodes = missing;
@@ -298,7 +298,7 @@
       leaving.insert(machine.id);
     }
   }
-  groups_.set_leaving(std::move(leaving));
+  groups_.set_leaving_machines(std::move(leaving));
 }
 
 void ControlLeader::update_watches(TimePoint now, const ControlState& state) {
@@ -386,7 +386,7 @@
   for (size_t position = 0; position < proposal.claim_requests.size(); ++position) {
     const auto& [node, request_id] = proposal.claim_requests[position];
     const auto& decision = result.claim_decisions[position];
-    auto& envelope = envelope_to(node);
+    auto& envelope = add_envelope(node);
     envelope.__isset.claim_reply = true;
     envelope.claim_reply.request_id = request_id;
     envelope.claim_reply.decided = true;
@@ -395,7 +395,7 @@
     envelope.claim_reply.message = decision.key_expired ? "expired" : "";
   }
   for (const auto& [node, request_id] : proposal.resolution_requests) {
-    auto& envelope = envelope_to(node);
+    auto& envelope = add_envelope(node);
     envelope.__isset.resolution_reply = true;
     envelope.resolution_reply.request_id = request_id;
   }
--- a/src/core/control/control_leader.h
+++ b/src/core/control/control_leader.h
@@ -88,7 +88,7 @@
 
   void record_sightings(TimePoint now, const std::string& node, const wire::Heartbeat& heartbeat);
   void fill_records(const wire::Heartbeat& heartbeat, const ControlState& state, wire::HeartbeatReply& reply);
-  void fill_budgets(TimePoint now, TimePoint until, const std::string& node, const wire::Heartbeat& heartbeat,
+  void fill_budgets(TimePoint now, TimePoint budgets_until, const std::string& node, const wire::Heartbeat& heartbeat,
                     const ControlState& state, wire::HeartbeatReply& reply);
   void update_watches(TimePoint now, const ControlState& state);
   void propose_observations(const ControlState& state);
@@ -96,10 +96,10 @@
   void answer_pending_changes(TimePoint now);
   void propose(wire::Command command);
   void add_pending_change(TimePoint now, const std::string& node, int64_t request_id, const wire::ChangeAnswer& answer);
-  wire::OperatorReply& operator_reply(const std::string& node, int64_t request_id);
+  wire::OperatorReply& add_operator_reply(const std::string& node, int64_t request_id);
   wire::StatusReport make_status_report(TimePoint now, const consensus::RaftNode& raft,
                                         const ControlState& state) const;
-  wire::Envelope& envelope_to(const std::string& node);
+  wire::Envelope& add_envelope(const std::string& node);
 
   ControlOptions options_;
   std::string node_;
--- a/src/core/control/group_supervisor.cc
+++ b/src/core/control/group_supervisor.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-placement::PlanningInput planning_input(const ControlState& state) {
+placement::PlanningInput make_planning_input(const ControlState& state) {
   return {state.machines(),
           state.groups(),
           config::read_all<wire::Template>(state.records(), config::kTemplatePrefix),
@@ -238,10 +238,10 @@
 
 void GroupSupervisor::run_planner(const ControlState& state, const PresenceTable& presence, TimePoint now,
                                   Actions& actions) {
-  placement::PlanningInput input = planning_input(state);
+  placement::PlanningInput input = make_planning_input(state);
   for (const auto& [id, machine] : state.machines()) {
     if (presence.is_present(id, machine.incarnation, now, options_.presence_bound)) {
-      input.present.insert(id);
+      input.present_machines.insert(id);
     }
   }
   auto policy = placement::make_placement_policy(input.parameters.placement_policy);
@@ -250,7 +250,7 @@
   }
   ++stats_.planning_passes;
   last_plan_ = placement::make_plan(input, *policy);
-  for (const auto& planned : last_plan_.create) {
+  for (const auto& planned : last_plan_.groups_to_create) {
     ++stats_.groups_created;
     wire::Command command;
     wire::GroupCreation creation;
@@ -261,7 +261,7 @@
     command.__set_group_creation(creation);
     actions.proposals.push_back(std::move(command));
   }
-  for (const int64_t id : last_plan_.drain) {
+  for (const int64_t id : last_plan_.groups_to_drain) {
     const wire::Group& group = state.groups().at(id);
     propose_transition(
         group, group.state == wire::GroupState::SERVING ? wire::GroupState::DRAINING : wire::GroupState::RELEASING,
@@ -278,13 +278,13 @@
   leases_applied_index_ = state.applied_index();
   leases_valid_until_ = now + kMaxLeaseListAge;
   // The cached list is returned until it is renewed, so the leader counts its leases from the end of that period.
-  const TimePoint until = leases_valid_until_ + with_drift_margin(options_.serve_lease);
+  const TimePoint lease_until = leases_valid_until_ + with_drift_margin(options_.serve_lease);
   for (const auto& [id, group] : state.groups()) {
     if (group.state != wire::GroupState::SERVING || !are_all_members_present(leases_valid_until_, group, presence)) {
       continue;
     }
     TimePoint& lease = granted_until_[id];
-    lease = std::max(lease, until);
+    lease = std::max(lease, lease_until);
     wire::GroupLease granted;
     granted.group_id = id;
     granted.epoch = group.epoch;
@@ -304,7 +304,7 @@
     const bool present = sighting != nullptr && sighting->incarnation == group.incarnations[rank] &&
                          sighting->seen_at + options_.presence_bound > at && sighting->group_id == group.id &&
                          sighting->epoch == group.epoch;
-    if (!present || leaving_.contains(machine)) {
+    if (!present || leaving_machines_.contains(machine)) {
       return false;
     }
   }
--- a/src/core/control/group_supervisor.h
+++ b/src/core/control/group_supervisor.h
@@ -17,7 +17,7 @@
 namespace larchlever::control {
 
 /// Input of a planning pass, which refers to `state`. No machine is marked present yet.
-placement::PlanningInput planning_input(const ControlState& state);
+placement::PlanningInput make_planning_input(const ControlState& state);
 
 struct GroupStats {
   uint64_t groups_created = 0;
@@ -54,8 +54,8 @@
 
   /// Sets the machines that the platform reports as leaving. Their groups get no further leases, and so no new
   /// requests.
-  void set_leaving(std::set<std::string> machines) {
-    leaving_ = std::move(machines);
+  void set_leaving_machines(std::set<std::string> machines) {
+    leaving_machines_ = std::move(machines);
     leases_valid_until_ = TimePoint::min();
   }
 
@@ -101,7 +101,7 @@
   int64_t term_ = 0;
   int loads_in_progress_ = 0;
   std::map<int64_t, TimePoint> granted_until_;
-  std::set<std::string> leaving_;
+  std::set<std::string> leaving_machines_;
   std::map<int64_t, TimePoint> draining_since_;
   std::map<OrderKey, OrderProgress> load_orders_;
   std::map<OrderKey, OrderProgress> release_orders_;
--- a/src/core/control/replica_supervisor.cc
+++ b/src/core/control/replica_supervisor.cc
@@ -38,9 +38,9 @@
   if (is_replaced || raft.rolled_back().contains(replica.replica_id)) {
     return true;
   }
-  const auto since = first_seen_as_member_.find(replica.replica_id);
+  const auto member_since = first_seen_as_member_.find(replica.replica_id);
   const TimePoint silent_since = std::max(raft.last_contact(ReplicaId(replica.replica_id)).value_or(term_started_at_),
-                                          since == first_seen_as_member_.end() ? now : since->second);
+                                          member_since == first_seen_as_member_.end() ? now : member_since->second);
   return now - silent_since > options_.replica_timeout;
 }
 
@@ -48,8 +48,8 @@
   std::map<int64_t, TimePoint> members;
   for (const auto* list : {&replicas.voters, &replicas.learners}) {
     for (const auto& replica : *list) {
-      const auto known = first_seen_as_member_.find(replica.replica_id);
-      members[replica.replica_id] = known == first_seen_as_member_.end() ? now : known->second;
+      const auto found = first_seen_as_member_.find(replica.replica_id);
+      members[replica.replica_id] = found == first_seen_as_member_.end() ? now : found->second;
     }
   }
   first_seen_as_member_ = std::move(members);
@@ -109,8 +109,9 @@
         return std::none_of(next.voters.begin(), next.voters.end(),
                             [node_record](const auto& voter) { return voter.zone == node_record->zone; });
       };
-      const auto best = std::find_if(spare_replicas.begin(), spare_replicas.end(), in_new_zone);
-      const membership::NodeRecord* node_record = best == spare_replicas.end() ? spare_replicas.front() : *best;
+      const auto spare_in_new_zone = std::find_if(spare_replicas.begin(), spare_replicas.end(), in_new_zone);
+      const membership::NodeRecord* node_record =
+          spare_in_new_zone == spare_replicas.end() ? spare_replicas.front() : *spare_in_new_zone;
       wire::ReplicaAddress address;
       address.replica_id = node_record->replica_id.value();
       address.node = node_record->node;
--- a/src/core/membership/node_directory.cc
+++ b/src/core/membership/node_directory.cc
@@ -6,7 +6,7 @@
                                             SenderIncarnation& sender_incarnation) {
   const auto found = nodes_.find(node);
   if (found == nodes_.end()) {
-    sender_incarnation = SenderIncarnation::kNew;
+    sender_incarnation = SenderIncarnation::kNewNode;
     NodeRecord& node_record = nodes_[node];
     node_record.node = node;
     node_record.incarnation = incarnation;
--- a/src/core/membership/node_directory.h
+++ b/src/core/membership/node_directory.h
@@ -25,7 +25,7 @@
   std::string service_address;
 };
 
-enum class SenderIncarnation { kCurrent, kNew, kNewIncarnation, kStale };
+enum class SenderIncarnation { kCurrent, kNewNode, kNewIncarnation, kStale };
 
 /// The nodes known to the leader. Soft state: a new leader rebuilds it from heartbeats. Single-threaded.
 class NodeDirectory {
--- a/src/core/node/entry_agent.cc
+++ b/src/core/node/entry_agent.cc
@@ -129,9 +129,9 @@
   }
   if (reply.watch_version != watch_version_) {
     watch_version_ = reply.watch_version;
-    watches_ = reply.watches;
+    watch_targets_ = reply.watches;
     std::erase_if(latest_sightings_, [this](const auto& item) {
-      return std::none_of(watches_.begin(), watches_.end(),
+      return std::none_of(watch_targets_.begin(), watch_targets_.end(),
                           [&item](const auto& target) { return target.machine == item.first; });
     });
   }
--- a/src/core/node/entry_agent.h
+++ b/src/core/node/entry_agent.h
@@ -63,7 +63,7 @@
   routing::Router& router() { return router_; }
   const routing::Router& router() const { return router_; }
   admission::AdmissionController& admission() { return admission_; }
-  const std::vector<wire::WatchTarget>& watches() const { return watches_; }
+  const std::vector<wire::WatchTarget>& watch_targets() const { return watch_targets_; }
   int64_t watch_version() const { return watch_version_; }
   const NodeIdentity& identity() const { return identity_; }
   const EntryStats& stats() const { return stats_; }
@@ -90,7 +90,7 @@
     wire::MachineSighting sighting;
   };
   std::map<std::string, TimedSighting> latest_sightings_;
-  std::vector<wire::WatchTarget> watches_;
+  std::vector<wire::WatchTarget> watch_targets_;
   int64_t watch_version_ = 0;
   EntryStats stats_;
 };
--- a/src/core/placement/group_lifecycle.cc
+++ b/src/core/placement/group_lifecycle.cc
@@ -105,8 +105,8 @@
     for (size_t event = 0; event < kEventCount; ++event) {
       Lifecycle copy = machine;
       send_event(copy, static_cast<GroupEvent>(event));
-      const int after = copy.current_state()[0];
-      table_.at(state).at(event) = after == static_cast<int>(state) ? -1 : after;
+      const int state_after = copy.current_state()[0];
+      table_.at(state).at(event) = state_after == static_cast<int>(state) ? -1 : state_after;
       visit_state(copy);
     }
   }
--- a/src/core/placement/planner.cc
+++ b/src/core/placement/planner.cc
@@ -13,7 +13,7 @@
 constexpr size_t kMinSpareMachines = 1;
 
 bool is_usable(const PlanningInput& input, const wire::Machine& machine) {
-  return machine.state == wire::MachineState::FREE && !machine.leaving && input.present.contains(machine.id);
+  return machine.state == wire::MachineState::FREE && !machine.leaving && input.present_machines.contains(machine.id);
 }
 
 bool is_active(const wire::Group& group) { return group.state <= wire::GroupState::SERVING; }
@@ -132,7 +132,7 @@
 
  private:
   bool is_planned_to_drain(int64_t id) const {
-    return std::find(plan_.drain.begin(), plan_.drain.end(), id) != plan_.drain.end();
+    return std::find(plan_.groups_to_drain.begin(), plan_.groups_to_drain.end(), id) != plan_.groups_to_drain.end();
   }
 
   void drain_groups_on_leaving_machines() {
@@ -142,7 +142,7 @@
         return found != input_.machines.end() && found->second.leaving;
       });
       if (leaving && is_active(group)) {
-        plan_.drain.push_back(id);
+        plan_.groups_to_drain.push_back(id);
       }
     }
   }
@@ -161,12 +161,12 @@
       --missing;
     }
     for (int surplus = -missing; surplus > 0; --surplus) {
-      plan_.drain.push_back(current.back()->id);
+      plan_.groups_to_drain.push_back(current.back()->id);
       current.pop_back();
     }
     replace_outdated(outdated, current, missing);
     if (missing > 0) {
-      plan_.unmet[demand.zone] += missing;
+      plan_.unmet_groups[demand.zone] += missing;
       unmet_group_sizes_[demand.zone].push_back(
           static_cast<size_t>(templates_[demand.template_name]->machines_per_group));
     }
@@ -183,10 +183,10 @@
     }
     if (missing <= 0) {
       for (const auto* group : outdated) {
-        plan_.drain.push_back(group->id);
+        plan_.groups_to_drain.push_back(group->id);
       }
     } else {
-      plan_.drain.push_back(outdated.front()->id);
+      plan_.groups_to_drain.push_back(outdated.front()->id);
     }
   }
 
@@ -213,14 +213,14 @@
       return std::find(group.machines.begin(), group.machines.end(), machine->id) != group.machines.end();
     });
     ++domain.groups;
-    plan_.create.push_back(std::move(group));
+    plan_.groups_to_create.push_back(std::move(group));
     return true;
   }
 
   void drain_groups_without_demand(const std::set<std::pair<std::string, std::string>>& wanted) {
     for (const auto& [id, group] : input_.groups) {
       if (is_active(group) && !wanted.contains({group.template_name, group.zone}) && !is_planned_to_drain(id)) {
-        plan_.drain.push_back(id);
+        plan_.groups_to_drain.push_back(id);
       }
     }
   }
--- a/src/core/placement/planner.h
+++ b/src/core/placement/planner.h
@@ -19,7 +19,7 @@
   std::vector<wire::Tenant> tenants;
   wire::FleetParameters parameters;
   /// Machines seen alive within the presence bound with their known incarnation.
-  std::set<std::string> present;
+  std::set<std::string> present_machines;
 };
 
 struct PlannedGroup {
@@ -30,11 +30,11 @@
 };
 
 struct Plan {
-  std::vector<PlannedGroup> create;
+  std::vector<PlannedGroup> groups_to_create;
   /// Groups to drain: surplus groups, groups outdated by a change of their template, and groups with a leaving machine.
-  std::vector<int64_t> drain;
+  std::vector<int64_t> groups_to_drain;
   /// Number of wanted groups that could not be placed for lack of machines, by zone.
-  std::map<std::string, int> unmet;
+  std::map<std::string, int> unmet_groups;
   /// Idle accelerators in zones where a wanted group cannot be placed.
   int64_t stranded_accelerators = 0;
 };
--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -237,7 +237,7 @@
   const auto alive = alive_;
   asio::steady_timer timer(executor_);
   while (*alive) {
-    for (const auto& target : controller_->entry().watches()) {
+    for (const auto& target : controller_->entry().watch_targets()) {
       if (!polling_[target.machine]) {
         polling_[target.machine] = true;
         asio::co_spawn(executor_, poll_machine(target), asio::detached);
--- a/src/simulation/placement_experiment.cc
+++ b/src/simulation/placement_experiment.cc
@@ -23,7 +23,7 @@
       return;
     }
     const auto& state = leader->controller->state();
-    const auto input = control::planning_input(state);
+    const auto input = control::make_planning_input(state);
     std::map<std::string, int> missing_by_zone;
     for (const auto& demand : placement::desired_groups(input)) {
       int serving = 0;
--- a/src/simulation/scale_run.cc
+++ b/src/simulation/scale_run.cc
@@ -75,7 +75,7 @@
 
   bool all_serve() {
     const auto* leader = fleet_->leader();
-    if (leader == nullptr || leader->controller->leader().groups().last_plan().create.empty() == false) {
+    if (leader == nullptr || leader->controller->leader().groups().last_plan().groups_to_create.empty() == false) {
       return false;
     }
     const auto& groups = leader->controller->state().groups();
--- a/src/simulation/simulated_fleet.cc
+++ b/src/simulation/simulated_fleet.cc
@@ -306,7 +306,7 @@
 void SimulatedFleet::poll(const std::string& name, uint64_t generation) {
   on_node(name, generation, [this, name, generation](SimulatedNode& node) {
     const TimePoint asked_at = local_now(node);
-    for (const auto& target : node.controller->entry().watches()) {
+    for (const auto& target : node.controller->entry().watch_targets()) {
       if (machine_link_is_cut(name)) {
         continue;
       }
--- a/src/simulation/simulation_run.cc
+++ b/src/simulation/simulation_run.cc
@@ -55,14 +55,15 @@
     return;
   }
   const auto& state = leader->controller->state();
-  auto input = control::planning_input(state);
+  auto input = control::make_planning_input(state);
   for (const auto& [id, machine] : state.machines()) {
-    input.present.insert(id);
+    input.present_machines.insert(id);
   }
   const auto plan = placement::make_plan(input, *placement::make_placement_policy("first_fit"));
-  if (!plan.create.empty()) {
-    monitor.fail(fleet.queue().now(), "a group that could form did not: " + plan.create.front().template_name + " in " +
-                                          plan.create.front().zone);
+  if (!plan.groups_to_create.empty()) {
+    monitor.fail(fleet.queue().now(),
+                 "a group that could form did not: " + plan.groups_to_create.front().template_name + " in " +
+                     plan.groups_to_create.front().zone);
   }
   for (const auto& [id, group] : state.groups()) {
     if (group.state != wire::GroupState::SERVING) {
--- a/tests/unit/claim_table_test.cc
+++ b/tests/unit/claim_table_test.cc
@@ -33,9 +33,9 @@
 
 TEST(ClaimTable, GrantsKeyOnceAndRepeatsGrantToSameRequest) {
   ClaimTable table;
-  const auto first = make_claim("k", "n1", 1);
-  EXPECT_TRUE(table.claim(first, 1000).granted);
-  EXPECT_TRUE(table.claim(first, 1001).granted);
+  const auto first_claim = make_claim("k", "n1", 1);
+  EXPECT_TRUE(table.claim(first_claim, 1000).granted);
+  EXPECT_TRUE(table.claim(first_claim, 1001).granted);
   const auto competing_claim = table.claim(make_claim("k", "n2", 1), 1002);
   EXPECT_FALSE(competing_claim.granted);
   EXPECT_EQ(competing_claim.existing_claim.state, wire::ClaimState::IN_PROGRESS);
@@ -102,7 +102,7 @@
 TEST(ClaimTable, GrantsKeyAtMostOnceInAnyOrder) {
   rc::check([] {
     ClaimTable table;
-    std::map<std::string, int> ran;
+    std::map<std::string, int> active_grants;
     std::set<std::pair<std::string, int64_t>> granted;
     const auto steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
@@ -111,7 +111,7 @@
       const auto id = std::pair(key, claim.nonce * 10 + (claim.entry.back() - '0'));
       if (*rc::gen::inRange(0, 2) == 0) {
         if (table.claim(claim, step).granted && granted.insert(id).second) {
-          ++ran[key];
+          ++active_grants[key];
         }
       } else if (granted.contains(id)) {
         const bool not_run = *rc::gen::inRange(0, 2) == 0;
@@ -120,10 +120,10 @@
                                  standing->nonce == claim.nonce && standing->state == wire::ClaimState::IN_PROGRESS;
         table.resolve(make_resolution(claim, not_run ? wire::ClaimState::NOT_RUN : wire::ClaimState::RAN), step);
         if (holds_claim && not_run) {
-          --ran[key];
+          --active_grants[key];
         }
       }
-      for (const auto& [name, count] : ran) {
+      for (const auto& [name, count] : active_grants) {
         RC_ASSERT(count <= 1);
       }
     }
--- a/tests/unit/control_state_test.cc
+++ b/tests/unit/control_state_test.cc
@@ -103,15 +103,17 @@
 
 TEST_F(ControlStateTest, ResentCommandGetsFirstAnswerAfterSnapshotRestore) {
   const auto base_revision = read_revision("tenant/one");
-  const auto first = change("a", {make_write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base_revision});
-  const auto refused = change("b", {make_write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base_revision});
+  const auto first_answer =
+      change("a", {make_write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base_revision});
+  const auto refused_answer =
+      change("b", {make_write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base_revision});
   ControlState restored;
   ASSERT_TRUE(restored.restore(state_.snapshot()));
   state_ = restored;
   EXPECT_EQ(change("a", {make_write("tenant/one", wire::encode(make_tenant("one", 20)))}, {base_revision}).revision,
-            first.revision);
+            first_answer.revision);
   EXPECT_EQ(change("b", {make_write("tenant/one", wire::encode(make_tenant("one", 10)))}, {base_revision}).verdict,
-            refused.verdict);
+            refused_answer.verdict);
   EXPECT_EQ(state_.audit().size(), 3U);
 }
 
@@ -208,22 +210,23 @@
   placement::PlanningInput input_with_machines_present{machines, no_groups, {group_template}, {make_tenant("one", 40)},
                                                        {},       {}};
   for (const auto& [id, machine] : machines) {
-    input_with_machines_present.present.insert(id);
+    input_with_machines_present.present_machines.insert(id);
   }
   input_with_machines_present.parameters.downtime_weight = 100;
   const auto plan_with_spare =
       placement::make_plan(input_with_machines_present, *placement::make_placement_policy("spare_aware"));
-  ASSERT_EQ(plan_with_spare.create.size(), 1U);
-  EXPECT_EQ(plan_with_spare.create[0].domain, "wide");
-  EXPECT_EQ(plan_with_spare.create[0].machines.front(), "wide3") << "it already holds the weights";
+  ASSERT_EQ(plan_with_spare.groups_to_create.size(), 1U);
+  EXPECT_EQ(plan_with_spare.groups_to_create[0].domain, "wide");
+  EXPECT_EQ(plan_with_spare.groups_to_create[0].machines.front(), "wide3") << "it already holds the weights";
   input_with_machines_present.parameters.downtime_weight = 0;
   EXPECT_EQ(placement::make_plan(input_with_machines_present, *placement::make_placement_policy("spare_aware"))
-                .create[0]
+                .groups_to_create[0]
+                .domain,
+            "tight");
+  EXPECT_EQ(placement::make_plan(input_with_machines_present, *placement::make_placement_policy("best_fit"))
+                .groups_to_create[0]
                 .domain,
             "tight");
-  EXPECT_EQ(
-      placement::make_plan(input_with_machines_present, *placement::make_placement_policy("best_fit")).create[0].domain,
-      "tight");
 }
 
 }  // namespace
