--- a/src/core/admission/budget_allocator.h
+++ b/src/core/admission/budget_allocator.h
@@ -17,6 +17,7 @@
 /// Single-threaded.
 class BudgetAllocator {
  public:
+  /// A tenant's requests at one entry, from the entry's heartbeat.
   struct DemandReport {
     int running = 0;
     int waiting = 0;
--- a/src/core/control/control_leader.h
+++ b/src/core/control/control_leader.h
@@ -42,9 +42,11 @@
   /// A command to append to the log, and the requests to answer once it is applied.
   struct Proposal {
     wire::Command command;
-    std::vector<std::pair<std::string, int64_t>>
-        claim_requests;  ///< Node and request id of each claim, in the same order.
-    std::vector<std::pair<std::string, int64_t>> resolution_requests;  ///< Node and request id.
+    /// Node and request id of each claim in the command, in the same order.
+    std::vector<std::pair<std::string, int64_t>> claim_requests;
+    /// Node and request id of each resolution in the command.
+    std::vector<std::pair<std::string, int64_t>> resolution_requests;
+    /// Node and request id of the operator's request, if the command comes from one.
     std::optional<std::pair<std::string, int64_t>> operator_request;
     int64_t term = 0;
   };
@@ -79,6 +81,7 @@
   const PresenceTable& presence() const { return presence_; }
 
  private:
+  /// An accepted change whose reply waits until the change is in force on all nodes.
   struct PendingChange {
     std::string node;
     int64_t request_id = 0;
@@ -103,21 +106,27 @@
 
   ControlOptions options_;
   std::string node_;
+  /// When all leases that earlier leaders may have granted have expired.
   TimePoint old_leases_until_{};
   membership::NodeDirectory nodes_;
   PresenceTable presence_;
   GroupSupervisor groups_;
   ReplicaSupervisor replicas_;
   admission::BudgetAllocator budgets_;
+  /// Machines from the platform's membership list, by id.
   std::map<std::string, wire::Machine> listed_machines_;
+  /// Send times of heartbeat replies, by node and sequence number.
   std::map<std::string, std::map<int64_t, TimePoint>> reply_sent_at_;
+  /// The machines that each node polls, the nodes and machines that this was computed from, and its version.
   membership::WatchAssignment watch_assignment_;
   std::vector<std::string> watch_inputs_;
   int64_t watch_version_ = 0;
   TimePoint next_supervision_at_{};
   TimePoint next_watch_update_at_{};
   std::vector<PendingChange> pending_changes_;
+  /// Claims and resolutions that are not proposed yet.
   Proposal claim_batch_;
+  /// Proposals that are not applied yet, by log index.
   std::map<int64_t, Proposal> in_flight_proposals_;
   /// Tenants decoded from the records at `tenants_revision_`; a cache.
   std::vector<wire::Tenant> tenants_;
--- a/src/core/control/group_supervisor.h
+++ b/src/core/control/group_supervisor.h
@@ -90,6 +90,7 @@
   /// Whether at `at` every member has been seen within the presence bound with the group's incarnation, id and epoch,
   /// and no member is leaving.
   bool are_all_members_present(TimePoint at, const wire::Group& group, const PresenceTable& presence) const;
+  /// Sends the order unless it is confirmed or was sent recently; returns whether it is confirmed.
   bool send_order(TimePoint now, OrderKind kind, const wire::Group& group, size_t rank, const ControlState& state,
                   Actions& actions);
   void propose_transition(const wire::Group& group, wire::GroupState::type to, Actions& actions);
@@ -100,11 +101,14 @@
   TimePoint next_plan_at_{};
   int64_t term_ = 0;
   int loads_in_progress_ = 0;
+  /// When the last serve lease granted on each group expires, by group id.
   std::map<int64_t, TimePoint> granted_until_;
   std::set<std::string> leaving_machines_;
+  /// When each draining group was first found without leases, by group id.
   std::map<int64_t, TimePoint> draining_since_;
   std::map<OrderKey, OrderProgress> load_orders_;
   std::map<OrderKey, OrderProgress> release_orders_;
+  /// The cached list of leases, when it expires, and the log index that it was computed at.
   std::vector<wire::GroupLease> leases_;
   TimePoint leases_valid_until_ = TimePoint::min();
   int64_t leases_applied_index_ = -1;
--- a/src/core/membership/node_directory.h
+++ b/src/core/membership/node_directory.h
@@ -25,6 +25,7 @@
   std::string service_address;
 };
 
+/// How the incarnation in a heartbeat compares with the latest one known of the node.
 enum class SenderIncarnation { kCurrent, kNewNode, kNewIncarnation, kStale };
 
 /// The nodes known to the leader. Soft state: a new leader rebuilds it from heartbeats. Single-threaded.
--- a/src/core/node/entry_agent.h
+++ b/src/core/node/entry_agent.h
@@ -85,6 +85,7 @@
   TimePoint next_heartbeat_at_ = TimePoint::min();
   TimePoint last_reply_at_ = TimePoint::min();
   std::map<int64_t, TimePoint> heartbeat_sent_at_;
+  /// The latest poll result of a machine, and when the poll was sent.
   struct TimedSighting {
     TimePoint poll_sent_at{};
     wire::MachineSighting sighting;
--- a/src/core/node/node_controller.h
+++ b/src/core/node/node_controller.h
@@ -105,6 +105,8 @@
     TimePoint sent_at = TimePoint::min();
   };
 
+  /// Starts the leader's term after an election, applies committed entries, carries out the outputs of the leader and
+  /// of Raft, and delivers messages to this node itself.
   void process_pending_work(TimePoint now);
   void apply_committed(TimePoint now);
   void carry_out_leader_outputs(TimePoint now);
@@ -125,6 +127,7 @@
   control::ControlState state_;
   control::ControlLeader leader_;
   std::optional<consensus::RaftNode> raft_;
+  /// The term for which `leader_` was last started.
   int64_t leader_started_term_ = -1;
   int64_t wall_clock_ms_ = 0;
   int64_t last_snapshot_index_ = 0;
