--- a/src/cli/demo_command.cc
+++ b/src/cli/demo_command.cc
@@ -167,7 +167,7 @@
     wire::OperatorRequest apply;
     apply.action = wire::OperatorAction::APPLY;
     apply.change.operator_name = "demo";
-    apply.change.command_id = "demo-" + std::to_string(node::NodeRuntime::wall_ms());
+    apply.change.command_id = "demo-" + std::to_string(node::NodeRuntime::wall_clock_ms());
     apply.change.writes = *writes;
     for (const auto& write : *writes) {
       wire::KeyRevision revision;
--- a/src/cli/region_start.cc
+++ b/src/cli/region_start.cc
@@ -22,7 +22,7 @@
   address.replica_id = node::new_replica_id().value();
   address.node = first.name;
   address.zone = first.zone;
-  const auto problem = node::found_cluster(*folder, address);
+  const auto problem = node::initialize_cluster(*folder, address);
   error = problem ? problem->message : "";
   return !problem;
 }
--- a/src/cli/serve_commands.cc
+++ b/src/cli/serve_commands.cc
@@ -181,7 +181,7 @@
     }
     process->stop();
     const bool gives_up = std::chrono::steady_clock::now() >= start_deadline_;
-    node::log_problem(settings_.name, "start_failed", {{"reason", error}, {"tried_again", gives_up ? "no" : "yes"}});
+    node::log_warning(settings_.name, "start_failed", {{"reason", error}, {"tried_again", gives_up ? "no" : "yes"}});
     if (gives_up) {
       exit_code_ = kExitFailed;
       context_.stop();
@@ -203,7 +203,7 @@
       // The file may be in the middle of being written, within one tick of its time stamp: it is read again.
       written_at_ = std::filesystem::file_time_type::min();
       for (const auto& fault : faults) {
-        node::log_problem(settings_.name, "settings_refused", {{"reason", fault}});
+        node::log_warning(settings_.name, "settings_refused", {{"reason", fault}});
       }
       return;
     }
@@ -277,7 +277,7 @@
   }
   std::signal(SIGPIPE, SIG_IGN);
   node::configure_logging(settings->log_level, "");
-  node::name_process(settings->name);
+  node::set_default_node(settings->name);
   FleetNodeRunner runner(*settings);
   const int exit_code = runner.run();
   node::log_event(settings->name, "stopped", {{"exit_code", std::to_string(exit_code)}});
--- a/src/node/admin_api.cc
+++ b/src/node/admin_api.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr auto kOperatorTimeout = std::chrono::milliseconds(15'000);
-constexpr size_t kLargestChange = 4U << 20U;
+constexpr size_t kMaxOperatorRequestBytes = 4U << 20U;
 
 net::HttpResponse text_response(int status, std::string body) {
   net::HttpResponse response;
@@ -19,17 +19,17 @@
 
 }  // namespace
 
-AdminApi::AdminApi(NodeRuntime& runtime, RequestFront& front, const net::HttpServer& callers)
-    : runtime_(runtime), front_(front), callers_(callers) {}
+AdminApi::AdminApi(NodeRuntime& runtime, CallerApi& caller_api, const net::HttpServer& caller_server)
+    : runtime_(runtime), caller_api_(caller_api), caller_server_(caller_server) {}
 
 boost::asio::awaitable<void> AdminApi::handle(net::HttpExchange& exchange) {
   const auto path = exchange.request().path();
   if (path == "/metrics") {
-    co_await exchange.respond(text_response(200, render_metrics(runtime_, front_, callers_.stats())));
+    co_await exchange.respond(text_response(200, render_metrics(runtime_, caller_api_, caller_server_.stats())));
   } else if (path == "/healthz") {
     co_await exchange.respond(text_response(200, "ok\n"));
   } else if (path == "/readyz") {
-    const bool ready = front_.ready();
+    const bool ready = caller_api_.ready();
     co_await exchange.respond(text_response(ready ? 200 : 503, ready ? "ok\n" : "not ready\n"));
   } else if (path == "/admin/operate" && exchange.request().method == "POST") {
     co_await operate(exchange);
@@ -40,7 +40,7 @@
 
 boost::asio::awaitable<void> AdminApi::operate(net::HttpExchange& exchange) {
   const auto& body = exchange.request().body;
-  auto request = body.size() <= kLargestChange ? wire::decode<wire::OperatorRequest>(body) : std::nullopt;
+  auto request = body.size() <= kMaxOperatorRequestBytes ? wire::decode<wire::OperatorRequest>(body) : std::nullopt;
   if (!request) {
     co_await exchange.respond(text_response(400, "unreadable request; use a command of the same version\n"));
     co_return;
--- a/src/node/admin_api.h
+++ b/src/node/admin_api.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "net/http_server.h"
+#include "node/caller_api.h"
 #include "node/metrics.h"
 #include "node/node_runtime.h"
-#include "node/request_front.h"
 
 namespace larchlever::node {
 
@@ -11,15 +11,15 @@
 /// OperatorReply; /metrics, /healthz and /readyz serve monitoring. One executor.
 class AdminApi : public net::HttpHandler {
  public:
-  AdminApi(NodeRuntime& runtime, RequestFront& front, const net::HttpServer& callers);
+  AdminApi(NodeRuntime& runtime, CallerApi& caller_api, const net::HttpServer& caller_server);
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
 
  private:
   boost::asio::awaitable<void> operate(net::HttpExchange& exchange);
 
   NodeRuntime& runtime_;
-  RequestFront& front_;
-  const net::HttpServer& callers_;
+  CallerApi& caller_api_;
+  const net::HttpServer& caller_server_;
 };
 
 }  // namespace larchlever::node
--- /dev/null
+++ b/src/node/blocked_request_guard.cc
@@ -0,0 +1,157 @@
+#include "node/blocked_request_guard.h"
+
+#include <algorithm>
+#include <boost/asio.hpp>
+
+#include "core/base/http_status.h"
+#include "net/listener_probe.h"
+#include "node/clock.h"
+#include "node/logging.h"
+
+namespace larchlever::node {
+
+namespace asio = boost::asio;
+using Verdict = fleet::BlockedRequests::Verdict;
+
+namespace {
+
+/// As long as a connection for a request may take.
+constexpr auto kProbeTimeout = std::chrono::milliseconds(150);
+/// A refused connection is known within a round trip or two; a server that keeps the connection is not waited for.
+constexpr Duration kFirstProbeWait = milliseconds(8);
+/// One that dropped it is looked at again 20 ms after the loss, when the port of a process that ended is closed. It is
+/// a tenth of the pause that callers of streams allow.
+constexpr Duration kSecondProbeWait = milliseconds(30);
+constexpr Duration kProbeWaitInterval = milliseconds(1);
+/// Callers of a blocked request are told to come back no sooner than this.
+constexpr Duration kMinRetryAfter = seconds(1);
+
+fleet::Look to_look(net::ListenerState state) {
+  switch (state) {
+    case net::ListenerState::kRefused:
+      return fleet::Look::kRefused;
+    case net::ListenerState::kClosed:
+      return fleet::Look::kClosed;
+    case net::ListenerState::kListening:
+      return fleet::Look::kOpen;
+    case net::ListenerState::kUnknown:
+      break;
+  }
+  return fleet::Look::kSilent;
+}
+
+}  // namespace
+
+BlockedRequestGuard::BlockedRequestGuard(asio::any_io_executor executor, EntryState& state,
+                                         SlotRequester& slot_requester)
+    : executor_(std::move(executor)),
+      state_(state),
+      slot_requester_(slot_requester),
+      alive_(std::make_shared<bool>(true)) {}
+
+asio::awaitable<bool> BlockedRequestGuard::may_retry_after_loss(RelayedRequest& request) {
+  const std::string incarnation = std::exchange(request.lost_response_incarnation, "");
+  if (incarnation.empty()) {
+    co_return true;
+  }
+  // What the looks show goes to the leader before the question, which it then answers by the words of all entries.
+  asio::steady_timer timer(executor_);
+  const TimePoint wait_started = monotonic_now();
+  const auto should_wait_for_probe = [&] {
+    const Duration waited = monotonic_now() - wait_started;
+    return (lost_responses_.awaits_first_look(incarnation) && waited < kFirstProbeWait) ||
+           (lost_responses_.seems_gone(incarnation) && waited < kSecondProbeWait);
+  };
+  while (should_wait_for_probe()) {
+    timer.expires_after(kProbeWaitInterval);
+    co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
+  }
+  if (!lost_responses_.is_doubtful(incarnation)) {
+    co_return true;
+  }
+  co_return co_await slot_requester_.request_retry_permission(request.fingerprint);
+}
+
+asio::awaitable<bool> BlockedRequestGuard::admit(RelayedRequest& request) {
+  if (!co_await may_retry_after_loss(request)) {
+    co_return false;
+  }
+  const Verdict verdict = state_.blocked_request_tracker.judge(monotonic_now(), request.fingerprint);
+  if (verdict == Verdict::kFree) {
+    co_return true;
+  }
+  if (request.attempts_sent > 0) {
+    co_return false;  // One server is enough for this attempt, whether it was a trial or not.
+  }
+  if (verdict == Verdict::kTrialDue && !request.is_trial) {
+    request.is_trial = co_await slot_requester_.request_trial(request.fingerprint);
+    if (request.is_trial) {
+      log_event("", "blocked_request_tried",
+                {{"request", request.id}, {"fingerprint", to_string(request.fingerprint)}});
+    }
+  }
+  co_return request.is_trial;
+}
+
+Refusal BlockedRequestGuard::make_refusal(const RelayedRequest& request) {
+  ++state_.counters.blocked;
+  const Duration remaining_block_time = state_.blocked_request_tracker.time_left(monotonic_now(), request.fingerprint);
+  return {http_status::kServiceUnavailable, "servers ended while they ran this request; it is held back from others",
+          std::max(remaining_block_time, kMinRetryAfter)};
+}
+
+void BlockedRequestGuard::note_response(const RelayedRequest& request) {
+  state_.blocked_request_tracker.note_answered(monotonic_now(), request.fingerprint);
+}
+
+void BlockedRequestGuard::note_lost_response(RelayedRequest& request, const fleet::Target& target) {
+  request.lost_response_incarnation = target.incarnation;
+  if (lost_responses_.note_loss(monotonic_now(), target.incarnation, request.fingerprint)) {
+    asio::co_spawn(executor_, probe_until_resolved(target), asio::detached);
+  }
+}
+
+asio::awaitable<void> BlockedRequestGuard::probe_until_resolved(fleet::Target target) {
+  const std::weak_ptr<bool> alive = alive_;
+  asio::steady_timer timer(executor_);
+  while (const auto next = lost_responses_.next_look(target.incarnation)) {
+    timer.expires_after(std::max(Duration::zero(), *next - monotonic_now()));
+    co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
+    if (alive.expired()) {
+      co_return;
+    }
+    const auto state = co_await net::probe_listener(target.address, kProbeTimeout);
+    if (alive.expired()) {
+      co_return;
+    }
+    const TimePoint now = monotonic_now();
+    if (const auto ended = lost_responses_.note_look(now, target.incarnation, to_look(state))) {
+      state_.dispatcher.avoid(now, target.key);
+      record_ended_server(target.incarnation, *ended);
+    }
+  }
+  if (const auto ended = lost_responses_.take_suspicion(target.incarnation)) {
+    record_ended_server(target.incarnation, *ended);
+  }
+}
+
+void BlockedRequestGuard::note_server_restarted(const std::string& incarnation) {
+  if (const auto ended = lost_responses_.note_restart(incarnation)) {
+    record_ended_server(incarnation, *ended);
+  }
+}
+
+void BlockedRequestGuard::record_ended_server(const std::string& incarnation, const fleet::EndedServer& ended) {
+  for (const auto fingerprint : ended.requests) {
+    const size_t observed_ends =
+        state_.blocked_request_tracker.note_end({fingerprint, incarnation, ended.at, ended.certainty});
+    log_event("", "server_ended_under_request",
+              {{"fingerprint", to_string(fingerprint)},
+               {"instance", incarnation},
+               {"is_proved", ended.certainty == fleet::Certainty::kProved ? "yes" : "no"},
+               {"ends_seen_here", std::to_string(observed_ends)}});
+  }
+  slot_requester_.note_load_change();  // The leader hears of it within milliseconds.
+}
+
+}  // namespace larchlever::node
--- a/src/node/block_gate.h
+++ b/src/node/blocked_request_guard.h
@@ -17,34 +17,36 @@
 ///
 /// An answer that breaks off does not prove that its server ended; `fleet::LostAnswers` weighs what is seen of the
 /// server afterwards, and this class looks. One executor; not thread-safe.
-class BlockGate {
+class BlockedRequestGuard {
  public:
-  BlockGate(boost::asio::any_io_executor executor, EntryState& state, SlotRequester& slots);
+  BlockedRequestGuard(boost::asio::any_io_executor executor, EntryState& state, SlotRequester& slot_requester);
 
   /// Whether the request may be sent now; asks the leader where a trial is due.
   boost::asio::awaitable<bool> admit(RelayedRequest& request);
   /// What the caller of a request that may not be sent is told.
-  Refusal refuse(const RelayedRequest& request);
+  Refusal make_refusal(const RelayedRequest& request);
   /// The answer of the request was lost at the target after it was sent there.
-  void answer_lost(RelayedRequest& request, const fleet::Target& target);
+  void note_lost_response(RelayedRequest& request, const fleet::Target& target);
   /// A server ran the request and answered whole.
-  void answered(const RelayedRequest& request);
+  void note_response(const RelayedRequest& request);
   /// The target made progress with a request.
-  void progressed(TimePoint now, const fleet::Target& target) { lost_.note_progress(now, target.incarnation); }
+  void note_target_progress(TimePoint now, const fleet::Target& target) {
+    lost_responses_.note_progress(now, target.incarnation);
+  }
   /// The incarnation has started again as another one.
-  void started_again(const std::string& incarnation);
+  void note_server_restarted(const std::string& incarnation);
 
  private:
   /// Whether a request whose last answer was lost may go to another server.
-  boost::asio::awaitable<bool> may_repeat(RelayedRequest& request);
+  boost::asio::awaitable<bool> may_retry_after_loss(RelayedRequest& request);
   /// Looks at the target until it is known whether it ended.
-  boost::asio::awaitable<void> watch(fleet::Target target);
-  void note_ended(const std::string& incarnation, const fleet::EndedServer& ended);
+  boost::asio::awaitable<void> probe_until_resolved(fleet::Target target);
+  void record_ended_server(const std::string& incarnation, const fleet::EndedServer& ended);
 
   boost::asio::any_io_executor executor_;
   EntryState& state_;
-  SlotRequester& slots_;
-  fleet::LostAnswers lost_;
+  SlotRequester& slot_requester_;
+  fleet::LostAnswers lost_responses_;
   std::shared_ptr<bool> alive_;
 };
 
--- a/src/node/request_front.cc
+++ b/src/node/caller_api.cc
@@ -1,4 +1,4 @@
-#include "node/request_front.h"
+#include "node/caller_api.h"
 
 #include <boost/json.hpp>
 
@@ -9,18 +9,18 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-RequestFront::RequestFront(NodeRuntime& runtime)
+CallerApi::CallerApi(NodeRuntime& runtime)
     : runtime_(runtime),
       retry_budget_(runtime.settings().requests.retry_budget_percent),
-      claims_(runtime, stats_),
-      models_(runtime, retry_budget_, claims_, stats_),
-      services_(runtime, retry_budget_, claims_, stats_) {}
+      idempotency_guard_(runtime, stats_),
+      model_handler_(runtime, retry_budget_, idempotency_guard_, stats_),
+      service_handler_(runtime, retry_budget_, idempotency_guard_, stats_) {}
 
-bool RequestFront::ready() const {
+bool CallerApi::ready() const {
   return ready_ && runtime_.controller().entry().has_configuration_lease(NodeRuntime::now());
 }
 
-asio::awaitable<void> RequestFront::handle(net::HttpExchange& exchange) {
+asio::awaitable<void> CallerApi::handle(net::HttpExchange& exchange) {
   const auto path = exchange.request().path();
   if (path == "/healthz" || path == "/readyz") {
     net::HttpResponse response;
@@ -30,18 +30,18 @@
     co_await exchange.respond(std::move(response));
     co_return;
   }
-  ++active_;
-  const ScopeExit count_down([this] { --active_; });
+  ++active_requests_;
+  const ScopeExit decrement_on_exit([this] { --active_requests_; });
   if (path == "/v1/chat/completions" || path == "/v1/completions") {
-    co_await models_.handle(exchange);
+    co_await model_handler_.handle(exchange);
   } else if (path == "/v1/models") {
     co_await list_models(exchange);
   } else {
-    co_await services_.handle(exchange);
+    co_await service_handler_.handle(exchange);
   }
 }
 
-asio::awaitable<void> RequestFront::list_models(net::HttpExchange& exchange) {
+asio::awaitable<void> CallerApi::list_models(net::HttpExchange& exchange) {
   json::array models;
   for (const auto& model : runtime_.controller().entry().router().table().models()) {
     models.push_back(json::object{{"id", model}, {"object", "model"}});
--- a/src/node/request_front.h
+++ b/src/node/caller_api.h
@@ -2,37 +2,37 @@
 
 #include <string>
 
-#include "node/claim_gate.h"
-#include "node/front_answers.h"
-#include "node/model_front.h"
-#include "node/service_front.h"
+#include "node/idempotency_guard.h"
+#include "node/model_request_handler.h"
+#include "node/problem_responses.h"
+#include "node/service_request_handler.h"
 
 namespace larchlever::node {
 
 /// The callers' side of a node: sends each request to the part that serves its path, and answers the balancer's checks.
 /// One executor; requests interleave.
-class RequestFront : public net::HttpHandler {
+class CallerApi : public net::HttpHandler {
  public:
-  explicit RequestFront(NodeRuntime& runtime);
+  explicit CallerApi(NodeRuntime& runtime);
 
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
   /// A stopping node reports itself as not ready, and goes on serving.
   void set_ready(bool ready) { ready_ = ready; }
   bool ready() const;
-  const FrontStats& stats() const { return stats_; }
-  size_t active() const { return active_; }
+  const RequestStats& stats() const { return stats_; }
+  size_t active_requests() const { return active_requests_; }
 
  private:
   boost::asio::awaitable<void> list_models(net::HttpExchange& exchange);
 
   NodeRuntime& runtime_;
-  FrontStats stats_;
+  RequestStats stats_;
   requests::RetryBudget retry_budget_;
-  ClaimGate claims_;
-  ModelFront models_;
-  ServiceFront services_;
+  IdempotencyGuard idempotency_guard_;
+  ModelRequestHandler model_handler_;
+  ServiceRequestHandler service_handler_;
   bool ready_ = true;
-  size_t active_ = 0;
+  size_t active_requests_ = 0;
 };
 
 }  // namespace larchlever::node
--- a/src/node/control_api.cc
+++ b/src/node/control_api.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 /// The controller answers every call earlier than this.
-constexpr auto kLongestWait = std::chrono::seconds(10);
+constexpr auto kReplyTimeout = std::chrono::seconds(10);
 
 constexpr std::string_view kInstancesPrefix = "/v1/instances/";
 constexpr std::string_view kHeartbeatSuffix = "/heartbeat";
@@ -25,7 +25,7 @@
 constexpr std::string_view kRestoreSuffix = "/restore";
 
 /// Takes `prefix` and `suffix` off a path; false, and the path as it was, when it has not both around something.
-bool strip(std::string_view& path, std::string_view prefix, std::string_view suffix) {
+bool strip_affixes(std::string_view& path, std::string_view prefix, std::string_view suffix) {
   if (path.size() <= prefix.size() + suffix.size() || !path.starts_with(prefix) || !path.ends_with(suffix)) {
     return false;
   }
@@ -50,16 +50,16 @@
   if (request.method != "POST") {
     return std::nullopt;
   }
-  if (strip(path, kInstancesPrefix, kHeartbeatSuffix)) {
+  if (strip_affixes(path, kInstancesPrefix, kHeartbeatSuffix)) {
     call.kind = wire::ControlCallKind::HEARTBEAT;
     call.instance_id = std::string(path);
-  } else if (strip(path, kInstancesPrefix, kDeregisterSuffix)) {
+  } else if (strip_affixes(path, kInstancesPrefix, kDeregisterSuffix)) {
     call.kind = wire::ControlCallKind::DEREGISTER;
     call.instance_id = std::string(path);
-  } else if (strip(path, kZonePrefix, kEvacuateSuffix)) {
+  } else if (strip_affixes(path, kZonePrefix, kEvacuateSuffix)) {
     call.kind = wire::ControlCallKind::EVACUATE_ZONE;
     call.zone = std::string(path);
-  } else if (strip(path, kZonePrefix, kRestoreSuffix)) {
+  } else if (strip_affixes(path, kZonePrefix, kRestoreSuffix)) {
     call.kind = wire::ControlCallKind::RESTORE_ZONE;
     call.zone = std::string(path);
   } else {
@@ -70,8 +70,8 @@
 
 }  // namespace
 
-struct ControlApi::Waiter {
-  explicit Waiter(const asio::any_io_executor& executor) : timer(executor) {}
+struct ControlApi::PendingReply {
+  explicit PendingReply(const asio::any_io_executor& executor) : timer(executor) {}
   asio::steady_timer timer;
   std::optional<wire::ControlCallReply> reply;
 };
@@ -80,12 +80,12 @@
     : executor_(std::move(executor)), submit_(std::move(submit)) {}
 
 void ControlApi::complete(const wire::ControlCallReply& reply) {
-  auto& waiter = waiters_[reply.id];
-  if (waiter == nullptr) {
-    waiter = std::make_shared<Waiter>(executor_);  // Answered while it was being submitted.
+  auto& pending_reply = pending_replies_[reply.id];
+  if (pending_reply == nullptr) {
+    pending_reply = std::make_shared<PendingReply>(executor_);  // Answered while it was being submitted.
   }
-  waiter->reply = reply;
-  waiter->timer.cancel();
+  pending_reply->reply = reply;
+  pending_reply->timer.cancel();
 }
 
 asio::awaitable<void> ControlApi::handle(net::HttpExchange& exchange) {
@@ -99,19 +99,19 @@
     co_return;
   }
   const int64_t id = submit_(std::move(*call));
-  auto& slot = waiters_[id];
-  if (slot == nullptr) {
-    slot = std::make_shared<Waiter>(executor_);
+  auto& reply_slot = pending_replies_[id];
+  if (reply_slot == nullptr) {
+    reply_slot = std::make_shared<PendingReply>(executor_);
   }
-  const auto waiter = slot;
-  if (!waiter->reply) {
-    waiter->timer.expires_after(kLongestWait);
-    co_await waiter->timer.async_wait(kAwait);
+  const auto pending_reply = reply_slot;
+  if (!pending_reply->reply) {
+    pending_reply->timer.expires_after(kReplyTimeout);
+    co_await pending_reply->timer.async_wait(kAwaitWithError);
   }
-  waiters_.erase(id);
-  response.status = waiter->reply ? waiter->reply->status : http_status::kServiceUnavailable;
-  response.body = waiter->reply && !waiter->reply->body.empty()
-                      ? waiter->reply->body
+  pending_replies_.erase(id);
+  response.status = pending_reply->reply ? pending_reply->reply->status : http_status::kServiceUnavailable;
+  response.body = pending_reply->reply && !pending_reply->reply->body.empty()
+                      ? pending_reply->reply->body
                       : R"({"error":"no leader answered; send the call again"})";
   co_await exchange.respond(std::move(response));
 }
--- a/src/node/control_api.h
+++ b/src/node/control_api.h
@@ -22,11 +22,11 @@
   void complete(const wire::ControlCallReply& reply);
 
  private:
-  struct Waiter;
+  struct PendingReply;
 
   boost::asio::any_io_executor executor_;
   std::function<int64_t(wire::ControlCall)> submit_;
-  std::map<int64_t, std::shared_ptr<Waiter>> waiters_;
+  std::map<int64_t, std::shared_ptr<PendingReply>> pending_replies_;
 };
 
 }  // namespace larchlever::node
--- a/src/node/control_process.cc
+++ b/src/node/control_process.cc
@@ -7,12 +7,12 @@
 #include "net/peer_transport.h"
 #include "node/clock.h"
 #include "node/control_api.h"
-#include "node/control_log.h"
 #include "node/dialect.h"
+#include "node/fleet_change_logger.h"
 #include "node/fleet_process.h"
+#include "node/leader_search_logger.h"
 #include "node/logging.h"
 #include "node/replica_storage.h"
-#include "node/search_reporter.h"
 #include "wire/codec.h"
 
 namespace larchlever::node {
@@ -22,21 +22,21 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 constexpr auto kTickInterval = std::chrono::milliseconds(20);
 constexpr auto kOrderTimeout = std::chrono::milliseconds(800);
 constexpr auto kOrderConnectTimeout = std::chrono::milliseconds(400);
 /// How often a seed logs what it waits for while the fleet is not formed.
-constexpr Duration kFormationReportInterval = seconds(1);
+constexpr Duration kFormationLogInterval = seconds(1);
 /// A tick that comes this much later than the one before tells that this process stood still: a dozen ticks, and a
 /// small part of the time after which a node counts as lost.
-constexpr Duration kOwnPause = milliseconds(250);
+constexpr Duration kProcessPauseThreshold = milliseconds(250);
 /// Shortest time between two copies of the fleet's state on disk.
 constexpr Duration kStateSaveInterval = milliseconds(400);
 /// Pause before a failed data folder is opened again: a full disk may have room by then.
-constexpr auto kReopenPause = std::chrono::milliseconds(500);
+constexpr auto kReopenInterval = std::chrono::milliseconds(500);
 /// Longest wait of a stopping leader for somebody else to lead.
-constexpr auto kHandOverPatience = std::chrono::milliseconds(1500);
+constexpr auto kLeadershipHandoverTimeout = std::chrono::milliseconds(1500);
 
 std::string_view operation_name(const Dialect& dialect, fleet::OrderKind kind) {
   switch (kind) {
@@ -80,15 +80,15 @@
         transport_(executor,
                    [this](wire::Envelope envelope) {
                      controller_.receive(monotonic_now(), envelope);
-                     pump();
+                     process_outputs();
                    }),
         storage_(
             executor, settings.data_folder,
             [this](std::vector<consensus::RaftOutput> batches) { on_written(std::move(batches)); },
             [this](const std::string& reason) { on_storage_failure(reason); }),
         client_(executor),
-        search_(settings.name),
-        control_log_(settings.name),
+        search_logger_(settings.name),
+        change_logger_(settings.name),
         api_(executor, [this](wire::ControlCall call) { return controller_.submit(monotonic_now(), std::move(call)); }),
         server_(executor, net::HttpServerOptions(), api_) {}
   ~ControlProcess() override { stop(); }
@@ -107,35 +107,35 @@
   }
 
  private:
-  void start_replica(ReplicaStorage::Opened opened) {
+  void start_replica(ReplicaStorage::OpenedReplica opened) {
     log_event(settings_.name, "replica_started",
               {{"replica", std::to_string(opened.replica_id.value())},
                {"entries", std::to_string(opened.persisted.entries.size())}});
-    if (const auto copy = wire::decode<wire::FleetState>(opened.copy)) {
+    if (const auto copy = wire::decode<wire::FleetState>(opened.state_copy)) {
       controller_.restore_state(*copy);
     }
     controller_.start_replica(monotonic_now(), opened.replica_id, opened.boot, std::move(opened.persisted));
   }
   /// Starts on a folder as it was found, which may be the first start of a whole fleet.
-  void start_opened(ReplicaStorage::Opened opened) {
+  void start_from_folder(ReplicaStorage::OpenedReplica opened) {
     // A seed that was stopped before the fleet was formed goes on with it, whatever later settings say.
-    const bool forms = !opened.holds_log() && (settings_.may_found_cluster() || opened.formation);
+    const bool is_forming = !opened.holds_log() && (settings_.may_found_cluster() || opened.formation);
     const std::string choice = opened.formation.value_or("");
     start_replica(std::move(opened));
-    if (forms) {
+    if (is_forming) {
       controller_.begin_forming(monotonic_now(), choice);
     }
   }
-  void store_choice(const std::string& choice);
-  void found_cluster();
-  void report_formation();
+  void store_founder_choice(const std::string& choice);
+  void create_cluster();
+  void log_formation_progress();
   void save_state();
   void on_written(std::vector<consensus::RaftOutput> batches);
   void on_storage_failure(const std::string& reason);
   asio::awaitable<void> reopen_storage();
   void renew_identity();
-  void pump();
-  void report_changes();
+  void process_outputs();
+  void log_state_changes();
   asio::awaitable<void> tick_loop();
   asio::awaitable<void> send_order(fleet::InstanceOrder order);
 
@@ -147,18 +147,18 @@
   net::PeerTransport transport_;
   ReplicaStorage storage_;
   net::HttpClient client_;
-  SearchReporter search_;
-  ControlLog control_log_;
+  LeaderSearchLogger search_logger_;
+  FleetChangeLogger change_logger_;
   ControlApi api_;
   net::HttpServer server_;
   /// Order of the fleet's state as last kept on disk.
-  std::pair<int64_t, int64_t> saved_state_{0, 0};
-  TimePoint next_save_{};
+  std::pair<int64_t, int64_t> saved_state_version_{0, 0};
+  TimePoint next_state_save_{};
   bool was_leader_ = false;
-  TimePoint next_formation_report_{};
-  int64_t known_version_ = 0;
-  int64_t known_evacuations_ = 0;
-  size_t known_voters_ = 0;
+  TimePoint next_formation_log_{};
+  int64_t logged_document_version_ = 0;
+  int64_t logged_evacuation_revision_ = 0;
+  size_t logged_voter_count_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
@@ -171,7 +171,7 @@
   }
   auto opened = storage_.open(error);
   if (opened) {
-    start_opened(std::move(*opened));
+    start_from_folder(std::move(*opened));
   } else {
     on_storage_failure(error);
   }
@@ -188,11 +188,11 @@
   for (auto& batch : batches) {
     controller_.written(monotonic_now(), std::move(batch));
   }
-  pump();
+  process_outputs();
 }
 
 void ControlProcess::on_storage_failure(const std::string& reason) {
-  log_problem(settings_.name, "replica_stopped", {{"reason", reason}});
+  log_warning(settings_.name, "replica_stopped", {{"reason", reason}});
   controller_.replica_failed();
   asio::co_spawn(executor_, reopen_storage(), asio::detached);
 }
@@ -201,8 +201,8 @@
   const auto alive = alive_;
   asio::steady_timer timer(executor_);
   while (*alive) {
-    timer.expires_after(kReopenPause);
-    co_await timer.async_wait(kAwait);
+    timer.expires_after(kReopenInterval);
+    co_await timer.async_wait(kAwaitWithError);
     if (!*alive) {
       co_return;
     }
@@ -210,26 +210,26 @@
     std::string error;
     auto opened = storage_.open(error);
     if (opened) {
-      start_opened(std::move(*opened));
+      start_from_folder(std::move(*opened));
       co_return;
     }
-    log_problem(settings_.name, "data_folder_unusable", {{"reason", error}});
+    log_warning(settings_.name, "data_folder_unusable", {{"reason", error}});
   }
 }
 
-void ControlProcess::store_choice(const std::string& choice) {
+void ControlProcess::store_founder_choice(const std::string& choice) {
   std::string error;
   if (!storage_.store_formation(choice, error)) {
-    log_problem(settings_.name, "founder_not_stored", {{"founder", choice}, {"reason", error}});
+    log_warning(settings_.name, "founder_not_stored", {{"founder", choice}, {"reason", error}});
     return;  // Asked for again at the next tick.
   }
   log_event(settings_.name, "founder_chosen", {{"founder", choice}});
   controller_.choice_stored();
 }
 
-void ControlProcess::found_cluster() {
+void ControlProcess::create_cluster() {
   std::string error;
-  auto opened = storage_.found(settings_.peer_address, settings_.zone, error);
+  auto opened = storage_.create_first_log(settings_.peer_address, settings_.zone, error);
   if (!opened) {
     on_storage_failure(error);
     return;
@@ -238,17 +238,17 @@
   start_replica(std::move(*opened));
 }
 
-void ControlProcess::report_formation() {
+void ControlProcess::log_formation_progress() {
   const TimePoint now = monotonic_now();
   const auto* formation = controller_.formation();
-  if (formation == nullptr || now < next_formation_report_) {
+  if (formation == nullptr || now < next_formation_log_) {
     return;
   }
-  const bool is_first = next_formation_report_ == TimePoint{};
-  next_formation_report_ = now + kFormationReportInterval;
+  const bool is_first = next_formation_log_ == TimePoint{};
+  next_formation_log_ = now + kFormationLogInterval;
   if (!is_first) {
-    log_problem(settings_.name, "cluster_not_formed",
-                {{"seeds_heard", joined(formation->heard(now))},
+    log_warning(settings_.name, "cluster_not_formed",
+                {{"seeds_heard", join_items(formation->heard(now))},
                  {"needed", std::to_string(formation->majority())},
                  {"founder", formation->choice()},
                  {"remedy", "start the seeds that are missing, or correct their addresses in the settings"}});
@@ -262,11 +262,11 @@
     on_storage_failure(error);
     return;
   }
-  log_problem(settings_.name, "replica_identity_renewed", {{"reason", "the disk had lost acknowledged entries"}});
+  log_warning(settings_.name, "replica_identity_renewed", {{"reason", "the disk had lost acknowledged entries"}});
   start_replica(std::move(*opened));
 }
 
-void ControlProcess::pump() {
+void ControlProcess::process_outputs() {
   auto outputs = controller_.take_outputs();
   for (const auto& envelope : outputs.envelopes) {
     transport_.send(envelope);
@@ -275,19 +275,19 @@
     storage_.submit(std::move(batch));
   }
   if (outputs.founder_choice) {
-    store_choice(*outputs.founder_choice);
+    store_founder_choice(*outputs.founder_choice);
   }
   if (outputs.founds_cluster) {
-    found_cluster();
+    create_cluster();
   }
   for (auto& order : outputs.orders) {
     asio::co_spawn(executor_, send_order(std::move(order)), asio::detached);
   }
   for (const auto& decision : outputs.decisions) {
-    control_log_.group_changed(decision);
+    change_logger_.log_group_change(decision);
   }
   for (const auto& [instance, fault] : outputs.malformed_reports) {
-    control_log_.malformed_report(monotonic_now(), instance, fault);
+    change_logger_.log_malformed_report(monotonic_now(), instance, fault);
   }
   for (const auto& reply : outputs.replies) {
     api_.complete(reply);
@@ -297,16 +297,16 @@
 void ControlProcess::save_state() {
   const TimePoint now = monotonic_now();
   const auto& state = controller_.subscription().state();
-  const std::pair order(state.term, state.version);
-  if (order == saved_state_ || now < next_save_) {
+  const std::pair state_version(state.term, state.version);
+  if (state_version == saved_state_version_ || now < next_state_save_) {
     return;
   }
-  saved_state_ = order;
-  next_save_ = now + kStateSaveInterval;
-  storage_.submit_copy(wire::encode(state));
+  saved_state_version_ = state_version;
+  next_state_save_ = now + kStateSaveInterval;
+  storage_.submit_state_copy(wire::encode(state));
 }
 
-void ControlProcess::report_changes() {
+void ControlProcess::log_state_changes() {
   const bool leads = controller_.is_leader(monotonic_now());
   const auto* raft = controller_.raft();
   if (leads != was_leader_) {
@@ -314,19 +314,19 @@
     log_event(settings_.name, leads ? "leadership_begun" : "leadership_ended",
               {{"term", std::to_string(raft == nullptr ? 0 : raft->term())}});
   }
-  if (controller_.log().version() != known_version_) {
-    known_version_ = controller_.log().version();
-    log_event(settings_.name, "document_committed", {{"version", std::to_string(known_version_)}});
+  if (controller_.log().version() != logged_document_version_) {
+    logged_document_version_ = controller_.log().version();
+    log_event(settings_.name, "document_committed", {{"version", std::to_string(logged_document_version_)}});
   }
   const auto& evacuations = controller_.log().evacuations();
-  if (evacuations.revision != known_evacuations_) {
-    known_evacuations_ = evacuations.revision;
+  if (evacuations.revision != logged_evacuation_revision_) {
+    logged_evacuation_revision_ = evacuations.revision;
     log_event(settings_.name, "evacuations_committed",
-              {{"revision", std::to_string(evacuations.revision)}, {"zones", joined(evacuations.zones)}});
+              {{"revision", std::to_string(evacuations.revision)}, {"zones", join_items(evacuations.zones)}});
   }
-  if (raft != nullptr && raft->replicas().voters.size() != known_voters_) {
-    known_voters_ = raft->replicas().voters.size();
-    log_event(settings_.name, "voters_changed", {{"voters", std::to_string(known_voters_)}});
+  if (raft != nullptr && raft->replicas().voters.size() != logged_voter_count_) {
+    logged_voter_count_ = raft->replicas().voters.size();
+    log_event(settings_.name, "voters_changed", {{"voters", std::to_string(logged_voter_count_)}});
   }
 }
 
@@ -336,26 +336,26 @@
   TimePoint last_tick = monotonic_now();
   while (*alive) {
     const TimePoint now = monotonic_now();
-    if (now - last_tick > kOwnPause) {
+    if (now - last_tick > kProcessPauseThreshold) {
       // What others sent meanwhile was not read: judged by it, every node and instance would count as lost at once.
       controller_.note_own_pause(now, now - last_tick);
-      log_problem(settings_.name, "stood_still", {{"for_ms", std::to_string((now - last_tick) / milliseconds(1))}});
+      log_warning(settings_.name, "stood_still", {{"for_ms", std::to_string((now - last_tick) / milliseconds(1))}});
     }
     last_tick = now;
     controller_.tick(now);
-    pump();
-    report_changes();
-    report_formation();
-    search_.tick(monotonic_now(), controller_.subscription());
+    process_outputs();
+    log_state_changes();
+    log_formation_progress();
+    search_logger_.tick(monotonic_now(), controller_.subscription());
     if (controller_.is_leader(monotonic_now())) {
-      control_log_.report(monotonic_now(), controller_.leader_view());
+      change_logger_.log_changes(monotonic_now(), controller_.leader_view());
     }
     save_state();
     if (controller_.needs_new_identity()) {
       renew_identity();
     }
     timer.expires_after(kTickInterval);
-    co_await timer.async_wait(kAwait);
+    co_await timer.async_wait(kAwaitWithError);
   }
 }
 
@@ -363,9 +363,9 @@
   const auto alive = alive_;
   net::HttpRequest request;
   request.method = "POST";
-  request.target = dialect_.order_path;
+  request.target = dialect_.engine_order_path;
   request.headers.add("Content-Type", "application/json");
-  request.headers.add(dialect_.expect_instance, order.instance_id);
+  request.headers.add(dialect_.expect_instance_header, order.instance_id);
   request.body = order_body(dialect_, order);
   net::OpenOptions options;
   options.timeout = kOrderTimeout;
@@ -395,12 +395,12 @@
 
 asio::awaitable<void> ControlProcess::drain() {
   asio::steady_timer timer(executor_);
-  const TimePoint deadline = monotonic_now() + kHandOverPatience;
+  const TimePoint deadline = monotonic_now() + kLeadershipHandoverTimeout;
   controller_.begin_leaving();
   log_event(settings_.name, "draining", {{"leads", was_leader_ ? "yes" : "no"}});
   do {
     timer.expires_after(kTickInterval);
-    co_await timer.async_wait(kAwait);
+    co_await timer.async_wait(kAwaitWithError);
   } while (controller_.raft() != nullptr && controller_.raft()->is_leader() && monotonic_now() < deadline);
 }
 
--- a/src/node/dialect.h
+++ b/src/node/dialect.h
@@ -7,29 +7,29 @@
 /// The names under which callers and engines exchange what the product needs of a request. The defaults are the
 /// product's own; an adapter may supply others.
 struct Dialect {
-  std::string request_id = "Larchlever-Request-Id";
-  std::string deadline_ms = "Larchlever-Deadline-Ms";
-  std::string api_key = "Larchlever-Key";
-  std::string tenant = "Larchlever-Tenant";
-  std::string expect_instance = "Larchlever-Expect-Instance";
-  std::string instance = "Larchlever-Instance";
+  std::string request_id_header = "Larchlever-Request-Id";
+  std::string deadline_ms_header = "Larchlever-Deadline-Ms";
+  std::string api_key_header = "Larchlever-Key";
+  std::string tenant_header = "Larchlever-Tenant";
+  std::string expect_instance_header = "Larchlever-Expect-Instance";
+  std::string instance_header = "Larchlever-Instance";
   /// Present when the server did not run the request.
-  std::string not_run = "Larchlever-Not-Run";
+  std::string not_run_header = "Larchlever-Not-Run";
   /// The server's signature over an answer; a success without it is none.
-  std::string signature = "Larchlever-Signature";
-  std::string model = "Larchlever-Model";
-  std::string token_counts = "Larchlever-Tokens";
-  std::string length_hint = "Larchlever-Length-Hint";
-  std::string priority_class = "Larchlever-Priority";
-  std::string last_event_id = "Last-Event-Id";
+  std::string signature_header = "Larchlever-Signature";
+  std::string model_header = "Larchlever-Model";
+  std::string token_counts_header = "Larchlever-Tokens";
+  std::string length_hint_header = "Larchlever-Length-Hint";
+  std::string priority_class_header = "Larchlever-Priority";
+  std::string last_event_id_header = "Last-Event-Id";
   /// The server at fault when a head turns a request away.
-  std::string faulty_server = "At-Server";
+  std::string faulty_server_header = "At-Server";
   /// Says "1" in all answers of a server that leaves.
-  std::string leaving = "Larchlever-Leaving";
+  std::string leaving_header = "Larchlever-Leaving";
   /// Requests a second that a server takes from all entries together; in all answers for as long as it holds.
-  std::string limit = "Larchlever-Limit";
+  std::string limit_header = "Larchlever-Limit";
   /// Where engines take orders.
-  std::string order_path = "/engine/orders";
+  std::string engine_order_path = "/engine/orders";
   /// What the order to load a model onto the host, without joining a group, is called.
   std::string stage_operation = "stage";
 };
--- a/src/node/entry_process.cc
+++ b/src/node/entry_process.cc
@@ -10,9 +10,9 @@
 #include "net/peer_transport.h"
 #include "node/clock.h"
 #include "node/fleet_process.h"
+#include "node/leader_search_logger.h"
 #include "node/logging.h"
 #include "node/request_relay.h"
-#include "node/search_reporter.h"
 
 namespace larchlever::node {
 
@@ -20,28 +20,28 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 constexpr auto kTickInterval = std::chrono::milliseconds(25);
 /// A tick that comes this much later than the one before tells that this process stood still: ten ticks, and well below
 /// the time after which a silent group counts as stalled.
-constexpr Duration kOwnPause = milliseconds(250);
+constexpr Duration kProcessPauseThreshold = milliseconds(250);
 /// How long a stopping entry still gets new connections: the balancer asks once a second and wants two misses.
-constexpr auto kBalancerReaction = std::chrono::milliseconds(2500);
+constexpr auto kLoadBalancerDelay = std::chrono::milliseconds(2500);
 /// A stopping entry closes a connection whose last answer did not say so only once it has rested for this long: a
 /// caller that uses it again at once is told with the next answer.
-constexpr auto kRestBeforeClose = std::chrono::seconds(1);
+constexpr auto kIdleBeforeClose = std::chrono::seconds(1);
 /// Part of the machine's memory that answers may take which their callers have not read yet.
-constexpr size_t kAnswerBufferPart = 16;
+constexpr size_t kResponseBufferDivisor = 16;
 /// Kept back of the grace, for closing down.
-constexpr auto kStopReserve = std::chrono::milliseconds(500);
+constexpr auto kShutdownReserve = std::chrono::milliseconds(500);
 
-size_t answer_buffers_of(const settings::FleetSettings& settings) {
+size_t response_buffer_bytes(const settings::FleetSettings& settings) {
   if (settings.answer_buffers > 0) {
     return settings.answer_buffers;
   }
   const auto pages = static_cast<size_t>(std::max<int64_t>(0, ::sysconf(_SC_PHYS_PAGES)));
   const auto page_size = static_cast<size_t>(std::max<int64_t>(0, ::sysconf(_SC_PAGESIZE)));
-  return pages * page_size / kAnswerBufferPart;
+  return pages * page_size / kResponseBufferDivisor;
 }
 
 /// Answers the balancer's question whether this entry wants new connections.
@@ -69,21 +69,22 @@
         settings_(settings),
         identity_(make_fleet_identity(settings)),
         state_(settings.options, identity_, settings.seed_peers, std::random_device()()),
-        search_(settings.name),
+        search_logger_(settings.name),
         transport_(executor, [this](wire::Envelope envelope) { receive(envelope); }),
-        slots_(executor, state_, [this](wire::Envelope envelope) { send(std::move(envelope)); }),
-        lease_(executor, state_),
-        relay_(executor, *find_dialect(settings.dialect), state_, slots_, lease_, answer_buffers_of(settings)),
-        callers_(executor, net::HttpServerOptions(), relay_),
-        readiness_([this] { return is_ready(); }),
-        balancer_(executor, net::HttpServerOptions(), readiness_) {}
+        slot_requester_(executor, state_, [this](wire::Envelope envelope) { send(std::move(envelope)); }),
+        lease_gate_(executor, state_),
+        request_relay_(executor, *find_dialect(settings.dialect), state_, slot_requester_, lease_gate_,
+                       response_buffer_bytes(settings)),
+        caller_server_(executor, net::HttpServerOptions(), request_relay_),
+        readiness_handler_([this] { return is_ready(); }),
+        readiness_server_(executor, net::HttpServerOptions(), readiness_handler_) {}
   ~EntryProcess() override { stop(); }
 
   bool start(std::string& error) override {
     const auto [host, port] = net::split_endpoint(settings_.peer_address);
     if (!transport_.listen(host, static_cast<uint16_t>(std::stoi(port)), error) ||
-        !net::listen_on(callers_, settings_.caller_address, error) ||
-        !net::listen_on(balancer_, settings_.ready_address, error)) {
+        !net::listen_on(caller_server_, settings_.caller_address, error) ||
+        !net::listen_on(readiness_server_, settings_.ready_address, error)) {
       return false;
     }
     asio::co_spawn(executor_, tick_loop(), asio::detached);
@@ -101,36 +102,36 @@
 
   void stop() override {
     *alive_ = false;
-    callers_.close_all();
-    balancer_.close_all();
+    caller_server_.close_all();
+    readiness_server_.close_all();
     transport_.close_all();
   }
 
  private:
-  bool is_ready() const { return !leaving_ && state_.subscription.has_lease(monotonic_now()); }
+  bool is_ready() const { return !is_draining_ && state_.subscription.has_lease(monotonic_now()); }
   asio::awaitable<void> tick_loop();
   void tick();
   void receive(const wire::Envelope& envelope);
   void send(wire::Envelope envelope);
-  void adopt_document();
-  void adopt_evacuations();
+  void apply_document();
+  void apply_evacuations();
 
   asio::any_io_executor executor_;
   settings::FleetSettings settings_;
   fleet::FleetIdentity identity_;
   EntryState state_;
-  SearchReporter search_;
+  LeaderSearchLogger search_logger_;
   net::PeerTransport transport_;
-  SlotRequester slots_;
-  LeaseGate lease_;
-  RequestRelay relay_;
-  net::HttpServer callers_;
-  ReadinessHandler readiness_;
-  net::HttpServer balancer_;
+  SlotRequester slot_requester_;
+  LeaseGate lease_gate_;
+  RequestRelay request_relay_;
+  net::HttpServer caller_server_;
+  ReadinessHandler readiness_handler_;
+  net::HttpServer readiness_server_;
   int64_t document_version_ = 0;
   int64_t evacuation_revision_ = 0;
   bool had_lease_ = false;
-  bool leaving_ = false;
+  bool is_draining_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
@@ -142,9 +143,9 @@
 
 void EntryProcess::receive(const wire::Envelope& envelope) {
   if (envelope.__isset.slot_answer) {
-    slots_.receive(envelope.slot_answer);
+    slot_requester_.receive(envelope.slot_answer);
     for (const auto& group : envelope.slot_answer.failed_groups) {
-      relay_.sendings().abandon_failed(monotonic_now(), group);
+      request_relay_.in_flight_attempts().cancel_at_failed_group(monotonic_now(), group);
     }
   }
   if (!envelope.__isset.fleet_update) {
@@ -152,13 +153,13 @@
   }
   const bool changed = state_.subscription.receive(monotonic_now(), envelope);
   if (changed) {
-    adopt_evacuations();
+    apply_evacuations();
     for (const auto& target : state_.dispatcher.update_state(state_.subscription.state())) {
-      relay_.sendings().abandon_lost(target);
-      relay_.blocks().started_again(target);
+      request_relay_.in_flight_attempts().cancel_at_restarted_server(target);
+      request_relay_.blocked_request_guard().note_server_restarted(target);
     }
-    state_.blocked.update(monotonic_now(), state_.subscription.state().blocked_requests);
-    adopt_document();
+    state_.blocked_request_tracker.update(monotonic_now(), state_.subscription.state().blocked_requests);
+    apply_document();
   }
   if (!envelope.fleet_update.loads.empty()) {
     state_.dispatcher.update_loads(monotonic_now(), state_.subscription.loads());
@@ -169,13 +170,13 @@
   }
 }
 
-void EntryProcess::adopt_document() {
+void EntryProcess::apply_document() {
   if (state_.subscription.document_version() == document_version_) {
     return;
   }
   const auto parsed = document::parse_document(state_.subscription.document());
   if (parsed.document == nullptr) {
-    log_problem(settings_.name, "document_unreadable", {{"reason", parsed.error.message}});
+    log_warning(settings_.name, "document_unreadable", {{"reason", parsed.error.message}});
     return;
   }
   document_version_ = state_.subscription.document_version();
@@ -188,11 +189,11 @@
   options.head_timeout = std::chrono::duration_cast<std::chrono::milliseconds>(limits.header_timeout);
   options.idle_timeout = std::chrono::duration_cast<std::chrono::milliseconds>(limits.idle_timeout);
   options.write_timeout = options.idle_timeout;  // Who takes nothing for so long is as good as gone.
-  callers_.set_options(options);
+  caller_server_.set_options(options);
   log_event(settings_.name, "document_in_force", {{"version", std::to_string(document_version_)}});
 }
 
-void EntryProcess::adopt_evacuations() {
+void EntryProcess::apply_evacuations() {
   const auto& evacuations = state_.subscription.evacuations();
   if (evacuations.revision == evacuation_revision_) {
     return;
@@ -200,23 +201,23 @@
   evacuation_revision_ = evacuations.revision;
   state_.dispatcher.update_evacuations(evacuations);
   log_event(settings_.name, "evacuations_in_force",
-            {{"revision", std::to_string(evacuations.revision)}, {"zones", joined(evacuations.zones)}});
+            {{"revision", std::to_string(evacuations.revision)}, {"zones", join_items(evacuations.zones)}});
 }
 
 void EntryProcess::tick() {
   const TimePoint now = monotonic_now();
-  slots_.tick(now);
+  slot_requester_.tick(now);
   wire::FleetHeartbeat content;
-  content.leaving = leaving_;
-  content.wants_loads = slots_.decides_alone(now);
+  content.leaving = is_draining_;
+  content.wants_loads = slot_requester_.decides_locally(now);
   if (auto heartbeat = state_.subscription.tick(now, content)) {
     send(std::move(*heartbeat));
   }
-  search_.tick(now, state_.subscription);
+  search_logger_.tick(now, state_.subscription);
   const bool has_lease = state_.subscription.has_lease(now);
   if (has_lease != had_lease_) {
     had_lease_ = has_lease;
-    lease_.set_lease(now, has_lease);
+    lease_gate_.note_lease_change(now, has_lease);
     log_event(settings_.name, has_lease ? "document_lease_gained" : "document_lease_lost",
               {{"version", std::to_string(document_version_)}, {"leader", state_.subscription.leader()}});
   }
@@ -228,37 +229,37 @@
   TimePoint last_tick = monotonic_now();
   while (*alive) {
     const TimePoint now = monotonic_now();
-    if (now - last_tick > kOwnPause) {
+    if (now - last_tick > kProcessPauseThreshold) {
       // Answers that arrived meanwhile wait in the sockets. Judged before they are read, healthy groups would count as
       // stalled and their whole answers would be cut.
       state_.dispatcher.note_own_pause(now);
-      relay_.sendings().abandon_overdue(now);
-      log_problem(settings_.name, "stood_still", {{"for_ms", std::to_string((now - last_tick) / milliseconds(1))}});
+      request_relay_.in_flight_attempts().cancel_overdue(now);
+      log_warning(settings_.name, "stood_still", {{"for_ms", std::to_string((now - last_tick) / milliseconds(1))}});
     }
     last_tick = now;
     tick();
-    relay_.sendings().abandon_stalled(monotonic_now());
+    request_relay_.in_flight_attempts().cancel_stalled(monotonic_now());
     timer.expires_after(kTickInterval);
-    co_await timer.async_wait(kAwait);
+    co_await timer.async_wait(kAwaitWithError);
   }
 }
 
 asio::awaitable<void> EntryProcess::drain() {
   asio::steady_timer timer(executor_);
-  const TimePoint deadline = monotonic_now() + settings_.stop_grace - kStopReserve;
-  leaving_ = true;
-  callers_.begin_draining();
-  log_event(settings_.name, "draining", {{"requests", std::to_string(callers_.stats().active_requests)}});
+  const TimePoint deadline = monotonic_now() + settings_.stop_grace - kShutdownReserve;
+  is_draining_ = true;
+  caller_server_.begin_draining();
+  log_event(settings_.name, "draining", {{"requests", std::to_string(caller_server_.stats().active_requests)}});
   // The balancer reacts late: what it still sends here is served.
-  timer.expires_after(kBalancerReaction);
-  co_await timer.async_wait(kAwait);
-  callers_.stop_accepting();
-  while (callers_.stats().open_connections > 0 && monotonic_now() < deadline) {
-    callers_.close_idle(kRestBeforeClose);
+  timer.expires_after(kLoadBalancerDelay);
+  co_await timer.async_wait(kAwaitWithError);
+  caller_server_.stop_accepting();
+  while (caller_server_.stats().open_connections > 0 && monotonic_now() < deadline) {
+    caller_server_.close_idle(kIdleBeforeClose);
     timer.expires_after(kTickInterval);
-    co_await timer.async_wait(kAwait);
+    co_await timer.async_wait(kAwaitWithError);
   }
-  log_event(settings_.name, "drained", {{"requests_left", std::to_string(callers_.stats().active_requests)}});
+  log_event(settings_.name, "drained", {{"requests_left", std::to_string(caller_server_.stats().active_requests)}});
 }
 
 }  // namespace
--- a/src/node/entry_state.h
+++ b/src/node/entry_state.h
@@ -30,14 +30,16 @@
 struct EntryState {
   EntryState(const fleet::FleetOptions& options, const fleet::FleetIdentity& identity,
              const std::vector<std::string>& seeds, uint64_t random_seed)
-      : subscription(options, identity, seeds), dispatcher(options, identity.zone, random_seed), zones(options.zones) {}
+      : subscription(options, identity, seeds),
+        dispatcher(options, identity.zone, random_seed),
+        zone_regions(options.zones) {}
 
   fleet::FleetSubscription subscription;
   fleet::Dispatcher dispatcher;
   /// The region of each zone that the settings name.
-  document::ZoneRegions zones;
+  document::ZoneRegions zone_regions;
   /// Requests that end the servers that run them.
-  fleet::BlockedRequests blocked;
+  fleet::BlockedRequests blocked_request_tracker;
   /// Null until the first document arrived.
   std::shared_ptr<const document::RouteTable> routes;
   /// By model, how much later than the leader expected the first events come: what the cost model leaves out.
--- /dev/null
+++ b/src/node/fleet_change_logger.cc
@@ -0,0 +1,146 @@
+#include "node/fleet_change_logger.h"
+
+#include <algorithm>
+
+#include "node/logging.h"
+
+namespace larchlever::node {
+
+namespace {
+
+/// How often the leader logs a summary of the fleet.
+constexpr Duration kSummaryInterval = seconds(1);
+/// Shortest time between two lines on reports that were refused.
+constexpr Duration kMalformedReportLogInterval = milliseconds(200);
+
+}  // namespace
+
+void FleetChangeLogger::log_malformed_report(TimePoint now, const std::string& instance,
+                                             const fleet::MalformedReport& fault) {
+  ++malformed_report_count_;
+  if (now < next_malformed_report_log_) {
+    return;  // Counted in the next line: another writer may report as often as all servers together.
+  }
+  next_malformed_report_log_ = now + kMalformedReportLogInterval;
+  log_warning(node_name_, "malformed_report",
+              {{"instance", instance},
+               {"field", fault.field},
+               {"reason", fault.message},
+               {"refused_so_far", std::to_string(malformed_report_count_)}});
+}
+
+void FleetChangeLogger::log_group_change(const fleet::GroupDecision& decision) const {
+  log_event(
+      node_name_, "group_changed",
+      {{"group", decision.group.name},
+       {"epoch", std::to_string(decision.group.epoch)},
+       {"model", decision.group.model},
+       {"phase", decision.reason == fleet::GroupReason::kReleased ? "RELEASED" : wire::to_string(decision.group.phase)},
+       {"reason", fleet::to_string(decision.reason)},
+       {"members", join_items(decision.group.members)}});
+}
+
+void FleetChangeLogger::log_instance_changes(const fleet::FleetLeader& leader) {
+  const auto& rows = leader.instances().rows();
+  std::erase_if(logged_instances_, [&rows](const auto& item) { return !rows.contains(item.first); });
+  for (const auto& [id, row] : rows) {
+    const LoggedInstance state{row.instance.state,         row.instance.silent,  row.instance.model,
+                               row.instance.staged_models, row.instance.born_ms, fleet::limit_of(row.instance)};
+    const auto [logged, is_new] = logged_instances_.try_emplace(id, state);
+    if (!is_new && logged->second == state) {
+      continue;
+    }
+    logged->second = state;
+    log_event(node_name_, "instance_changed",
+              {{"instance", id},
+               {"born", std::to_string(state.born_ms)},
+               {"service", row.instance.service_name},
+               {"zone", row.instance.zone},
+               {"domain", row.instance.domain},
+               {"address", row.instance.address},
+               {"state", wire::to_string(state.state)},
+               {"silent", state.silent ? "yes" : "no"},
+               {"model", state.model},
+               {"staged", join_items(state.staged_models)},
+               {"limit_per_second", state.limit_per_second ? std::to_string(*state.limit_per_second) : ""}});
+  }
+}
+
+void FleetChangeLogger::log_blocked_request_changes(const fleet::FleetLeader& leader) {
+  auto rows = leader.blocked_requests();
+  const auto is_listed = [](const auto& list, const wire::BlockedRequest& row) {
+    return std::find(list.begin(), list.end(), row) != list.end();
+  };
+  for (const auto& row : rows) {
+    if (!is_listed(logged_blocked_requests_, row)) {
+      log_event(node_name_, "request_blocked",
+                {{"fingerprint", to_string(requests::RequestFingerprint(row.fingerprint))},
+                 {"trials", std::to_string(row.trials)},
+                 {"trial_due", row.trial_due ? "yes" : "no"},
+                 {"wait_ms", std::to_string(row.wait_ms)}});
+    }
+  }
+  for (const auto& row : logged_blocked_requests_) {
+    const bool is_still_blocked = std::any_of(
+        rows.begin(), rows.end(), [&row](const auto& known) { return known.fingerprint == row.fingerprint; });
+    if (!is_still_blocked) {
+      log_event(node_name_, "request_freed",
+                {{"fingerprint", to_string(requests::RequestFingerprint(row.fingerprint))}});
+    }
+  }
+  logged_blocked_requests_ = std::move(rows);
+}
+
+void FleetChangeLogger::log_fleet_summary(TimePoint now, const fleet::FleetLeader& leader_view) {
+  if (now < next_summary_) {
+    return;
+  }
+  next_summary_ = now + kSummaryInterval;
+  size_t instances_in_groups = 0;
+  size_t serving_instances = 0;
+  std::map<std::string, int> groups;
+  std::map<std::string, int> loads;
+  for (const auto& group : leader_view.groups()) {
+    instances_in_groups += group.members.size();
+    const bool is_open = group.phase == wire::GroupPhase::OPEN;
+    serving_instances += is_open ? group.members.size() : 0;
+    ++groups[group.model + (is_open ? "" : "/" + wire::to_string(group.phase))];
+    const auto load = leader_view.loads().find(group.name);
+    loads[group.model] += load == leader_view.loads().end() ? 0 : load->second.in_flight;
+  }
+  size_t ready = 0;
+  size_t silent = 0;
+  for (const auto& [id, row] : leader_view.instances().rows()) {
+    ready += row.instance.state == wire::InstanceState::READY && !row.instance.silent ? 1 : 0;
+    silent += row.instance.silent && row.instance.state != wire::InstanceState::GONE ? 1 : 0;
+  }
+  std::string free_instances_text;
+  for (const auto& [id, row] : leader_view.instances().rows()) {
+    const auto& instance = row.instance;
+    const bool is_free = !instance.domain.empty() && instance.state == wire::InstanceState::READY && !instance.silent &&
+                         leader_view.owner_of(id) == nullptr;
+    if (is_free) {
+      free_instances_text += (free_instances_text.empty() ? "" : ",") + instance.domain + "/" +
+                             (instance.model.empty() ? "none" : instance.model) + "/" +
+                             (instance.staged_models.empty() ? "none" : instance.staged_models.back());
+    }
+  }
+  std::string group_text;
+  for (const auto& [model, count] : groups) {
+    group_text += (group_text.empty() ? "" : ",") + model + ":" + std::to_string(count);
+  }
+  std::string load_text;
+  for (const auto& [model, count] : loads) {
+    load_text += (load_text.empty() ? "" : ",") + model + ":" + std::to_string(count);
+  }
+  log_event(node_name_, "fleet_summary",
+            {{"ready", std::to_string(ready)},
+             {"silent", std::to_string(silent)},
+             {"in_groups", std::to_string(instances_in_groups)},
+             {"serving", std::to_string(serving_instances)},
+             {"groups", group_text},
+             {"free", free_instances_text},
+             {"in_flight", load_text}});
+}
+
+}  // namespace larchlever::node
--- a/src/node/claim_gate.cc
+++ b/src/node/idempotency_guard.cc
@@ -1,19 +1,19 @@
-#include "node/claim_gate.h"
+#include "node/idempotency_guard.h"
 
 namespace larchlever::node {
 
 namespace asio = boost::asio;
 using requests::Outcome;
 
-asio::awaitable<bool> ClaimGate::take(net::HttpExchange& exchange, Ticket& ticket) {
+asio::awaitable<bool> IdempotencyGuard::acquire_key(net::HttpExchange& exchange, KeyClaim& key_claim) {
   wire::Claim claim;
-  claim.tenant = ticket.tenant;
-  claim.key = ticket.key;
-  claim.body_digest = ticket.body_digest;
-  claim.claimed_at_ms = ticket.issued_at_ms;
+  claim.tenant = key_claim.tenant;
+  claim.key = key_claim.key;
+  claim.body_digest = key_claim.body_digest;
+  claim.claimed_at_ms = key_claim.issued_at_ms;
   const TimePoint deadline = NodeRuntime::now() + runtime_.settings().requests.claim_timeout;
   const ClaimOutcome outcome = co_await runtime_.claim(std::move(claim), deadline);
-  ticket.nonce = outcome.request_id;
+  key_claim.nonce = outcome.request_id;
   if (outcome.granted) {
     ++stats_.claims_granted;
     co_return true;
@@ -21,62 +21,63 @@
   ++stats_.claims_refused;
   if (!outcome.decided) {
     // The claim may still be committed later; this bars it, so that a later resend is not taken for a double.
-    resolve(ticket, Outcome::kNotRun, 0, "", "");
+    record_outcome(key_claim, Outcome::kNotRun, 0, "", "");
   }
-  co_await answer_standing(exchange, outcome, ticket.body_digest);
+  co_await respond_not_granted(exchange, outcome, key_claim.body_digest);
   co_return false;
 }
 
-asio::awaitable<void> ClaimGate::answer_standing(net::HttpExchange& exchange, const ClaimOutcome& outcome,
-                                                 int64_t digest) {
-  const auto& standing = outcome.standing;
-  Problem problem;
-  Outcome told = Outcome::kUnknown;
+asio::awaitable<void> IdempotencyGuard::respond_not_granted(net::HttpExchange& exchange, const ClaimOutcome& outcome,
+                                                            int64_t digest) {
+  const auto& existing_claim = outcome.standing;
+  ProblemDetails problem;
+  Outcome reported_outcome = Outcome::kUnknown;
   if (!outcome.decided) {
     problem = {503, "no quorum could be asked whether this key was used", "send the request again with the same key",
                kRetryAfterSeconds};
   } else if (outcome.expired_key) {
     problem = {410, "the key was issued before the window in which keys are remembered",
                "find out whether the request ran; then use a new key", 0};
-  } else if (standing.body_digest != digest) {
-    told = Outcome::kNotRun;
+  } else if (existing_claim.body_digest != digest) {
+    reported_outcome = Outcome::kNotRun;
     problem = {422, "the key was used for another request", "use a new key for a new request", 0};
-  } else if (standing.state == wire::ClaimState::RAN && !standing.answer_content_type.empty()) {
-    ++stats_.answers_replayed;
+  } else if (existing_claim.state == wire::ClaimState::RAN && !existing_claim.answer_content_type.empty()) {
+    ++stats_.replayed_responses;
     net::HttpResponse response;
-    response.status = standing.answer_status;
-    response.headers.add("Content-Type", standing.answer_content_type);
+    response.status = existing_claim.answer_status;
+    response.headers.add("Content-Type", existing_claim.answer_content_type);
     response.headers.add("Larchlever-Outcome", "ran");
     response.headers.add("Larchlever-Replayed", "true");
-    response.body = standing.answer_body;
-    stats_.count(Outcome::kRan);
+    response.body = existing_claim.answer_body;
+    stats_.count_outcome(Outcome::kRan);
     co_await exchange.respond(std::move(response));
     co_return;
-  } else if (standing.state == wire::ClaimState::RAN) {
-    told = Outcome::kRan;
+  } else if (existing_claim.state == wire::ClaimState::RAN) {
+    reported_outcome = Outcome::kRan;
     problem = {409, "the request ran; its answer is no longer held", "do not send it again", 0};
-  } else if (standing.state == wire::ClaimState::IN_PROGRESS) {
+  } else if (existing_claim.state == wire::ClaimState::IN_PROGRESS) {
     problem = {409, "a request with this key is in progress", "ask again with the same key", kRetryAfterSeconds};
   } else {
     problem = {409, "a request with this key was started and its outcome is not known",
                "find out whether it ran before using a new key", 0};
   }
-  stats_.count(told);
-  co_await send_problem(exchange, problem, told);
+  stats_.count_outcome(reported_outcome);
+  co_await send_problem(exchange, problem, reported_outcome);
 }
 
-void ClaimGate::resolve(const Ticket& ticket, Outcome outcome, int status, std::string body, std::string content_type) {
+void IdempotencyGuard::record_outcome(const KeyClaim& key_claim, Outcome outcome, int status, std::string body,
+                                      std::string content_type) {
   wire::ClaimResolution resolution;
-  resolution.tenant = ticket.tenant;
-  resolution.key = ticket.key;
-  resolution.nonce = ticket.nonce;
+  resolution.tenant = key_claim.tenant;
+  resolution.key = key_claim.key;
+  resolution.nonce = key_claim.nonce;
   resolution.state = outcome == Outcome::kRan      ? wire::ClaimState::RAN
                      : outcome == Outcome::kNotRun ? wire::ClaimState::NOT_RUN
                                                    : wire::ClaimState::UNKNOWN;
   resolution.answer_status = status;
   resolution.answer_body = std::move(body);
   resolution.answer_content_type = std::move(content_type);
-  runtime_.resolve(std::move(resolution));
+  runtime_.record_claim_outcome(std::move(resolution));
 }
 
 }  // namespace larchlever::node
--- a/src/node/claim_gate.h
+++ b/src/node/idempotency_guard.h
@@ -3,18 +3,18 @@
 #include <cstdint>
 #include <string>
 
-#include "node/front_answers.h"
 #include "node/node_runtime.h"
+#include "node/problem_responses.h"
 
 namespace larchlever::node {
 
 /// Keeps keyed requests to at most one run: asks a quorum for the key before anything leaves, answers the caller when
 /// the key is taken, and records what became of a request that held it. One executor.
-class ClaimGate {
+class IdempotencyGuard {
  public:
-  ClaimGate(NodeRuntime& runtime, FrontStats& stats) : runtime_(runtime), stats_(stats) {}
+  IdempotencyGuard(NodeRuntime& runtime, RequestStats& stats) : runtime_(runtime), stats_(stats) {}
 
-  struct Ticket {
+  struct KeyClaim {
     std::string tenant;
     std::string key;
     int64_t body_digest = 0;
@@ -23,16 +23,17 @@
   };
 
   /// True when this request may run. Otherwise the caller has been answered.
-  boost::asio::awaitable<bool> take(net::HttpExchange& exchange, Ticket& ticket);
+  boost::asio::awaitable<bool> acquire_key(net::HttpExchange& exchange, KeyClaim& key_claim);
   /// Records the outcome of a request that held the key; an answer with a content type is kept for resends.
-  void resolve(const Ticket& ticket, requests::Outcome outcome, int status, std::string body, std::string content_type);
+  void record_outcome(const KeyClaim& key_claim, requests::Outcome outcome, int status, std::string body,
+                      std::string content_type);
 
  private:
-  boost::asio::awaitable<void> answer_standing(net::HttpExchange& exchange, const ClaimOutcome& outcome,
-                                               int64_t digest);
+  boost::asio::awaitable<void> respond_not_granted(net::HttpExchange& exchange, const ClaimOutcome& outcome,
+                                                   int64_t digest);
 
   NodeRuntime& runtime_;
-  FrontStats& stats_;
+  RequestStats& stats_;
 };
 
 }  // namespace larchlever::node
--- /dev/null
+++ b/src/node/in_flight_attempts.cc
@@ -0,0 +1,94 @@
+#include "node/in_flight_attempts.h"
+
+#include "node/logging.h"
+
+namespace larchlever::node {
+
+namespace {
+
+/// A group that brings nothing to any of this entry's requests for this long stands still.
+constexpr Duration kBaseStallTime = milliseconds(900);
+constexpr Duration kStallTimePerRequest = milliseconds(100);
+
+}  // namespace
+
+void InFlightAttempts::add_attempt(const RelayedRequest& request, const fleet::Target& target) {
+  attempts_by_target_[target.key][request.cancellation] = request.deadline;
+}
+
+void InFlightAttempts::remove_attempt(const RelayedRequest& request, const fleet::Target& target) {
+  auto& attempts = attempts_by_target_[target.key];
+  attempts.erase(request.cancellation);
+  if (attempts.empty()) {
+    attempts_by_target_.erase(target.key);
+  }
+}
+
+InFlightAttempts::AttemptDeadlines InFlightAttempts::attempts_at(const std::string& target_key) const {
+  const auto found = attempts_by_target_.find(target_key);
+  return found == attempts_by_target_.end() ? AttemptDeadlines() : found->second;
+}
+
+void InFlightAttempts::note_failure(const fleet::Target& target, TimePoint now) {
+  if (!state_.dispatcher.note_failure(now, target)) {
+    return;
+  }
+  ++state_.counters.stalls;
+  if (!target.group.empty()) {
+    cancel_at_target(target, now);
+  }
+}
+
+void InFlightAttempts::cancel_at_target(const fleet::Target& target, TimePoint now) {
+  int retry_allowance = state_.dispatcher.retries_left(now, target.service);
+  for (const auto& [cancellation, deadline] : attempts_at(target.key)) {
+    if (retry_allowance-- <= 0) {
+      return;
+    }
+    cancellation->cancel();
+  }
+}
+
+void InFlightAttempts::cancel_stalled(TimePoint now) {
+  for (const auto& target : state_.dispatcher.stalled_groups(now, kBaseStallTime, kStallTimePerRequest)) {
+    ++state_.counters.stalls;
+    log_event("", "group_stalled", {{"group", target.group}, {"requests", std::to_string(target.in_flight)}});
+    state_.dispatcher.avoid(now, target.key);
+    cancel_at_target(target, now);
+  }
+}
+
+void InFlightAttempts::cancel_at_failed_group(TimePoint now, const std::string& group) {
+  const auto target = state_.dispatcher.target_of_group(now, group);
+  if (!target) {
+    return;  // Avoided already, or gone.
+  }
+  ++state_.counters.stalls;
+  log_event("", "group_failed", {{"group", group}, {"requests", std::to_string(attempts_at(target->key).size())}});
+  state_.dispatcher.avoid(now, target->key);
+  cancel_at_target(*target, now);
+}
+
+void InFlightAttempts::cancel_at_restarted_server(const std::string& target_key) {
+  const auto lost = attempts_at(target_key);
+  if (lost.empty()) {
+    return;
+  }
+  log_event("", "server_started_again", {{"target", target_key}, {"requests", std::to_string(lost.size())}});
+  for (const auto& [cancellation, deadline] : lost) {
+    cancellation->cancel();
+  }
+}
+
+void InFlightAttempts::cancel_overdue(TimePoint now) {
+  const auto attempts_snapshot = attempts_by_target_;
+  for (const auto& [key, attempts] : attempts_snapshot) {
+    for (const auto& [cancellation, deadline] : attempts) {
+      if (deadline <= now) {
+        cancellation->cancel();
+      }
+    }
+  }
+}
+
+}  // namespace larchlever::node
--- /dev/null
+++ b/src/node/leader_search_logger.cc
@@ -0,0 +1,46 @@
+#include "node/leader_search_logger.h"
+
+#include "node/logging.h"
+
+namespace larchlever::node {
+
+namespace {
+
+/// A search this long is worth a line, and a further line each time it lasts as long again.
+constexpr Duration kLogInterval = seconds(1);
+
+std::string format_counts(const std::map<std::string, int>& asked) {
+  std::string text;
+  for (const auto& [peer, count] : asked) {
+    text += (text.empty() ? "" : ",") + peer + "*" + std::to_string(count);
+  }
+  return text;
+}
+
+}  // namespace
+
+void LeaderSearchLogger::tick(TimePoint now, const fleet::FleetSubscription& subscription) {
+  if (!subscription.is_searching(now)) {
+    if (was_logged_) {
+      log_event(node_name_, "leader_found", {{"leader", subscription.leader()}});
+    }
+    search_began_ = TimePoint::min();
+    was_logged_ = false;
+    return;
+  }
+  if (search_began_ == TimePoint::min()) {
+    search_began_ = now;
+    next_log_ = now + kLogInterval;
+  }
+  if (now < next_log_) {
+    return;
+  }
+  next_log_ = now + kLogInterval;
+  was_logged_ = true;
+  log_warning(node_name_, "leader_sought",
+              {{"for_ms", std::to_string((now - search_began_) / milliseconds(1))},
+               {"known_replicas", std::to_string(subscription.peers().size())},
+               {"asked", format_counts(subscription.asked_in_search())}});
+}
+
+}  // namespace larchlever::node
--- a/src/node/lease_gate.cc
+++ b/src/node/lease_gate.cc
@@ -11,34 +11,34 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 /// A leader is found this long after all control processes have started anew; later the cause is another.
-constexpr Duration kRecoveryTime = milliseconds(2000);
+constexpr Duration kLeaderRecoveryTime = milliseconds(2000);
 
 }  // namespace
 
 LeaseGate::LeaseGate(asio::any_io_executor executor, EntryState& state)
-    : executor_(std::move(executor)), state_(state), without_since_(monotonic_now()) {}
+    : executor_(std::move(executor)), state_(state), without_lease_since_(monotonic_now()) {}
 
-void LeaseGate::set_lease(TimePoint now, bool has_lease) {
+void LeaseGate::note_lease_change(TimePoint now, bool has_lease) {
   if (!has_lease) {
-    without_since_ = now;
+    without_lease_since_ = now;
     return;
   }
-  for (auto* timer : waiting_) {
+  for (auto* timer : waiting_timers_) {
     timer->cancel();
   }
 }
 
-asio::awaitable<void> LeaseGate::wait(TimePoint until) {
-  const TimePoint last = std::min(until, without_since_ + kRecoveryTime);
+asio::awaitable<void> LeaseGate::wait_for_lease(TimePoint until) {
+  const TimePoint wait_until = std::min(until, without_lease_since_ + kLeaderRecoveryTime);
   asio::steady_timer timer(executor_);
-  waiting_.insert(&timer);
-  for (TimePoint now = monotonic_now(); !is_open(now) && now < last; now = monotonic_now()) {
-    timer.expires_after(last - now);
-    co_await timer.async_wait(kAwait);
+  waiting_timers_.insert(&timer);
+  for (TimePoint now = monotonic_now(); !has_usable_lease(now) && now < wait_until; now = monotonic_now()) {
+    timer.expires_after(wait_until - now);
+    co_await timer.async_wait(kAwaitWithError);
   }
-  waiting_.erase(&timer);
+  waiting_timers_.erase(&timer);
 }
 
 }  // namespace larchlever::node
--- a/src/node/lease_gate.h
+++ b/src/node/lease_gate.h
@@ -19,19 +19,19 @@
   LeaseGate(boost::asio::any_io_executor executor, EntryState& state);
 
   /// Returns once there is a lease, or none is to be expected, or `until` has passed.
-  boost::asio::awaitable<void> wait(TimePoint until);
+  boost::asio::awaitable<void> wait_for_lease(TimePoint until);
   /// The lease was gained: lets everybody go on. Or it was lost.
-  void set_lease(TimePoint now, bool has_lease);
+  void note_lease_change(TimePoint now, bool has_lease);
 
  private:
-  bool is_open(TimePoint now) const { return state_.routes != nullptr && state_.subscription.has_lease(now); }
+  bool has_usable_lease(TimePoint now) const { return state_.routes != nullptr && state_.subscription.has_lease(now); }
 
   boost::asio::any_io_executor executor_;
   EntryState& state_;
   /// Timers of those that wait; cancelled when the lease is gained.
-  std::set<boost::asio::steady_timer*> waiting_;
+  std::set<boost::asio::steady_timer*> waiting_timers_;
   /// Since when there has been none: the start, or the loss of the last one.
-  TimePoint without_since_;
+  TimePoint without_lease_since_;
 };
 
 }  // namespace larchlever::node
--- a/src/node/log_output.h
+++ b/src/node/log_output.h
@@ -14,14 +14,15 @@
 /// thread-safe.
 class LogOutput {
  public:
-  /// `descriptor` stays the caller's. `most_kept` bytes of lines wait at the most.
-  LogOutput(int descriptor, size_t most_kept) : descriptor_(descriptor), most_kept_(most_kept) {}
+  /// `descriptor` stays the caller's. `max_buffered_bytes` bytes of lines wait at the most.
+  LogOutput(int descriptor, size_t max_buffered_bytes)
+      : descriptor_(descriptor), max_buffered_bytes_(max_buffered_bytes) {}
 
   /// `line` ends with a line feed.
   void write(std::string_view line);
   /// Writes what waits, as far as the reader takes it.
   void flush();
-  size_t kept_bytes() const { return kept_.size(); }
+  size_t buffered_bytes() const { return buffer_.size(); }
   uint64_t dropped_lines() const { return dropped_lines_; }
 
  private:
@@ -29,10 +30,10 @@
   bool is_writable() const;
 
   int descriptor_;
-  size_t most_kept_;
-  std::string kept_;
+  size_t max_buffered_bytes_;
+  std::string buffer_;
   uint64_t dropped_lines_ = 0;
-  uint64_t unreported_lines_ = 0;
+  uint64_t unreported_dropped_lines_ = 0;
 };
 
 }  // namespace larchlever::node
--- a/src/node/logging.cc
+++ b/src/node/logging.cc
@@ -26,12 +26,12 @@
 }
 
 /// Lines that wait for the reader of standard output: some seconds of a busy node's, and little beside its memory.
-constexpr size_t kMostKeptBytes = 256 * 1024;
+constexpr size_t kMaxBufferedBytes = 256 * 1024;
 
 /// Lays lines out and writes them to standard output without waiting for its reader.
 class StandardOutputAppender : public log4cplus::Appender {
  public:
-  StandardOutputAppender() : output_(STDOUT_FILENO, kMostKeptBytes) {}
+  StandardOutputAppender() : output_(STDOUT_FILENO, kMaxBufferedBytes) {}
   ~StandardOutputAppender() override { destructorImpl(); }
   StandardOutputAppender(const StandardOutputAppender&) = delete;
   StandardOutputAppender& operator=(const StandardOutputAppender&) = delete;
@@ -63,17 +63,17 @@
 }
 
 /// Names the process in lines whose writer knows no node.
-std::string& process_node() {
+std::string& default_node() {
   static std::string name;
   return name;
 }
 
 std::string format(std::string_view node, std::string_view event, LogFields fields) {
-  std::string line = "event=" + std::string(event) + " node=" + std::string(node.empty() ? process_node() : node);
+  std::string line = "event=" + std::string(event) + " node=" + std::string(node.empty() ? default_node() : node);
   for (const auto& [key, value] : fields) {
-    const bool quoted = value.empty() || value.find_first_of(" \"\n") != std::string::npos;
+    const bool needs_quotes = value.empty() || value.find_first_of(" \"\n") != std::string::npos;
     line += " " + std::string(key) + "=";
-    if (!quoted) {
+    if (!needs_quotes) {
       line += value;
       continue;
     }
@@ -123,17 +123,17 @@
   }
 }
 
-void name_process(const std::string& node) { process_node() = node; }
+void set_default_node(const std::string& node) { default_node() = node; }
 
 void log_event(std::string_view node, std::string_view event, LogFields fields) {
   LOG4CPLUS_INFO(logger(), format(node, event, fields));
 }
 
-void log_problem(std::string_view node, std::string_view event, LogFields fields) {
+void log_warning(std::string_view node, std::string_view event, LogFields fields) {
   LOG4CPLUS_WARN(logger(), format(node, event, fields));
 }
 
-std::string joined(const std::vector<std::string>& items) {
+std::string join_items(const std::vector<std::string>& items) {
   std::string result;
   for (const auto& item : items) {
     result += (result.empty() ? "" : ",") + item;
--- a/src/node/logging.h
+++ b/src/node/logging.h
@@ -17,7 +17,7 @@
 void configure_logging(const std::string& level, const std::string& file);
 
 /// Sets the node that lines name whose writer passes none. To be called once, before the node starts.
-void name_process(const std::string& node);
+void set_default_node(const std::string& node);
 
 /// Writes lines that the reader of standard output did not take yet, as far as it does now.
 void flush_log();
@@ -26,9 +26,9 @@
 
 /// One line per change of state: `event` and its fields as key=value.
 void log_event(std::string_view node, std::string_view event, LogFields fields);
-void log_problem(std::string_view node, std::string_view event, LogFields fields);
+void log_warning(std::string_view node, std::string_view event, LogFields fields);
 
 /// The items of a field that lists several.
-std::string joined(const std::vector<std::string>& items);
+std::string join_items(const std::vector<std::string>& items);
 
 }  // namespace larchlever::node
--- a/src/node/metrics.cc
+++ b/src/node/metrics.cc
@@ -11,14 +11,14 @@
 
 class MetricList {
  public:
-  void counter(const std::string& name, const std::string& help, uint64_t value) {
+  void add_counter(const std::string& name, const std::string& help, uint64_t value) {
     add(name, help, prometheus::MetricType::Counter, static_cast<double>(value), {});
   }
-  void gauge(const std::string& name, const std::string& help, double value) {
+  void add_gauge(const std::string& name, const std::string& help, double value) {
     add(name, help, prometheus::MetricType::Gauge, value, {});
   }
-  void labelled(const std::string& name, const std::string& help, const std::string& label,
-                const std::vector<std::pair<std::string, double>>& values) {
+  void add_labelled_gauges(const std::string& name, const std::string& help, const std::string& label,
+                           const std::vector<std::pair<std::string, double>>& values) {
     for (const auto& [text, value] : values) {
       add(name, help, prometheus::MetricType::Gauge, value, {{label, text}});
     }
@@ -53,87 +53,93 @@
   std::vector<prometheus::MetricFamily> families_;
 };
 
-void add_front(MetricList& list, const RequestFront& front, const net::HttpServerStats& server) {
-  const auto& stats = front.stats();
-  list.counter("model_requests_total", "Model requests received", stats.model_requests);
-  list.counter("service_requests_total", "Plain service requests received", stats.service_requests);
-  list.labelled("requests_by_outcome", "Answers by what is known of their execution", "outcome",
-                {{"ran", static_cast<double>(stats.ran)},
-                 {"not-run", static_cast<double>(stats.not_run)},
-                 {"unknown", static_cast<double>(stats.unknown)}});
-  list.counter("retries_total", "Attempts after a failed one", stats.retries);
-  list.counter("resumed_streams_total", "Streams resumed on another group", stats.resumed_streams);
-  list.counter("cut_streams_total", "Answers that broke off visibly", stats.cut_streams);
-  list.counter("disordered_answers_total", "Answers of another request or out of order", stats.foreign_or_disordered);
-  list.counter("claims_granted_total", "Idempotency keys granted", stats.claims_granted);
-  list.counter("claims_refused_total", "Idempotency keys refused", stats.claims_refused);
-  list.counter("answers_replayed_total", "Stored answers sent again", stats.answers_replayed);
-  list.gauge("requests_active", "Requests being served", static_cast<double>(front.active()));
-  list.counter("http_malformed_total", "Malformed HTTP requests", server.malformed);
-  list.counter("http_too_large_total", "Requests over a size limit", server.too_large);
-  list.counter("http_timeouts_total", "Callers too slow in sending", server.timeouts);
-  list.gauge("http_connections", "Open callers' connections", static_cast<double>(server.open_connections));
+void add_request_metrics(MetricList& metrics, const CallerApi& caller_api, const net::HttpServerStats& server_stats) {
+  const auto& stats = caller_api.stats();
+  metrics.add_counter("model_requests_total", "Model requests received", stats.model_requests);
+  metrics.add_counter("service_requests_total", "Plain service requests received", stats.service_requests);
+  metrics.add_labelled_gauges("requests_by_outcome", "Answers by what is known of their execution", "outcome",
+                              {{"ran", static_cast<double>(stats.ran_outcomes)},
+                               {"not-run", static_cast<double>(stats.not_run_outcomes)},
+                               {"unknown", static_cast<double>(stats.unknown_outcomes)}});
+  metrics.add_counter("retries_total", "Attempts after a failed one", stats.retries);
+  metrics.add_counter("resumed_streams_total", "Streams resumed on another group", stats.resumed_streams);
+  metrics.add_counter("cut_streams_total", "Answers that broke off visibly", stats.truncated_streams);
+  metrics.add_counter("disordered_answers_total", "Answers of another request or out of order",
+                      stats.wrong_or_misordered_responses);
+  metrics.add_counter("claims_granted_total", "Idempotency keys granted", stats.claims_granted);
+  metrics.add_counter("claims_refused_total", "Idempotency keys refused", stats.claims_refused);
+  metrics.add_counter("answers_replayed_total", "Stored answers sent again", stats.replayed_responses);
+  metrics.add_gauge("requests_active", "Requests being served", static_cast<double>(caller_api.active_requests()));
+  metrics.add_counter("http_malformed_total", "Malformed HTTP requests", server_stats.malformed);
+  metrics.add_counter("http_too_large_total", "Requests over a size limit", server_stats.too_large);
+  metrics.add_counter("http_timeouts_total", "Callers too slow in sending", server_stats.timeouts);
+  metrics.add_gauge("http_connections", "Open callers' connections",
+                    static_cast<double>(server_stats.open_connections));
 }
 
-void add_entry(MetricList& list, NodeRuntime& runtime) {
+void add_entry_metrics(MetricList& metrics, NodeRuntime& runtime) {
   const auto& entry = runtime.controller().entry();
   const TimePoint now = NodeRuntime::now();
-  list.gauge("configuration_lease", "1 while this node may dispatch", entry.has_configuration_lease(now) ? 1 : 0);
-  list.gauge("configuration_revision", "Revision this node serves by", static_cast<double>(entry.revision().value()));
-  list.gauge("leased_groups", "Groups this node may dispatch to",
-             static_cast<double>(entry.router().leased_groups(now)));
-  list.counter("heartbeats_sent_total", "Reports to the leader", entry.stats().heartbeats_sent);
-  list.counter("heartbeat_replies_total", "Replies accepted from the leader", entry.stats().replies);
-  list.counter("leader_changes_total", "Changes of the leader followed", entry.stats().leader_changes);
+  metrics.add_gauge("configuration_lease", "1 while this node may dispatch",
+                    entry.has_configuration_lease(now) ? 1 : 0);
+  metrics.add_gauge("configuration_revision", "Revision this node serves by",
+                    static_cast<double>(entry.revision().value()));
+  metrics.add_gauge("leased_groups", "Groups this node may dispatch to",
+                    static_cast<double>(entry.router().leased_groups(now)));
+  metrics.add_counter("heartbeats_sent_total", "Reports to the leader", entry.stats().heartbeats_sent);
+  metrics.add_counter("heartbeat_replies_total", "Replies accepted from the leader", entry.stats().replies);
+  metrics.add_counter("leader_changes_total", "Changes of the leader followed", entry.stats().leader_changes);
   const auto& peers = runtime.peer_stats();
-  list.counter("peer_bytes_sent_total", "Bytes sent to other nodes", peers.bytes_sent);
-  list.counter("peer_bytes_received_total", "Bytes received from other nodes", peers.bytes_received);
-  list.counter("peer_frames_sent_total", "Messages sent to other nodes", peers.frames_sent);
-  list.counter("peer_silent_links_total", "Links dropped because nothing came back", peers.silent_links);
-  list.counter("peer_bad_frames_total", "Frames that were not ours or damaged", peers.bad_frames);
-  list.counter("engine_polls_total", "Polls of watched machines", runtime.stats().polls);
-  list.counter("engine_poll_failures_total", "Polls without an answer", runtime.stats().poll_failures);
-  list.counter("engine_poll_mismatches_total", "Answers from another machine or place",
-               runtime.stats().poll_mismatches);
+  metrics.add_counter("peer_bytes_sent_total", "Bytes sent to other nodes", peers.bytes_sent);
+  metrics.add_counter("peer_bytes_received_total", "Bytes received from other nodes", peers.bytes_received);
+  metrics.add_counter("peer_frames_sent_total", "Messages sent to other nodes", peers.frames_sent);
+  metrics.add_counter("peer_silent_links_total", "Links dropped because nothing came back", peers.silent_links);
+  metrics.add_counter("peer_bad_frames_total", "Frames that were not ours or damaged", peers.bad_frames);
+  metrics.add_counter("engine_polls_total", "Polls of watched machines", runtime.stats().polls);
+  metrics.add_counter("engine_poll_failures_total", "Polls without an answer", runtime.stats().poll_failures);
+  metrics.add_counter("engine_poll_mismatches_total", "Answers from another machine or place",
+                      runtime.stats().poll_mismatches);
 }
 
-void add_replica(MetricList& list, NodeRuntime& runtime) {
+void add_replica_metrics(MetricList& metrics, NodeRuntime& runtime) {
   const auto* raft = runtime.controller().raft();
-  list.gauge("replica_running", "1 while this node holds a replica of the log", raft == nullptr ? 0 : 1);
+  metrics.add_gauge("replica_running", "1 while this node holds a replica of the log", raft == nullptr ? 0 : 1);
   if (raft == nullptr) {
     return;
   }
   const bool leads = runtime.controller().acts_as_leader(NodeRuntime::now());
-  list.gauge("leader", "1 while this node leads with a valid lease", leads ? 1 : 0);
-  list.gauge("log_term", "Present term", static_cast<double>(raft->term()));
-  list.gauge("log_commit_index", "Committed entries", static_cast<double>(raft->commit_index()));
-  list.counter("elections_total", "Elections this replica started", raft->stats().elections_started);
-  list.counter("rollbacks_detected_total", "Replicas whose disk had lost entries", raft->stats().rollbacks_detected);
+  metrics.add_gauge("leader", "1 while this node leads with a valid lease", leads ? 1 : 0);
+  metrics.add_gauge("log_term", "Present term", static_cast<double>(raft->term()));
+  metrics.add_gauge("log_commit_index", "Committed entries", static_cast<double>(raft->commit_index()));
+  metrics.add_counter("elections_total", "Elections this replica started", raft->stats().elections_started);
+  metrics.add_counter("rollbacks_detected_total", "Replicas whose disk had lost entries",
+                      raft->stats().rollbacks_detected);
   const auto storage = runtime.storage_stats();
-  list.counter("storage_syncs_total", "Syncs of the data folder", storage.syncs);
-  list.counter("storage_records_total", "Records written", storage.records);
-  list.counter("storage_bytes_total", "Bytes written", storage.bytes);
+  metrics.add_counter("storage_syncs_total", "Syncs of the data folder", storage.syncs);
+  metrics.add_counter("storage_records_total", "Records written", storage.records);
+  metrics.add_counter("storage_bytes_total", "Bytes written", storage.bytes);
   if (leads) {
     const auto& leader = runtime.controller().leader();
     const auto& groups = leader.groups();
-    list.gauge("stranded_accelerators", "Idle accelerators whose group cannot form",
-               static_cast<double>(groups.last_plan().stranded_accelerators));
-    list.counter("groups_lost_total", "Groups that lost a member", groups.stats().groups_lost);
-    list.counter("groups_created_total", "Groups planned", groups.stats().groups_created);
-    list.counter("orders_fenced_total", "Orders that an engine refused as old", groups.stats().orders_fenced);
-    list.counter("claims_total", "Claims decided", leader.stats().claims);
-    list.counter("claim_batches_total", "Log entries that carried claims", leader.stats().claim_batches);
+    metrics.add_gauge("stranded_accelerators", "Idle accelerators whose group cannot form",
+                      static_cast<double>(groups.last_plan().stranded_accelerators));
+    metrics.add_counter("groups_lost_total", "Groups that lost a member", groups.stats().groups_lost);
+    metrics.add_counter("groups_created_total", "Groups planned", groups.stats().groups_created);
+    metrics.add_counter("orders_fenced_total", "Orders that an engine refused as old", groups.stats().orders_fenced);
+    metrics.add_counter("claims_total", "Claims decided", leader.stats().claims);
+    metrics.add_counter("claim_batches_total", "Log entries that carried claims", leader.stats().claim_batches);
   }
 }
 
 }  // namespace
 
-std::string render_metrics(NodeRuntime& runtime, const RequestFront& front, const net::HttpServerStats& server) {
-  MetricList list;
-  add_front(list, front, server);
-  add_entry(list, runtime);
-  add_replica(list, runtime);
-  return list.text();
+std::string render_metrics(NodeRuntime& runtime, const CallerApi& caller_api,
+                           const net::HttpServerStats& server_stats) {
+  MetricList metrics;
+  add_request_metrics(metrics, caller_api, server_stats);
+  add_entry_metrics(metrics, runtime);
+  add_replica_metrics(metrics, runtime);
+  return metrics.text();
 }
 
 }  // namespace larchlever::node
--- /dev/null
+++ b/src/node/model_request_handler.h
@@ -0,0 +1,50 @@
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "core/requests/retry_state.h"
+#include "node/idempotency_guard.h"
+#include "node/model_request.h"
+#include "node/node_runtime.h"
+#include "node/problem_responses.h"
+
+namespace larchlever::node {
+
+/// Serves model requests: admission, claim, routing, attempts at groups, and the relay of their event streams.
+///
+/// Guarantees: "not-run" is told only when no byte reached an engine or the engine said that it did not start; a
+/// request that is unsafe to repeat leaves this node at most once; an answer that is not whole is never ended as if it
+/// were. One executor; requests interleave.
+class ModelRequestHandler {
+ public:
+  ModelRequestHandler(NodeRuntime& runtime, requests::RetryBudget& retry_budget, IdempotencyGuard& idempotency_guard,
+                      RequestStats& stats)
+      : runtime_(runtime), retry_budget_(retry_budget), idempotency_guard_(idempotency_guard), stats_(stats) {}
+
+  boost::asio::awaitable<void> handle(net::HttpExchange& exchange);
+
+ private:
+  struct RequestContext;
+  struct AttemptStatus {
+    requests::AttemptResult result = requests::AttemptResult::kNotSent;
+    bool is_finished = false;
+    std::string reason;
+  };
+
+  boost::asio::awaitable<void> serve_admitted(RequestContext& context);
+  boost::asio::awaitable<void> run_attempts(RequestContext& context);
+  boost::asio::awaitable<AttemptStatus> send_attempt(RequestContext& context, const wire::Group& group);
+  boost::asio::awaitable<AttemptStatus> relay_stream(RequestContext& context, net::ClientStream& stream);
+  boost::asio::awaitable<bool> forward_events(RequestContext& context, const std::string& events);
+  boost::asio::awaitable<void> finish_response(RequestContext& context);
+  boost::asio::awaitable<void> send_failure(RequestContext& context, const AttemptStatus& last_attempt);
+
+  NodeRuntime& runtime_;
+  requests::RetryBudget& retry_budget_;
+  IdempotencyGuard& idempotency_guard_;
+  RequestStats& stats_;
+  uint64_t next_request_number_ = 1;
+};
+
+}  // namespace larchlever::node
--- a/src/node/node_process.cc
+++ b/src/node/node_process.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr auto kDrainPoll = std::chrono::milliseconds(20);
+constexpr auto kDrainPollInterval = std::chrono::milliseconds(20);
 
 net::HttpServerOptions server_options(const settings::RequestSettings& requests) {
   net::HttpServerOptions options;
@@ -25,14 +25,14 @@
     : settings_(std::move(settings)),
       executor_(executor),
       runtime_(executor, settings_),
-      front_(runtime_),
-      callers_(executor, server_options(settings_.requests), front_),
-      admin_(runtime_, front_, callers_),
-      operators_(executor, net::HttpServerOptions(), admin_) {}
+      caller_api_(runtime_),
+      caller_server_(executor, server_options(settings_.requests), caller_api_),
+      admin_api_(runtime_, caller_api_, caller_server_),
+      admin_server_(executor, net::HttpServerOptions(), admin_api_) {}
 
 bool NodeProcess::start(std::string& error) {
-  const auto service = net::listen_on(callers_, settings_.service_address, error);
-  const auto admin = service ? net::listen_on(operators_, settings_.admin_address, error) : std::nullopt;
+  const auto service = net::listen_on(caller_server_, settings_.service_address, error);
+  const auto admin = service ? net::listen_on(admin_server_, settings_.admin_address, error) : std::nullopt;
   if (!admin || !runtime_.start(*service, error)) {
     return false;
   }
@@ -48,30 +48,30 @@
 }
 
 asio::awaitable<void> NodeProcess::drain() {
-  const auto await = asio::as_tuple(asio::use_awaitable);
+  const auto await_with_error = asio::as_tuple(asio::use_awaitable);
   asio::steady_timer timer(executor_);
-  front_.set_ready(false);
-  log_event(settings_.name, "draining", {{"requests", std::to_string(front_.active())}});
+  caller_api_.set_ready(false);
+  log_event(settings_.name, "draining", {{"requests", std::to_string(caller_api_.active_requests())}});
   // The balancer reacts late: what it still sends here is served.
   timer.expires_after(settings_.unready_before_drain);
-  co_await timer.async_wait(await);
-  callers_.stop_accepting();
+  co_await timer.async_wait(await_with_error);
+  caller_server_.stop_accepting();
   const TimePoint deadline = NodeRuntime::now() + settings_.drain_timeout;
-  while (front_.active() > 0 && NodeRuntime::now() < deadline) {
-    timer.expires_after(kDrainPoll);
-    co_await timer.async_wait(await);
+  while (caller_api_.active_requests() > 0 && NodeRuntime::now() < deadline) {
+    timer.expires_after(kDrainPollInterval);
+    co_await timer.async_wait(await_with_error);
   }
   runtime_.begin_leaving();
   while (!runtime_.controller().may_stop(NodeRuntime::now()) && NodeRuntime::now() < deadline) {
-    timer.expires_after(kDrainPoll);
-    co_await timer.async_wait(await);
+    timer.expires_after(kDrainPollInterval);
+    co_await timer.async_wait(await_with_error);
   }
-  log_event(settings_.name, "drained", {{"requests_left", std::to_string(front_.active())}});
+  log_event(settings_.name, "drained", {{"requests_left", std::to_string(caller_api_.active_requests())}});
 }
 
 void NodeProcess::stop() {
-  callers_.close_all();
-  operators_.close_all();
+  caller_server_.close_all();
+  admin_server_.close_all();
   runtime_.stop();
 }
 
--- a/src/node/node_process.h
+++ b/src/node/node_process.h
@@ -6,8 +6,8 @@
 
 #include "net/http_server.h"
 #include "node/admin_api.h"
+#include "node/caller_api.h"
 #include "node/node_runtime.h"
-#include "node/request_front.h"
 #include "settings/node_settings.h"
 
 namespace larchlever::node {
@@ -33,10 +33,10 @@
   settings::NodeSettings settings_;
   boost::asio::any_io_executor executor_;
   NodeRuntime runtime_;
-  RequestFront front_;
-  net::HttpServer callers_;
-  AdminApi admin_;
-  net::HttpServer operators_;
+  CallerApi caller_api_;
+  net::HttpServer caller_server_;
+  AdminApi admin_api_;
+  net::HttpServer admin_server_;
   std::string service_address_;
   std::string admin_address_;
 };
--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 constexpr auto kTickInterval = std::chrono::milliseconds(5);
 constexpr auto kPollInterval = std::chrono::milliseconds(400);
 constexpr auto kPollTimeout = std::chrono::milliseconds(900);
@@ -27,7 +27,7 @@
 
 TimePoint NodeRuntime::now() { return monotonic_now(); }
 
-int64_t NodeRuntime::wall_ms() {
+int64_t NodeRuntime::wall_clock_ms() {
   return std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
@@ -37,7 +37,7 @@
       transport_(executor,
                  [this](wire::Envelope envelope) {
                    controller_->receive(now(), std::move(envelope));
-                   pump();
+                   process_outputs();
                  }),
       client_(executor) {}
 
@@ -111,8 +111,8 @@
       [this, alive](storage::StorageError problem) {
         asio::post(executor_, [this, alive, problem = std::move(problem)] {
           if (!alive.expired()) {
-            replica_problem_ = problem.message;
-            log_problem(settings_.name, "replica_stopped",
+            replica_failure_ = problem.message;
+            log_warning(settings_.name, "replica_stopped",
                         {{"kind", storage::to_string(problem.kind)}, {"reason", problem.message}});
             controller_->replica_failed();
           }
@@ -128,7 +128,7 @@
     controller_->replica_failed();
     return;
   }
-  log_problem(settings_.name, "replica_identity_renewed",
+  log_warning(settings_.name, "replica_identity_renewed",
               {{"reason", "the disk had lost acknowledged entries"}, {"replica", std::to_string(id.value())}});
   controller_->start_replica(now(), id, {});
   start_worker(std::move(folder));
@@ -139,20 +139,20 @@
   alive_.reset();
   transport_.close_all();
   worker_.reset();
-  const auto wake = [](auto& waiters) {
-    for (auto& [id, waiter] : waiters) {
-      waiter->timer.cancel();
+  const auto wake = [](auto& pending_results) {
+    for (auto& [id, pending_result] : pending_results) {
+      pending_result->timer.cancel();
     }
   };
-  wake(admission_waiters_);
-  wake(claim_waiters_);
-  wake(operator_waiters_);
+  wake(pending_admissions_);
+  wake(pending_claims_);
+  wake(pending_operator_requests_);
   alive_ = std::make_shared<bool>(false);
 }
 
 void NodeRuntime::begin_leaving() {
   controller_->begin_leaving(now());
-  pump();
+  process_outputs();
 }
 
 storage::StorageStats NodeRuntime::storage_stats() const {
@@ -165,10 +165,10 @@
   for (auto& batch : batches) {
     controller_->written(now(), std::move(batch));
   }
-  pump();
+  process_outputs();
 }
 
-void NodeRuntime::pump() {
+void NodeRuntime::process_outputs() {
   auto outputs = controller_->take_outputs();
   for (const auto& envelope : outputs.envelopes) {
     transport_.send(envelope);
@@ -182,20 +182,21 @@
     asio::co_spawn(executor_, send_order(std::move(order)), asio::detached);
   }
   for (auto& outcome : outputs.claim_outcomes) {
-    if (const auto waiter = claim_waiters_.find(outcome.request_id); waiter != claim_waiters_.end()) {
-      waiter->second->result = std::move(outcome);
-      waiter->second->timer.cancel();
+    if (const auto pending_result = pending_claims_.find(outcome.request_id); pending_result != pending_claims_.end()) {
+      pending_result->second->result = std::move(outcome);
+      pending_result->second->timer.cancel();
     }
   }
   for (auto& reply : outputs.operator_replies) {
-    if (const auto waiter = operator_waiters_.find(reply.request_id); waiter != operator_waiters_.end()) {
-      waiter->second->result = std::move(reply);
-      waiter->second->timer.cancel();
+    if (const auto pending_result = pending_operator_requests_.find(reply.request_id);
+        pending_result != pending_operator_requests_.end()) {
+      pending_result->second->result = std::move(reply);
+      pending_result->second->timer.cancel();
     }
   }
 }
 
-void NodeRuntime::report_changes() {
+void NodeRuntime::log_state_changes() {
   const auto& entry = controller_->entry();
   const bool has_lease = entry.has_configuration_lease(now());
   const bool leads = controller_->acts_as_leader(now());
@@ -219,15 +220,15 @@
   const auto alive = alive_;
   asio::steady_timer timer(executor_);
   while (*alive) {
-    controller_->tick(now(), wall_ms());
-    pump();
-    settle_admission();
-    report_changes();
+    controller_->tick(now(), wall_clock_ms());
+    process_outputs();
+    complete_admissions();
+    log_state_changes();
     if (controller_->needs_new_identity() && worker_) {
       renew_identity();
     }
     timer.expires_after(kTickInterval);
-    co_await timer.async_wait(kAwait);
+    co_await timer.async_wait(kAwaitWithError);
   }
 }
 
@@ -238,13 +239,13 @@
   asio::steady_timer timer(executor_);
   while (*alive) {
     for (const auto& target : controller_->entry().watches()) {
-      if (!polling_[target.machine]) {
-        polling_[target.machine] = true;
+      if (!active_polls_[target.machine]) {
+        active_polls_[target.machine] = true;
         asio::co_spawn(executor_, poll_machine(target), asio::detached);
       }
     }
     timer.expires_after(kPollInterval);
-    co_await timer.async_wait(kAwait);
+    co_await timer.async_wait(kAwaitWithError);
   }
 }
 
@@ -252,22 +253,23 @@
   const auto alive = alive_;
   net::HttpRequest request;
   request.target = "/engine/state";
-  const TimePoint asked_at = now();
+  const TimePoint poll_started_at = now();
   const auto result = co_await client_.fetch(target.endpoint, request, kPollTimeout);
   if (!*alive) {
     co_return;
   }
-  polling_[target.machine] = false;
+  active_polls_[target.machine] = false;
   ++stats_.polls;
   if (!result.response || result.response->status != 200) {
     ++stats_.poll_failures;
     co_return;
   }
   const auto state = parse_json_object(result.response->body);
-  const auto listed = listed_.find(target.machine);
-  const bool elsewhere = listed != listed_.end() && (text_field(state, "zone") != listed->second.zone ||
-                                                     text_field(state, "domain") != listed->second.domain);
-  if (text_field(state, "machine") != target.machine || elsewhere) {
+  const auto listed = listed_machines_.find(target.machine);
+  const bool location_mismatch =
+      listed != listed_machines_.end() &&
+      (text_field(state, "zone") != listed->second.zone || text_field(state, "domain") != listed->second.domain);
+  if (text_field(state, "machine") != target.machine || location_mismatch) {
     // Somebody else answers at this address, or the machine is not where the platform says: not seen.
     ++stats_.poll_mismatches;
     co_return;
@@ -280,7 +282,7 @@
   const auto* loaded = state.if_contains("loaded");
   sighting.loaded = loaded != nullptr && loaded->is_bool() && loaded->as_bool();
   sighting.load = static_cast<int32_t>(integer_field(state, "load"));
-  controller_->sighting(asked_at, sighting);
+  controller_->sighting(poll_started_at, sighting);
 }
 
 asio::awaitable<void> NodeRuntime::membership_loop() {
@@ -313,14 +315,14 @@
         if (machine.leaving) {
           leaving.insert(machine.endpoint);
         }
-        listed_[machine.id] = machine;
+        listed_machines_[machine.id] = machine;
         machines.push_back(std::move(machine));
       }
     }
     controller_->membership_list(machines);
     endpoints_.set_leaving(std::move(leaving));
     timer.expires_after(kMembershipInterval);
-    co_await timer.async_wait(kAwait);
+    co_await timer.async_wait(kAwaitWithError);
   }
 }
 
@@ -371,99 +373,99 @@
 
 // ------------------------------------------------------------ what waits here
 
-void NodeRuntime::settle_admission() {
-  auto& gate = controller_->entry().admission();
-  const auto finish = [this](uint64_t ticket, Admission verdict) {
-    if (const auto waiter = admission_waiters_.find(ticket); waiter != admission_waiters_.end()) {
-      waiter->second->result = verdict;
-      waiter->second->timer.cancel();
+void NodeRuntime::complete_admissions() {
+  auto& admission_controller = controller_->entry().admission();
+  const auto complete_pending = [this](uint64_t ticket, AdmissionResult verdict) {
+    if (const auto pending_result = pending_admissions_.find(ticket); pending_result != pending_admissions_.end()) {
+      pending_result->second->result = verdict;
+      pending_result->second->timer.cancel();
     }
   };
-  for (const auto ticket : gate.take_expired(now())) {
-    finish(ticket, Admission::kDeadline);
+  for (const auto ticket : admission_controller.take_expired(now())) {
+    complete_pending(ticket, AdmissionResult::kDeadlineExceeded);
   }
-  for (const auto ticket : gate.take_admitted(now())) {
-    finish(ticket, Admission::kAdmitted);
+  for (const auto ticket : admission_controller.take_admitted(now())) {
+    complete_pending(ticket, AdmissionResult::kAdmitted);
   }
 }
 
-asio::awaitable<NodeRuntime::Admission> NodeRuntime::admit(std::string tenant, int priority, TimePoint deadline,
-                                                           const std::function<bool()>& cancelled) {
-  auto& gate = controller_->entry().admission();
-  const uint64_t ticket = next_ticket_++;
-  switch (gate.enter(now(), ticket, tenant, priority, deadline)) {
+asio::awaitable<NodeRuntime::AdmissionResult> NodeRuntime::admit(std::string tenant, int priority, TimePoint deadline,
+                                                                 const std::function<bool()>& cancelled) {
+  auto& admission_controller = controller_->entry().admission();
+  const uint64_t ticket = next_admission_ticket_++;
+  switch (admission_controller.enter(now(), ticket, tenant, priority, deadline)) {
     case admission::AdmissionVerdict::kAdmitted:
-      co_return Admission::kAdmitted;
+      co_return AdmissionResult::kAdmitted;
     case admission::AdmissionVerdict::kRefusedQueueFull:
-      co_return Admission::kQueueFull;
+      co_return AdmissionResult::kQueueFull;
     case admission::AdmissionVerdict::kRefusedDeadline:
-      co_return Admission::kDeadline;
+      co_return AdmissionResult::kDeadlineExceeded;
     case admission::AdmissionVerdict::kQueued:
       break;
   }
   const auto alive = alive_;
-  auto waiter = std::make_shared<Waiter<Admission>>(executor_);
-  admission_waiters_[ticket] = waiter;
-  while (*alive && !waiter->result && !cancelled()) {
-    waiter->timer.expires_after(std::chrono::milliseconds(100));
-    co_await waiter->timer.async_wait(kAwait);
+  auto pending_result = std::make_shared<PendingResult<AdmissionResult>>(executor_);
+  pending_admissions_[ticket] = pending_result;
+  while (*alive && !pending_result->result && !cancelled()) {
+    pending_result->timer.expires_after(std::chrono::milliseconds(100));
+    co_await pending_result->timer.async_wait(kAwaitWithError);
   }
   if (!*alive) {
-    co_return Admission::kCallerGone;
+    co_return AdmissionResult::kCallerGone;
   }
-  admission_waiters_.erase(ticket);
-  if (!waiter->result) {
-    gate.cancel(ticket);
-    co_return Admission::kCallerGone;
+  pending_admissions_.erase(ticket);
+  if (!pending_result->result) {
+    admission_controller.cancel(ticket);
+    co_return AdmissionResult::kCallerGone;
   }
-  co_return *waiter->result;
+  co_return *pending_result->result;
 }
 
-void NodeRuntime::leave(const std::string& tenant, Duration service_time) {
+void NodeRuntime::release_admission(const std::string& tenant, Duration service_time) {
   controller_->entry().admission().leave(tenant, service_time);
-  settle_admission();
+  complete_admissions();
 }
 
 asio::awaitable<ClaimOutcome> NodeRuntime::claim(wire::Claim claim, TimePoint deadline) {
   const auto alive = alive_;
-  auto waiter = std::make_shared<Waiter<ClaimOutcome>>(executor_);
+  auto pending_result = std::make_shared<PendingResult<ClaimOutcome>>(executor_);
   const int64_t id = controller_->submit_claim(now(), std::move(claim), deadline);
-  claim_waiters_[id] = waiter;
-  pump();
-  while (*alive && !waiter->result) {
-    waiter->timer.expires_after(std::chrono::seconds(1));
-    co_await waiter->timer.async_wait(kAwait);
+  pending_claims_[id] = pending_result;
+  process_outputs();
+  while (*alive && !pending_result->result) {
+    pending_result->timer.expires_after(std::chrono::seconds(1));
+    co_await pending_result->timer.async_wait(kAwaitWithError);
   }
   if (!*alive) {
     co_return ClaimOutcome{};
   }
-  claim_waiters_.erase(id);
-  ClaimOutcome outcome = std::move(*waiter->result);
+  pending_claims_.erase(id);
+  ClaimOutcome outcome = std::move(*pending_result->result);
   outcome.request_id = id;
   co_return outcome;
 }
 
-void NodeRuntime::resolve(wire::ClaimResolution resolution) {
+void NodeRuntime::record_claim_outcome(wire::ClaimResolution resolution) {
   controller_->resolve_claim(now(), std::move(resolution));
-  pump();
+  process_outputs();
 }
 
 asio::awaitable<wire::OperatorReply> NodeRuntime::operator_request(wire::OperatorRequest request,
                                                                    std::chrono::milliseconds timeout) {
   const auto alive = alive_;
-  auto waiter = std::make_shared<Waiter<wire::OperatorReply>>(executor_);
+  auto pending_result = std::make_shared<PendingResult<wire::OperatorReply>>(executor_);
   const int64_t id = controller_->submit_operator_request(now(), std::move(request), now() + timeout);
-  operator_waiters_[id] = waiter;
-  pump();
-  while (*alive && !waiter->result) {
-    waiter->timer.expires_after(std::chrono::seconds(1));
-    co_await waiter->timer.async_wait(kAwait);
+  pending_operator_requests_[id] = pending_result;
+  process_outputs();
+  while (*alive && !pending_result->result) {
+    pending_result->timer.expires_after(std::chrono::seconds(1));
+    co_await pending_result->timer.async_wait(kAwaitWithError);
   }
   if (!*alive) {
     co_return wire::OperatorReply();
   }
-  operator_waiters_.erase(id);
-  co_return std::move(*waiter->result);
+  pending_operator_requests_.erase(id);
+  co_return std::move(*pending_result->result);
 }
 
 }  // namespace larchlever::node
--- a/src/node/node_runtime.h
+++ b/src/node/node_runtime.h
@@ -42,15 +42,15 @@
   void begin_leaving();
 
   static TimePoint now();
-  static int64_t wall_ms();
+  static int64_t wall_clock_ms();
 
-  enum class Admission { kAdmitted, kQueueFull, kDeadline, kCallerGone };
+  enum class AdmissionResult { kAdmitted, kQueueFull, kDeadlineExceeded, kCallerGone };
   /// Waits for the tenant's concurrency; `cancelled` is asked whenever the wait is woken.
-  boost::asio::awaitable<Admission> admit(std::string tenant, int priority, TimePoint deadline,
-                                          const std::function<bool()>& cancelled);
-  void leave(const std::string& tenant, Duration service_time);
+  boost::asio::awaitable<AdmissionResult> admit(std::string tenant, int priority, TimePoint deadline,
+                                                const std::function<bool()>& cancelled);
+  void release_admission(const std::string& tenant, Duration service_time);
   boost::asio::awaitable<ClaimOutcome> claim(wire::Claim claim, TimePoint deadline);
-  void resolve(wire::ClaimResolution resolution);
+  void record_claim_outcome(wire::ClaimResolution resolution);
   boost::asio::awaitable<wire::OperatorReply> operator_request(wire::OperatorRequest request,
                                                                std::chrono::milliseconds timeout);
 
@@ -65,31 +65,31 @@
   void set_peer_address(const std::string& node, const std::string& endpoint) {
     transport_.set_address(node, endpoint);
   }
-  const std::string& replica_problem() const { return replica_problem_; }
+  const std::string& replica_failure() const { return replica_failure_; }
   boost::asio::any_io_executor executor() { return executor_; }
 
  private:
   template <typename Result>
-  struct Waiter {
-    explicit Waiter(const boost::asio::any_io_executor& executor) : timer(executor) {}
+  struct PendingResult {
+    explicit PendingResult(const boost::asio::any_io_executor& executor) : timer(executor) {}
     boost::asio::steady_timer timer;
     std::optional<Result> result;
   };
   template <typename Result>
-  using Waiters = std::map<int64_t, std::shared_ptr<Waiter<Result>>>;
+  using PendingResults = std::map<int64_t, std::shared_ptr<PendingResult<Result>>>;
 
   bool open_data_folder(std::string& error);
   void start_worker(std::unique_ptr<storage::DataFolder> folder);
   void renew_identity();
-  void pump();
+  void process_outputs();
   void on_written(std::vector<consensus::RaftOutput> batches);
-  void report_changes();
+  void log_state_changes();
   boost::asio::awaitable<void> tick_loop();
   boost::asio::awaitable<void> poll_loop();
   boost::asio::awaitable<void> poll_machine(wire::WatchTarget target);
   boost::asio::awaitable<void> membership_loop();
   boost::asio::awaitable<void> send_order(control::EngineOrder order);
-  void settle_admission();
+  void complete_admissions();
 
   boost::asio::any_io_executor executor_;
   settings::NodeSettings settings_;
@@ -99,15 +99,15 @@
   std::unique_ptr<NodeController> controller_;
   std::unique_ptr<StorageWorker> worker_;
   requests::EndpointSelector endpoints_;
-  std::map<std::string, wire::Machine> listed_;
-  std::map<std::string, bool> polling_;
+  std::map<std::string, wire::Machine> listed_machines_;
+  std::map<std::string, bool> active_polls_;
   std::string peer_address_;
-  std::string replica_problem_;
+  std::string replica_failure_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  uint64_t next_ticket_ = 1;
-  std::map<uint64_t, std::shared_ptr<Waiter<Admission>>> admission_waiters_;
-  Waiters<ClaimOutcome> claim_waiters_;
-  Waiters<wire::OperatorReply> operator_waiters_;
+  uint64_t next_admission_ticket_ = 1;
+  std::map<uint64_t, std::shared_ptr<PendingResult<AdmissionResult>>> pending_admissions_;
+  PendingResults<ClaimOutcome> pending_claims_;
+  PendingResults<wire::OperatorReply> pending_operator_requests_;
   std::string last_leader_;
   bool had_lease_ = false;
   bool was_leader_ = false;
--- a/src/node/front_answers.cc
+++ b/src/node/problem_responses.cc
@@ -1,4 +1,4 @@
-#include "node/front_answers.h"
+#include "node/problem_responses.h"
 
 #include "core/requests/retry_after.h"
 #include "node/logging.h"
@@ -10,21 +10,21 @@
 namespace json = boost::json;
 using requests::Outcome;
 
-void FrontStats::count(Outcome outcome) {
+void RequestStats::count_outcome(Outcome outcome) {
   switch (outcome) {
     case Outcome::kRan:
-      ++ran;
+      ++ran_outcomes;
       break;
     case Outcome::kNotRun:
-      ++not_run;
+      ++not_run_outcomes;
       break;
     case Outcome::kUnknown:
-      ++unknown;
+      ++unknown_outcomes;
       break;
   }
 }
 
-json::object problem_object(const Problem& problem, Outcome outcome) {
+json::object to_problem_json(const ProblemDetails& problem, Outcome outcome) {
   json::object body;
   body["type"] = "about:blank";
   body["status"] = problem.status;
@@ -42,13 +42,13 @@
              {"reason", attempt.reason}});
 }
 
-Problem no_configuration_problem() {
+ProblemDetails unconfirmed_configuration_problem() {
   return {503, "this node may not dispatch now: it cannot confirm its configuration",
           "send the request again; the balancer will choose another node", kRetryAfterSeconds};
 }
 
-asio::awaitable<void> send_problem(net::HttpExchange& exchange, const Problem& problem, Outcome attempt) {
-  const Outcome outcome = outcome_told(exchange.request(), attempt);
+asio::awaitable<void> send_problem(net::HttpExchange& exchange, const ProblemDetails& problem, Outcome attempt) {
+  const Outcome outcome = outcome_for_caller(exchange.request(), attempt);
   net::HttpResponse response;
   response.status = problem.status;
   response.headers.add("Content-Type", "application/problem+json");
@@ -56,18 +56,19 @@
   if (problem.retry_after_seconds > 0) {
     response.headers.add("Retry-After", requests::retry_after_text(seconds(problem.retry_after_seconds)));
   }
-  response.body = json::serialize(problem_object(problem, outcome));
+  response.body = json::serialize(to_problem_json(problem, outcome));
   co_await exchange.respond(std::move(response));
 }
 
-Outcome unclaimed_outcome(const net::HttpRequest& request, Outcome attempt) {
+Outcome outcome_without_claim(const net::HttpRequest& request, Outcome attempt) {
   const bool is_keyed = request.headers.contains("idempotency-key");
   return is_keyed && attempt == Outcome::kNotRun ? Outcome::kUnknown : attempt;
 }
 
-asio::awaitable<void> refuse_unclaimed(net::HttpExchange& exchange, const Problem& problem, FrontStats& stats) {
-  const Outcome outcome = unclaimed_outcome(exchange.request(), Outcome::kNotRun);
-  stats.count(outcome);
+asio::awaitable<void> refuse_without_claim(net::HttpExchange& exchange, const ProblemDetails& problem,
+                                           RequestStats& stats) {
+  const Outcome outcome = outcome_without_claim(exchange.request(), Outcome::kNotRun);
+  stats.count_outcome(outcome);
   co_await send_problem(exchange, problem, outcome);
 }
 
--- a/src/node/replica_storage.cc
+++ b/src/node/replica_storage.cc
@@ -26,16 +26,17 @@
 namespace {
 
 std::optional<storage::StorageError> write_first_log(storage::DataFolder& folder,
-                                                     const consensus::PersistedState& first) {
+                                                     const consensus::PersistedState& first_state) {
   consensus::RaftOutput output;
-  output.hard_state = first.hard_state;
-  output.entries = first.entries;
+  output.hard_state = first_state.hard_state;
+  output.entries = first_state.entries;
   return folder.write({&output});
 }
 
 }  // namespace
 
-std::optional<storage::StorageError> found_cluster(storage::DataFolder& folder, const wire::ReplicaAddress& founder) {
+std::optional<storage::StorageError> initialize_cluster(storage::DataFolder& folder,
+                                                        const wire::ReplicaAddress& founder) {
   auto problem = folder.assign_identity(ReplicaId(founder.replica_id));
   if (!problem) {
     problem = write_first_log(folder, consensus::RaftNode::bootstrap(founder));
@@ -52,15 +53,15 @@
 
 ReplicaStorage::~ReplicaStorage() { close(); }
 
-std::optional<ReplicaStorage::Opened> ReplicaStorage::open(std::string& error) {
+std::optional<ReplicaStorage::OpenedReplica> ReplicaStorage::open(std::string& error) {
   storage::StorageError failure;
   auto folder = storage::DataFolder::open(path_, file_system_, failure);
   if (folder == nullptr) {
     error = failure.message;
     return std::nullopt;
   }
-  Opened opened;
-  const auto boot = next_boot(error);
+  OpenedReplica opened;
+  const auto boot = increment_boot_count(error);
   if (!boot) {
     return std::nullopt;
   }
@@ -72,30 +73,31 @@
     }
   } else {
     opened.persisted = folder->take_recovered();
-    opened.copy = folder->read_copy();
+    opened.state_copy = folder->read_copy();
   }
   opened.replica_id = folder->replica_id();
   if (opened.holds_log()) {
-    forget_formation();
+    remove_formation_file();
   } else {
-    opened.formation = read_formation();
+    opened.formation = read_formation_file();
   }
   start_worker(std::move(folder));
   return opened;
 }
 
-std::optional<ReplicaStorage::Opened> ReplicaStorage::found(const std::string& node, const std::string& zone,
-                                                            std::string& error) {
+std::optional<ReplicaStorage::OpenedReplica> ReplicaStorage::create_first_log(const std::string& node,
+                                                                              const std::string& zone,
+                                                                              std::string& error) {
   auto folder = stop_worker();
   if (folder == nullptr) {
     error = "the data folder has failed";
     return std::nullopt;
   }
-  const auto boot = next_boot(error);
+  const auto boot = increment_boot_count(error);
   if (!boot) {
     return std::nullopt;
   }
-  Opened opened;
+  OpenedReplica opened;
   opened.boot = *boot;
   opened.replica_id = folder->replica_id();
   wire::ReplicaAddress founder;
@@ -111,18 +113,18 @@
   return opened;
 }
 
-std::optional<ReplicaStorage::Opened> ReplicaStorage::renew_identity(std::string& error) {
+std::optional<ReplicaStorage::OpenedReplica> ReplicaStorage::renew_identity(std::string& error) {
   auto folder = stop_worker();
   if (folder == nullptr) {
     error = "the data folder has failed";
     return std::nullopt;
   }
-  const auto boot = next_boot(error);
+  const auto boot = increment_boot_count(error);
   if (!boot) {
     return std::nullopt;
   }
-  forget_formation();  // A log stood here, so the fleet was formed.
-  Opened opened;
+  remove_formation_file();  // A log stood here, so the fleet was formed.
+  OpenedReplica opened;
   opened.boot = *boot;
   opened.replica_id = new_replica_id();
   if (const auto problem = folder->assign_identity(opened.replica_id)) {
@@ -133,27 +135,27 @@
   return opened;
 }
 
-std::optional<Incarnation> ReplicaStorage::next_boot(std::string& error) {
+std::optional<Incarnation> ReplicaStorage::increment_boot_count(std::string& error) {
   const std::string file = path_ + "/" + kBootFile;
   int64_t boot = 0;
   std::ifstream(file) >> boot;
   ++boot;
-  if (!write_small_file(kBootFile, std::to_string(boot) + "\n", error)) {
+  if (!replace_file(kBootFile, std::to_string(boot) + "\n", error)) {
     return std::nullopt;
   }
   return Incarnation(boot);
 }
 
-bool ReplicaStorage::write_small_file(const std::string& name, const std::string& text, std::string& error) const {
+bool ReplicaStorage::replace_file(const std::string& name, const std::string& text, std::string& error) const {
   const std::string file = path_ + "/" + name;
-  const std::string written = file + ".new";
-  const int descriptor = ::open(written.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
+  const std::string temporary_file = file + ".new";
+  const int descriptor = ::open(temporary_file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
   const bool stored =
       descriptor >= 0 && ::write(descriptor, text.data(), text.size()) == std::ssize(text) && ::fsync(descriptor) == 0;
   if (descriptor >= 0) {
     ::close(descriptor);
   }
-  if (!stored || ::rename(written.c_str(), file.c_str()) != 0 || !sync_folder()) {
+  if (!stored || ::rename(temporary_file.c_str(), file.c_str()) != 0 || !sync_folder()) {
     error = "cannot write " + file + "; free space on the disk or correct its permissions";
     return false;
   }
@@ -170,10 +172,10 @@
 }
 
 bool ReplicaStorage::store_formation(const std::string& choice, std::string& error) {
-  return write_small_file(kFormationFile, choice + "\n", error);
+  return replace_file(kFormationFile, choice + "\n", error);
 }
 
-std::optional<std::string> ReplicaStorage::read_formation() const {
+std::optional<std::string> ReplicaStorage::read_formation_file() const {
   std::ifstream file(path_ + "/" + kFormationFile);
   std::string choice;
   if (!file) {
@@ -183,7 +185,7 @@
   return choice;
 }
 
-void ReplicaStorage::forget_formation() const {
+void ReplicaStorage::remove_formation_file() const {
   // Where the removal is lost with the power, the folder holds a log all the same, and the next opening removes it.
   ::unlink((path_ + "/" + kFormationFile).c_str());
 }
@@ -214,9 +216,9 @@
   }
 }
 
-void ReplicaStorage::submit_copy(std::string content) {
+void ReplicaStorage::submit_state_copy(std::string content) {
   if (worker_) {
-    worker_->submit_copy(std::move(content));
+    worker_->submit_state_copy(std::move(content));
   }
 }
 
--- a/src/node/replica_storage.h
+++ b/src/node/replica_storage.h
@@ -18,7 +18,8 @@
 ReplicaId new_replica_id();
 
 /// Writes the first log of a new cluster, one voter, into an empty folder and gives the folder its identity.
-std::optional<storage::StorageError> found_cluster(storage::DataFolder& folder, const wire::ReplicaAddress& founder);
+std::optional<storage::StorageError> initialize_cluster(storage::DataFolder& folder,
+                                                        const wire::ReplicaAddress& founder);
 
 /// The data folder of one control replica, written on a thread of its own. What is reported back comes on the executor.
 /// Not thread-safe.
@@ -28,13 +29,13 @@
   using OnFailure = std::function<void(const std::string& reason)>;
 
   /// What the folder held when it was opened.
-  struct Opened {
+  struct OpenedReplica {
     ReplicaId replica_id;
     consensus::PersistedState persisted;
     /// Rises with every opening of this folder.
     Incarnation boot;
-    /// What `submit_copy` kept last; empty when there is none.
-    std::string copy;
+    /// What `submit_state_copy` kept last; empty when there is none.
+    std::string state_copy;
     /// What `store_formation` kept; nothing when this folder takes part in forming no fleet, or holds a log.
     std::optional<std::string> formation;
 
@@ -47,27 +48,27 @@
   ReplicaStorage& operator=(const ReplicaStorage&) = delete;
 
   /// Opens the folder; an empty one gets an identity. Nothing with `error` set when it cannot be opened.
-  std::optional<Opened> open(std::string& error);
+  std::optional<OpenedReplica> open(std::string& error);
   /// Notes that this folder takes part in forming a new fleet, and which founder it chose; empty while it has not. On
   /// disk when this returns; false with `error` set when it could not be written.
   bool store_formation(const std::string& choice, std::string& error);
   /// Makes the first log of a new fleet, whose only voter is this replica at `node`. The folder must hold no log.
-  std::optional<Opened> found(const std::string& node, const std::string& zone, std::string& error);
+  std::optional<OpenedReplica> create_first_log(const std::string& node, const std::string& zone, std::string& error);
   /// Sets the log aside and starts an empty one under a new identity.
-  std::optional<Opened> renew_identity(std::string& error);
+  std::optional<OpenedReplica> renew_identity(std::string& error);
   void submit(consensus::RaftOutput batch);
   /// Keeps state that is handy at the next start, but not promised to survive.
-  void submit_copy(std::string content);
+  void submit_state_copy(std::string content);
   /// Stops writing; what was not written is dropped.
   void close();
 
  private:
   /// Counts the openings on disk, since clocks may be set back. Nothing when the disk refuses.
-  std::optional<Incarnation> next_boot(std::string& error);
+  std::optional<Incarnation> increment_boot_count(std::string& error);
   /// Replaces a small file beside the log; on disk when this returns true.
-  bool write_small_file(const std::string& name, const std::string& text, std::string& error) const;
-  std::optional<std::string> read_formation() const;
-  void forget_formation() const;
+  bool replace_file(const std::string& name, const std::string& text, std::string& error) const;
+  std::optional<std::string> read_formation_file() const;
+  void remove_formation_file() const;
   bool sync_folder() const;
   void start_worker(std::unique_ptr<storage::DataFolder> folder);
   /// Ends the worker once all submitted is written; what it has to report is dropped. Null when the folder failed.
--- a/src/node/request_ends.cc
+++ b/src/node/request_completion.cc
@@ -1,4 +1,4 @@
-#include "node/request_ends.h"
+#include "node/request_completion.h"
 
 #include <boost/asio.hpp>
 
@@ -21,9 +21,10 @@
 
 }  // namespace
 
-void RequestEnds::log(const RelayedRequest& request, int status, const std::string& reason) const {
-  const auto held = milliseconds_between(request.received, monotonic_now());
-  const auto first = request.head_sent ? milliseconds_between(request.received, request.first_event) : held;
+void RequestCompletion::log_completion(const RelayedRequest& request, int status, const std::string& reason) const {
+  const auto elapsed_ms = milliseconds_between(request.received_at, monotonic_now());
+  const auto first_event_ms =
+      request.response_started ? milliseconds_between(request.received_at, request.first_event_at) : elapsed_ms;
   log_event(
       "", "request_ended",
       {{"request", request.id},
@@ -33,59 +34,59 @@
        {"aim_ms", request.route == nullptr ? "" : std::to_string(request.route->target_latency / milliseconds(1))},
        {"aim_pause_ms", request.route == nullptr ? "" : std::to_string(request.route->target_gap / milliseconds(1))},
        {"status", std::to_string(status)},
-       {"held_ms", std::to_string(held)},
-       {"first_ms", std::to_string(first)},
-       {"pause_ms", std::to_string(request.longest_pause / milliseconds(1))},
+       {"held_ms", std::to_string(elapsed_ms)},
+       {"first_ms", std::to_string(first_event_ms)},
+       {"pause_ms", std::to_string(request.longest_gap / milliseconds(1))},
        {"target", request.last_target},
-       {"instance", request.last_instance},
-       {"load", std::to_string(request.load_at_choice)},
-       {"expected_ms", std::to_string(request.expected_first_event / milliseconds(1))},
-       {"sent", std::to_string(request.sent)},
-       {"runs", std::to_string(request.runs)},
+       {"instance", request.last_incarnation},
+       {"load", std::to_string(request.target_load)},
+       {"expected_ms", std::to_string(request.expected_first_event_delay / milliseconds(1))},
+       {"sent", std::to_string(request.attempts_sent)},
+       {"runs", std::to_string(request.possible_runs)},
        {"reason", reason}});
 }
 
-asio::awaitable<void> RequestEnds::refuse(RelayedRequest& request, Refusal refusal) {
+asio::awaitable<void> RequestCompletion::send_refusal(RelayedRequest& request, Refusal refusal) {
   net::HttpResponse response;
   response.status = refusal.status;
   response.headers.add("Content-Type", "application/problem+json");
-  const auto outcome = outcome_told(request.exchange->request(), requests::Outcome::kNotRun);
+  const auto outcome = outcome_for_caller(request.exchange->request(), requests::Outcome::kNotRun);
   response.headers.add("Larchlever-Outcome", std::string(requests::to_string(outcome)));
   if (refusal.retry_after > Duration::zero()) {
     response.headers.add("Retry-After", requests::retry_after_text(refusal.retry_after));
   }
   response.body = "{\"status\":" + std::to_string(refusal.status) + ",\"title\":\"" + refusal.title + "\"}";
-  const bool is_promise =
+  const bool is_retryable =
       refusal.status == http_status::kServiceUnavailable || refusal.status == http_status::kTooManyRequests;
-  state_.counters.refused += is_promise ? 1 : 0;
-  state_.counters.denied += is_promise ? 0 : 1;
-  log(request, refusal.status, refusal.title);
+  state_.counters.refused += is_retryable ? 1 : 0;
+  state_.counters.denied += is_retryable ? 0 : 1;
+  log_completion(request, refusal.status, refusal.title);
   co_await request.exchange->respond(std::move(response));
 }
 
-asio::awaitable<void> RequestEnds::give_up(RelayedRequest& request) {
+asio::awaitable<void> RequestCompletion::send_failure(RelayedRequest& request) {
   if (request.caller_gone) {
     ++state_.counters.caller_gone;
     co_return;
   }
-  if (request.head_sent) {
+  if (request.response_started) {
     ++state_.counters.failed;
-    log(request, 0, "the stream could not be continued; cut");
+    log_completion(request, 0, "the stream could not be continued; cut");
     co_return;  // The connection is cut, so the caller sees that the answer broke off.
   }
   const TimePoint now = monotonic_now();
   if (!request.may_have_run) {
-    Refusal refusal{http_status::kServiceUnavailable, "no server took the request", kBackWhenBusy};
-    co_await refuse(request, std::move(refusal));
+    Refusal refusal{http_status::kServiceUnavailable, "no server took the request", kRetryAfterBusy};
+    co_await send_refusal(request, std::move(refusal));
     co_return;
   }
   net::HttpResponse response;
-  response.status = now >= request.due ? http_status::kGatewayTimeout : http_status::kBadGateway;
+  response.status = now >= request.deadline ? http_status::kGatewayTimeout : http_status::kBadGateway;
   response.headers.add("Content-Type", "application/problem+json");
   response.headers.add("Larchlever-Outcome", "unknown");
   response.body = "{\"status\":" + std::to_string(response.status) + ",\"title\":\"the answer was lost\"}";
   ++state_.counters.failed;
-  log(request, response.status, "the answer was lost");
+  log_completion(request, response.status, "the answer was lost");
   co_await request.exchange->respond(std::move(response));
 }
 
--- a/src/node/request_ends.h
+++ b/src/node/request_completion.h
@@ -12,16 +12,16 @@
 ///
 /// Guarantees: 503 and 429 are answered only to requests that did not run; a stream that cannot be continued is cut, so
 /// that it does not look whole. One executor; not thread-safe.
-class RequestEnds {
+class RequestCompletion {
  public:
-  explicit RequestEnds(EntryState& state) : state_(state) {}
+  explicit RequestCompletion(EntryState& state) : state_(state) {}
 
   /// The line for a request that ended with `status`; 0 when its answer was cut.
-  void log(const RelayedRequest& request, int status, const std::string& reason) const;
+  void log_completion(const RelayedRequest& request, int status, const std::string& reason) const;
   /// Answers a request that did not run.
-  boost::asio::awaitable<void> refuse(RelayedRequest& request, Refusal refusal);
+  boost::asio::awaitable<void> send_refusal(RelayedRequest& request, Refusal refusal);
   /// Ends a request for which nothing more is tried, by what is known of it.
-  boost::asio::awaitable<void> give_up(RelayedRequest& request);
+  boost::asio::awaitable<void> send_failure(RelayedRequest& request);
 
  private:
   EntryState& state_;
--- a/src/node/request_relay.cc
+++ b/src/node/request_relay.cc
@@ -20,13 +20,13 @@
 /// between regions, and short enough that the request may still be in time elsewhere.
 constexpr auto kConnectTimeout = std::chrono::milliseconds(150);
 /// A request is held for a lease on the configuration for this part of its time, and never longer than this.
-constexpr int kLeasePart = 4;
-constexpr Duration kLeasePatience = milliseconds(1200);
+constexpr int kLeaseWaitDivisor = 4;
+constexpr Duration kMaxLeaseWait = milliseconds(1200);
 /// Held for longer than this, a request has lost time that its objective does not allow for.
-constexpr Duration kHeldTime = milliseconds(50);
+constexpr Duration kLeaseWaitThreshold = milliseconds(50);
 /// A single stream may pause longer, as long as its group makes progress; callers leave after two seconds.
-constexpr Duration kStreamPause = milliseconds(1600);
-constexpr int kMostSendings = 6;
+constexpr Duration kMaxStreamGap = milliseconds(1600);
+constexpr int kMaxAttempts = 6;
 
 bool is_success(int status) { return status >= 200 && status < 300; }
 
@@ -43,23 +43,23 @@
 }  // namespace
 
 RequestRelay::RequestRelay(asio::any_io_executor executor, const Dialect& dialect, EntryState& state,
-                           SlotRequester& slots, LeaseGate& lease, size_t answer_buffers)
+                           SlotRequester& slot_requester, LeaseGate& lease_gate, size_t response_buffer_bytes)
     : executor_(executor),
       dialect_(dialect),
       state_(state),
-      slots_(slots),
-      lease_(lease),
-      ends_(state),
-      blocks_(executor, state, slots),
-      sendings_(state),
-      targets_(executor, state, slots),
+      slot_requester_(slot_requester),
+      lease_gate_(lease_gate),
+      completion_(state),
+      blocked_request_guard_(executor, state, slot_requester),
+      in_flight_attempts_(state),
+      target_finder_(executor, state, slot_requester),
       client_(executor),
-      answer_buffers_(answer_buffers) {}
+      response_buffers_(response_buffer_bytes) {}
 
 asio::awaitable<void> RequestRelay::handle(net::HttpExchange& exchange) {
   RelayedRequest request;
   request.exchange = &exchange;
-  request.received = monotonic_now();
+  request.received_at = monotonic_now();
   ++state_.counters.requests;
   state_.traffic_seen = true;
   exchange.watch_caller([&request] {
@@ -68,44 +68,44 @@
       request.cancellation->cancel();
     }
   });
-  co_await lease_.wait(lease_patience(request));
-  request.admitted = monotonic_now();
+  co_await lease_gate_.wait_for_lease(lease_wait_deadline(request));
+  request.admitted_at = monotonic_now();
   if (request.caller_gone) {
     ++state_.counters.caller_gone;
     co_return;
   }
-  if (auto refusal = identify(request)) {
-    co_await ends_.refuse(request, std::move(*refusal));
+  if (auto refusal = resolve_route(request)) {
+    co_await completion_.send_refusal(request, std::move(*refusal));
     co_return;
   }
-  co_await relay(request);
+  co_await dispatch_until_done(request);
 }
 
 // ---------------------------------------------------------------- identify
 
-TimePoint RequestRelay::lease_patience(const RelayedRequest& request) const {
-  const auto deadline_ms = parse_number(request.exchange->request().headers.find(dialect_.deadline_ms));
-  const Duration allowed = milliseconds(deadline_ms.value_or(0)) / kLeasePart;
-  return request.received + std::min(allowed, kLeasePatience);
+TimePoint RequestRelay::lease_wait_deadline(const RelayedRequest& request) const {
+  const auto deadline_ms = parse_number(request.exchange->request().headers.find(dialect_.deadline_ms_header));
+  const Duration allowed = milliseconds(deadline_ms.value_or(0)) / kLeaseWaitDivisor;
+  return request.received_at + std::min(allowed, kMaxLeaseWait);
 }
 
-std::optional<Refusal> RequestRelay::identify(RelayedRequest& request) {
+std::optional<Refusal> RequestRelay::resolve_route(RelayedRequest& request) {
   const auto& incoming = request.exchange->request();
   request.routes = state_.routes;
-  request.id = std::string(incoming.headers.find(dialect_.request_id));
-  request.model = std::string(incoming.headers.find(dialect_.model));
-  if (request.routes == nullptr || !state_.subscription.has_lease(request.admitted)) {
+  request.id = std::string(incoming.headers.find(dialect_.request_id_header));
+  request.model = std::string(incoming.headers.find(dialect_.model_header));
+  if (request.routes == nullptr || !state_.subscription.has_lease(request.admitted_at)) {
     return Refusal{http_status::kServiceUnavailable, "this node holds no confirmed configuration",
-                   kBackWhenUnavailable};
+                   kRetryAfterUnavailable};
   }
   request.route = request.routes->find_route(incoming.headers.find("host"), incoming.path());
   if (request.route == nullptr) {
     return Refusal{http_status::kNotFound, "no route for this host and path", {}};
   }
-  if (auto refusal = authorise(request, incoming.headers.find(dialect_.api_key))) {
+  if (auto refusal = authenticate_tenant(request, incoming.headers.find(dialect_.api_key_header))) {
     return refusal;
   }
-  request.allowed_zones = document::allowed_zones(state_.zones, *request.route, request.tenant);
+  request.allowed_zones = document::allowed_zones(state_.zone_regions, *request.route, request.tenant);
   if (request.allowed_zones && request.allowed_zones->empty()) {
     return Refusal{
         http_status::kForbidden, "route and tenant have no region in common; correct their allowed_regions", {}};
@@ -115,37 +115,37 @@
                                 incoming.method, incoming.target, incoming.body});
   const auto& services = request.routes->document().services;
   request.service = &services.at(state_.dispatcher.choose_service(*request.route));
-  Duration held = request.route->timeout;
-  if (const auto deadline_ms = parse_number(incoming.headers.find(dialect_.deadline_ms))) {
-    held = std::min(held, Duration(milliseconds(*deadline_ms)));
-  }
-  request.due = request.received + held;
-  request.was_held = request.admitted - request.received > kHeldTime;
-  note_demand(request);
-  state_.dispatcher.note_request(request.received, request.service->name);
+  Duration allowed_time = request.route->timeout;
+  if (const auto deadline_ms = parse_number(incoming.headers.find(dialect_.deadline_ms_header))) {
+    allowed_time = std::min(allowed_time, Duration(milliseconds(*deadline_ms)));
+  }
+  request.deadline = request.received_at + allowed_time;
+  request.was_held_for_lease = request.admitted_at - request.received_at > kLeaseWaitThreshold;
+  record_demand(request);
+  state_.dispatcher.note_request(request.received_at, request.service->name);
   return std::nullopt;
 }
 
-void RequestRelay::note_demand(RelayedRequest& request) {
+void RequestRelay::record_demand(RelayedRequest& request) {
   const auto& headers = request.exchange->request().headers;
-  const auto counts = headers.find(dialect_.token_counts);
+  const auto counts = headers.find(dialect_.token_counts_header);
   const size_t comma = counts.find(',');
   if (request.model.empty() || comma == std::string_view::npos) {
     return;
   }
   const auto prompt = parse_number(counts.substr(0, comma));
-  const auto most_out = parse_number(counts.substr(comma + 1));
-  const auto hint = parse_number(headers.find(dialect_.length_hint));
+  const auto max_output = parse_number(counts.substr(comma + 1));
+  const auto hint = parse_number(headers.find(dialect_.length_hint_header));
   request.prompt_tokens = static_cast<double>(prompt.value_or(0));
-  if (prompt && (hint || most_out)) {
-    const engine::RequestSizes sizes{static_cast<double>(*prompt), static_cast<double>(hint ? *hint : *most_out)};
+  if (prompt && (hint || max_output)) {
+    const engine::RequestSizes sizes{static_cast<double>(*prompt), static_cast<double>(hint ? *hint : *max_output)};
     state_.dispatcher.note_gap(request.service->name, request.model, request.route->target_gap);
     state_.dispatcher.note_demand(request.service->name, {request.model, request.route->target_latency, sizes.prompt},
                                   sizes);
   }
 }
 
-std::optional<Refusal> RequestRelay::authorise(RelayedRequest& request, std::string_view key) {
+std::optional<Refusal> RequestRelay::authenticate_tenant(RelayedRequest& request, std::string_view key) {
   if (!request.routes->document().tenants || request.route->is_public) {
     return std::nullopt;
   }
@@ -158,99 +158,100 @@
 
 // -------------------------------------------------------------- send, retry
 
-asio::awaitable<void> RequestRelay::relay(RelayedRequest& request) {
+asio::awaitable<void> RequestRelay::dispatch_until_done(RelayedRequest& request) {
   while (true) {
     // Asked before each sending: a request under which servers end elsewhere meanwhile must not end one more.
-    if (!co_await blocks_.admit(request)) {
-      const FoundTarget none = blocks_.refuse(request);
-      co_await end_without_target(request, none);
+    if (!co_await blocked_request_guard_.admit(request)) {
+      const FoundTarget no_target = blocked_request_guard_.make_refusal(request);
+      co_await finish_without_target(request, no_target);
       co_return;
     }
-    const FoundTarget found = co_await targets_.find(request);
+    const FoundTarget found = co_await target_finder_.find(request);
     const auto* target = std::get_if<fleet::Target>(&found);
     if (target == nullptr) {
-      co_await end_without_target(request, found);
+      co_await finish_without_target(request, found);
       co_return;
     }
-    const Sending result = co_await send(request, *target);
-    if (result == Sending::kAnswered) {
+    const DispatchResult result = co_await run_attempt(request, *target);
+    if (result == DispatchResult::kAnswered) {
       co_return;
     }
     const TimePoint now = monotonic_now();
-    request.excluded.insert(target->key);
-    if (result == Sending::kServerError) {
+    request.excluded_targets.insert(target->key);
+    if (result == DispatchResult::kServerError) {
       request.may_have_run = true;
-      ++request.runs;  // The retry was taken from the budget when the answer was put aside.
+      ++request.possible_runs;  // The retry was taken from the budget when the answer was put aside.
       ++state_.counters.retries;
       continue;
     }
-    if (result != Sending::kNotRun) {
+    if (result != DispatchResult::kNotRun) {
       request.may_have_run = true;
       // Whatever it brought: a server that took a request may run it to the end after its connection was lost, so only
       // proof to the contrary spares the request one of the servers that its route allows.
-      ++request.runs;
-      const bool again = request.route->may_repeat() && request.runs < request.route->max_attempts;
-      if (!again) {
-        co_await ends_.give_up(request);
+      ++request.possible_runs;
+      const bool may_run_again = request.route->may_repeat() && request.possible_runs < request.route->max_attempts;
+      if (!may_run_again) {
+        co_await completion_.send_failure(request);
         co_return;
       }
     }
-    if (!may_send_again(request, now)) {
-      co_await end_without_another_sending(request);
+    if (!may_retry(request, now)) {
+      co_await finish_without_retry(request);
       co_return;
     }
     ++state_.counters.retries;
   }
 }
 
-bool RequestRelay::may_send_again(RelayedRequest& request, TimePoint now) {
+bool RequestRelay::may_retry(RelayedRequest& request, TimePoint now) {
   // A sending that never left used none of the budget, which counts arrivals at servers.
-  return now < request.due && request.sent < kMostSendings && !request.caller_gone &&
-         (request.sent == 0 || state_.dispatcher.take_retry(now, request.service->name));
+  return now < request.deadline && request.attempts_sent < kMaxAttempts && !request.caller_gone &&
+         (request.attempts_sent == 0 || state_.dispatcher.take_retry(now, request.service->name));
 }
 
-asio::awaitable<void> RequestRelay::end_without_target(RelayedRequest& request, const FoundTarget& found) {
+asio::awaitable<void> RequestRelay::finish_without_target(RelayedRequest& request, const FoundTarget& found) {
   const auto* refusal = std::get_if<Refusal>(&found);
-  if (refusal != nullptr && !request.head_sent && !request.may_have_run) {
-    co_await ends_.refuse(request, *refusal);
+  if (refusal != nullptr && !request.response_started && !request.may_have_run) {
+    co_await completion_.send_refusal(request, *refusal);
     co_return;
   }
-  co_await ends_.give_up(request);
+  co_await completion_.send_failure(request);
 }
 
-asio::awaitable<void> RequestRelay::end_without_another_sending(RelayedRequest& request) {
-  if (auto refusal = targets_.refusal_while_all_rest(request, monotonic_now())) {
-    const FoundTarget none = std::move(*refusal);
-    co_await end_without_target(request, none);
+asio::awaitable<void> RequestRelay::finish_without_retry(RelayedRequest& request) {
+  if (auto refusal = target_finder_.refusal_if_all_backing_off(request, monotonic_now())) {
+    const FoundTarget no_target = std::move(*refusal);
+    co_await finish_without_target(request, no_target);
     co_return;
   }
-  co_await ends_.give_up(request);
+  co_await completion_.send_failure(request);
 }
 
-asio::awaitable<RequestRelay::Sending> RequestRelay::send(RelayedRequest& request, const fleet::Target& target) {
+asio::awaitable<RequestRelay::DispatchResult> RequestRelay::run_attempt(RelayedRequest& request,
+                                                                        const fleet::Target& target) {
   auto cancellation = std::make_shared<net::Cancellation>();
   request.cancellation = cancellation;
   request.last_target = target.key;
-  request.last_instance = target.incarnation;
-  request.load_at_choice = target.in_flight;
+  request.last_incarnation = target.incarnation;
+  request.target_load = target.in_flight;
   request.sent_at = monotonic_now();
-  request.mark = {target.group.empty() ? 0 : request.prompt_tokens, false};
-  state_.dispatcher.begin(request.sent_at, target, request.mark);
+  request.load_mark = {target.group.empty() ? 0 : request.prompt_tokens, false};
+  state_.dispatcher.begin(request.sent_at, target, request.load_mark);
   if (!request.has_slot) {
-    note_load(target);  // The leader counts a slot that it granted.
+    report_load_change(target);  // The leader counts a slot that it granted.
   }
-  sendings_.begin(request, target);
-  const ScopeExit finish([this, &request, &target] {
-    state_.dispatcher.end(target, request.mark);
-    note_load(target);
-    sendings_.end(request, target);
+  in_flight_attempts_.add_attempt(request, target);
+  const ScopeExit finish_on_exit([this, &request, &target] {
+    state_.dispatcher.end(target, request.load_mark);
+    report_load_change(target);
+    in_flight_attempts_.remove_attempt(request, target);
     request.cancellation.reset();
   });
-  co_return co_await send_once(request, target);
+  co_return co_await send_attempt(request, target);
 }
 
-net::HttpRequest RequestRelay::upstream_request(const RelayedRequest& request, const fleet::Target& target,
-                                                TimePoint now) const {
+net::HttpRequest RequestRelay::make_upstream_request(const RelayedRequest& request, const fleet::Target& target,
+                                                     TimePoint now) const {
   const auto& incoming = request.exchange->request();
   net::HttpRequest outgoing;
   outgoing.method = incoming.method;
@@ -261,53 +262,54 @@
       outgoing.headers.add(name, value);
     }
   }
-  outgoing.headers.remove(dialect_.api_key);
-  outgoing.headers.remove(dialect_.tenant);
-  outgoing.headers.remove(dialect_.priority_class);
-  outgoing.headers.set(dialect_.deadline_ms, std::to_string(to_milliseconds(request.due - now).count()));
-  outgoing.headers.set(dialect_.expect_instance, target.instance_id);
+  outgoing.headers.remove(dialect_.api_key_header);
+  outgoing.headers.remove(dialect_.tenant_header);
+  outgoing.headers.remove(dialect_.priority_class_header);
+  outgoing.headers.set(dialect_.deadline_ms_header, std::to_string(to_milliseconds(request.deadline - now).count()));
+  outgoing.headers.set(dialect_.expect_instance_header, target.instance_id);
   if (request.tenant != nullptr) {
-    outgoing.headers.set(dialect_.tenant, request.tenant->name);
+    outgoing.headers.set(dialect_.tenant_header, request.tenant->name);
   }
-  if (request.events.last_id()) {
-    outgoing.headers.set(dialect_.last_event_id, std::to_string(*request.events.last_id()));
+  if (request.event_stream.last_id()) {
+    outgoing.headers.set(dialect_.last_event_id_header, std::to_string(*request.event_stream.last_id()));
   }
   return outgoing;
 }
 
-std::chrono::milliseconds RequestRelay::patience(const RelayedRequest& request, TimePoint now) const {
-  const Duration left = request.due - now;
+std::chrono::milliseconds RequestRelay::read_timeout(const RelayedRequest& request, TimePoint now) const {
+  const Duration left = request.deadline - now;
   if (request.route->repeatability != document::Repeatability::kStreaming || !request.route->may_repeat()) {
     return to_milliseconds(left);
   }
-  return to_milliseconds(request.events.last_id() ? std::min(left, kStreamPause) : left);
+  return to_milliseconds(request.event_stream.last_id() ? std::min(left, kMaxStreamGap) : left);
 }
 
-bool RequestRelay::is_not_run(const net::HttpResponse& head) const {
-  return head.status == http_status::kMisdirectedRequest || head.headers.contains(dialect_.not_run);
+bool RequestRelay::proves_not_run(const net::HttpResponse& head) const {
+  return head.status == http_status::kMisdirectedRequest || head.headers.contains(dialect_.not_run_header);
 }
 
-asio::awaitable<RequestRelay::Sending> RequestRelay::send_once(RelayedRequest& request, const fleet::Target& target) {
+asio::awaitable<RequestRelay::DispatchResult> RequestRelay::send_attempt(RelayedRequest& request,
+                                                                         const fleet::Target& target) {
   const TimePoint now = monotonic_now();
-  const auto outgoing = upstream_request(request, target, now);
+  const auto outgoing = make_upstream_request(request, target, now);
   net::OpenOptions options;
-  options.timeout = patience(request, now);
+  options.timeout = read_timeout(request, now);
   options.connect_timeout = kConnectTimeout;
   options.cancellation = request.cancellation;
   // The server may have asked for rest while the connection was made.
   const auto may_send = [this, &target] { return state_.dispatcher.may_send(monotonic_now(), target); };
   options.may_send = may_send;
   auto opened = co_await client_.open(target.address, outgoing, options);
-  request.sent += opened.state == net::SendState::kNotSent ? 0 : 1;
+  request.attempts_sent += opened.state == net::SendState::kNotSent ? 0 : 1;
   if (request.caller_gone) {
     ++state_.counters.caller_gone;
-    co_return Sending::kAnswered;
+    co_return DispatchResult::kAnswered;
   }
   if (opened.stream == nullptr) {
     const TimePoint failed_at = monotonic_now();
-    const bool was_held_back = opened.state == net::SendState::kNotSent && !may_send();
-    if (failed_at < request.due && !was_held_back) {
-      sendings_.note_failure(target, failed_at);
+    const bool was_withheld = opened.state == net::SendState::kNotSent && !may_send();
+    if (failed_at < request.deadline && !was_withheld) {
+      in_flight_attempts_.note_failure(target, failed_at);
     }
     log_event("", "sending_failed",
               {{"request", request.id},
@@ -315,68 +317,69 @@
                {"target", target.key},
                {"instance", target.instance_id},
                {"reason", opened.error}});
-    if (opened.state != net::SendState::kNotSent && failed_at < request.due) {
-      blocks_.answer_lost(request, target);
+    if (opened.state != net::SendState::kNotSent && failed_at < request.deadline) {
+      blocked_request_guard_.note_lost_response(request, target);
     }
-    co_return opened.state == net::SendState::kNotSent ? Sending::kNotRun : Sending::kMayHaveRun;
+    co_return opened.state == net::SendState::kNotSent ? DispatchResult::kNotRun : DispatchResult::kMayHaveRun;
   }
   const auto& head = opened.stream->head();
-  const auto echoed = head.headers.find(dialect_.request_id);
-  if (!echoed.empty() && echoed != request.id) {
-    log_problem("", "answer_of_another_request", {{"request", request.id}, {"target", target.key}});
-    co_return Sending::kMayHaveRun;
+  const auto echoed_id = head.headers.find(dialect_.request_id_header);
+  if (!echoed_id.empty() && echoed_id != request.id) {
+    log_warning("", "answer_of_another_request", {{"request", request.id}, {"target", target.key}});
+    co_return DispatchResult::kMayHaveRun;
   }
-  note_server_notices(state_, dialect_, {target, request.sent_at, head});
-  if (is_not_run(head)) {
+  record_server_notices(state_, dialect_, {target, request.sent_at, head});
+  if (proves_not_run(head)) {
     log_event("", "sending_refused",
               {{"request", request.id},
                {"target", target.key},
                {"instance", target.instance_id},
                {"status", std::to_string(head.status)},
-               {"retry_after", std::string(head.headers.find(kRetryAfter))}});
+               {"retry_after", std::string(head.headers.find(kRetryAfterHeader))}});
     if (!target.group.empty() &&
-        (head.status == http_status::kMisdirectedRequest || head.headers.contains(dialect_.faulty_server))) {
-      sendings_.note_failure(target, monotonic_now());
+        (head.status == http_status::kMisdirectedRequest || head.headers.contains(dialect_.faulty_server_header))) {
+      in_flight_attempts_.note_failure(target, monotonic_now());
     }
-    co_return Sending::kNotRun;
+    co_return DispatchResult::kNotRun;
   }
   request.cancellation->set_action([stream = opened.stream.get()] { stream->close(); });
-  const ScopeExit forget([cancellation = request.cancellation] { cancellation->set_action(nullptr); });
+  const ScopeExit clear_cancellation([cancellation = request.cancellation] { cancellation->set_action(nullptr); });
   const bool is_stream = request.route->repeatability == document::Repeatability::kStreaming && is_success(head.status);
   if (is_stream) {
     co_return co_await relay_events(request, target, *opened.stream);
   }
-  co_return co_await relay_whole(request, target, *opened.stream);
+  co_return co_await relay_buffered(request, target, *opened.stream);
 }
 
 // ------------------------------------------------------------------- relay
 
-asio::awaitable<RequestRelay::Sending> RequestRelay::relay_whole(RelayedRequest& request, const fleet::Target& target,
-                                                                 net::ClientStream& stream) {
+asio::awaitable<RequestRelay::DispatchResult> RequestRelay::relay_buffered(RelayedRequest& request,
+                                                                           const fleet::Target& target,
+                                                                           net::ClientStream& stream) {
   net::HttpResponse response = stream.head();
   // Only a success that carries its server's signature, and whose end can be told from a cut, is final before its end.
-  const bool may_begin = is_success(response.status) && response.headers.contains(dialect_.signature) &&
-                         !request.head_sent && !stream.delimited_by_close();
-  requests::BufferShare held(answer_buffers_);
+  const bool may_stream_early = is_success(response.status) && response.headers.contains(dialect_.signature_header) &&
+                                !request.response_started && !stream.delimited_by_close();
+  requests::BufferShare buffer_share(response_buffers_);
   while (true) {
     const TimePoint now = monotonic_now();
-    if (now >= request.due) {
+    if (now >= request.deadline) {
       break;
     }
-    std::string piece = co_await stream.read_some(to_milliseconds(request.due - now));
-    if (piece.empty()) {
+    std::string chunk = co_await stream.read_some(to_milliseconds(request.deadline - now));
+    if (chunk.empty()) {
       break;
     }
-    response.body += piece;
-    const bool has_room = held.grow(piece.size());
-    if (!has_room && may_begin && !request.caller_gone) {
-      held.release();
-      co_return co_await relay_by_pieces(request, target, stream, std::move(response.body));
+    response.body += chunk;
+    const bool has_room = buffer_share.grow(chunk.size());
+    if (!has_room && may_stream_early && !request.caller_gone) {
+      buffer_share.release();
+      co_return co_await relay_unbuffered(request, target, stream, std::move(response.body));
     }
   }
   if (request.caller_gone) {
     ++state_.counters.caller_gone;
-    co_return Sending::kAnswered;
+    co_return DispatchResult::kAnswered;
   }
   if (!stream.complete()) {
     log_event("", "answer_broke_off",
@@ -385,147 +388,152 @@
                {"target", target.key},
                {"instance", target.instance_id},
                {"reason", stream.error()}});
-    if (monotonic_now() < request.due) {
-      blocks_.answer_lost(request, target);
+    if (monotonic_now() < request.deadline) {
+      blocked_request_guard_.note_lost_response(request, target);
     }
-    co_return Sending::kMayHaveRun;
+    co_return DispatchResult::kMayHaveRun;
   }
-  blocks_.answered(request);
+  blocked_request_guard_.note_response(request);
   note_progress(target, monotonic_now());
-  const bool unsigned_success = is_success(response.status) && !response.headers.contains(dialect_.signature);
+  const bool unsigned_success = is_success(response.status) && !response.headers.contains(dialect_.signature_header);
   if (unsigned_success) {
-    co_return Sending::kMayHaveRun;
+    co_return DispatchResult::kMayHaveRun;
   }
-  const bool worth_another = response.status >= 500 && request.route->may_repeat() && !request.head_sent &&
-                             request.runs + 1 < request.route->max_attempts && may_send_again(request, monotonic_now());
-  if (worth_another) {
-    co_return Sending::kServerError;
+  const bool should_retry = response.status >= 500 && request.route->may_repeat() && !request.response_started &&
+                            request.possible_runs + 1 < request.route->max_attempts &&
+                            may_retry(request, monotonic_now());
+  if (should_retry) {
+    co_return DispatchResult::kServerError;
   }
-  if (request.head_sent) {
-    co_return Sending::kMayHaveRun;  // A continuation was refused: the answer under way cannot carry it.
+  if (request.response_started) {
+    co_return DispatchResult::kMayHaveRun;  // A continuation was refused: the answer under way cannot carry it.
   }
   const int status = response.status;
   state_.counters.served += is_success(status) ? 1 : 0;
   state_.counters.failed += is_success(status) ? 0 : 1;
-  ends_.log(request, status, "the server's answer");
+  completion_.log_completion(request, status, "the server's answer");
   co_await request.exchange->respond(std::move(response));
-  co_return Sending::kAnswered;
+  co_return DispatchResult::kAnswered;
 }
 
-asio::awaitable<RequestRelay::Sending> RequestRelay::relay_by_pieces(RelayedRequest& request,
-                                                                     const fleet::Target& target,
-                                                                     net::ClientStream& stream, std::string begun) {
-  request.head_sent = true;
-  request.first_event = monotonic_now();
+asio::awaitable<RequestRelay::DispatchResult> RequestRelay::relay_unbuffered(RelayedRequest& request,
+                                                                             const fleet::Target& target,
+                                                                             net::ClientStream& stream,
+                                                                             std::string buffered_prefix) {
+  request.response_started = true;
+  request.first_event_at = monotonic_now();
   bool is_open = co_await request.exchange->begin_stream(stream.head());
-  std::string piece = std::move(begun);
-  while (is_open && !piece.empty()) {
-    is_open = co_await request.exchange->write_piece(piece);
+  std::string chunk = std::move(buffered_prefix);
+  while (is_open && !chunk.empty()) {
+    is_open = co_await request.exchange->write_piece(chunk);
     note_progress(target, monotonic_now());
     const TimePoint now = monotonic_now();
-    piece.clear();
-    if (is_open && now < request.due) {
-      piece = co_await stream.read_some(to_milliseconds(request.due - now));
+    chunk.clear();
+    if (is_open && now < request.deadline) {
+      chunk = co_await stream.read_some(to_milliseconds(request.deadline - now));
     }
   }
   if (!is_open || request.caller_gone) {
     ++state_.counters.caller_gone;
-    ends_.log(request, 0, "its caller took no more of the answer");
-    co_return Sending::kAnswered;
+    completion_.log_completion(request, 0, "its caller took no more of the answer");
+    co_return DispatchResult::kAnswered;
   }
   if (!stream.complete()) {
     // Left without its end: the caller sees that it broke off.
     ++state_.counters.failed;
-    ends_.log(request, 0, "the server's answer broke off");
-    co_return Sending::kAnswered;
+    completion_.log_completion(request, 0, "the server's answer broke off");
+    co_return DispatchResult::kAnswered;
   }
-  blocks_.answered(request);
+  blocked_request_guard_.note_response(request);
   ++state_.counters.served;
-  ends_.log(request, stream.head().status, "the server's answer, by pieces");
+  completion_.log_completion(request, stream.head().status, "the server's answer, by pieces");
   co_await request.exchange->end_stream();
-  co_return Sending::kAnswered;
+  co_return DispatchResult::kAnswered;
 }
 
-void RequestRelay::note_load(const fleet::Target& target) {
+void RequestRelay::report_load_change(const fleet::Target& target) {
   if (!target.group.empty()) {
-    slots_.note_change();
+    slot_requester_.note_load_change();
   }
 }
 
 void RequestRelay::note_progress(const fleet::Target& target, TimePoint now) {
   state_.dispatcher.note_progress(now, target);
-  blocks_.progressed(now, target);
+  blocked_request_guard_.note_target_progress(now, target);
 }
 
-void RequestRelay::note_piece(RelayedRequest& request, const fleet::Target& target, TimePoint now) {
+void RequestRelay::note_chunk(RelayedRequest& request, const fleet::Target& target, TimePoint now) {
   note_progress(target, now);
-  if (!request.mark.is_streaming) {
-    state_.dispatcher.note_first_event(now, target, request.mark);
-    if (request.expected_first_event > Duration::zero()) {
-      state_.first_event_excess[request.model].note(now, now - request.sent_at - request.expected_first_event);
+  if (!request.load_mark.is_streaming) {
+    state_.dispatcher.note_first_event(now, target, request.load_mark);
+    if (request.expected_first_event_delay > Duration::zero()) {
+      state_.first_event_excess[request.model].note(now, now - request.sent_at - request.expected_first_event_delay);
     }
   }
-  if (request.head_sent) {
-    request.longest_pause = std::max(request.longest_pause, now - request.last_piece);
+  if (request.response_started) {
+    request.longest_gap = std::max(request.longest_gap, now - request.last_chunk_at);
   }
-  request.last_piece = now;
+  request.last_chunk_at = now;
 }
 
-asio::awaitable<RequestRelay::Sending> RequestRelay::relay_events(RelayedRequest& request, const fleet::Target& target,
-                                                                  net::ClientStream& stream) {
-  request.events.restart();
+asio::awaitable<RequestRelay::DispatchResult> RequestRelay::relay_events(RelayedRequest& request,
+                                                                         const fleet::Target& target,
+                                                                         net::ClientStream& stream) {
+  request.event_stream.restart();
   while (true) {
     const TimePoint now = monotonic_now();
-    std::string piece;
-    if (now < request.due) {
-      piece = co_await stream.read_some(patience(request, now));
+    std::string chunk;
+    if (now < request.deadline) {
+      chunk = co_await stream.read_some(read_timeout(request, now));
     }
     if (request.caller_gone) {
       ++state_.counters.caller_gone;
-      co_return Sending::kAnswered;
+      co_return DispatchResult::kAnswered;
     }
-    if (piece.empty()) {
+    if (chunk.empty()) {
       break;
     }
-    note_piece(request, target, monotonic_now());
-    const std::string events = request.events.take(piece);
+    note_chunk(request, target, monotonic_now());
+    const std::string events = request.event_stream.take(chunk);
     if (events.empty()) {
       continue;
     }
-    if (!request.head_sent) {
-      request.head_sent = true;
-      request.first_event = monotonic_now();
+    if (!request.response_started) {
+      request.response_started = true;
+      request.first_event_at = monotonic_now();
       if (!co_await request.exchange->begin_stream(stream.head())) {
-        co_return Sending::kAnswered;
+        co_return DispatchResult::kAnswered;
       }
     }
     if (!co_await request.exchange->write_piece(events)) {
-      ends_.log(request, 0, "its caller took no more of the stream");
-      co_return Sending::kAnswered;
+      completion_.log_completion(request, 0, "its caller took no more of the stream");
+      co_return DispatchResult::kAnswered;
     }
   }
-  const bool whole = stream.complete() && request.events.pending().empty() && !request.events.has_gap();
-  if (whole && request.head_sent) {
-    blocks_.answered(request);
+  const bool is_complete =
+      stream.complete() && request.event_stream.pending().empty() && !request.event_stream.has_gap();
+  if (is_complete && request.response_started) {
+    blocked_request_guard_.note_response(request);
     ++state_.counters.served;
-    ends_.log(request, stream.head().status, "the whole stream");
+    completion_.log_completion(request, stream.head().status, "the whole stream");
     co_await request.exchange->end_stream();
-    co_return Sending::kAnswered;
+    co_return DispatchResult::kAnswered;
   }
   const TimePoint now = monotonic_now();
-  log_event("", "stream_broke_off",
-            {{"request", request.id},
-             {"fingerprint", to_string(request.fingerprint)},
-             {"target", target.key},
-             {"instance", target.instance_id},
-             {"reason", stream.error()},
-             {"last_event", request.events.last_id() ? std::to_string(*request.events.last_id()) : "none"}});
-  if (now < request.due) {
-    sendings_.note_failure(target, now);
-    blocks_.answer_lost(request, target);
+  log_event(
+      "", "stream_broke_off",
+      {{"request", request.id},
+       {"fingerprint", to_string(request.fingerprint)},
+       {"target", target.key},
+       {"instance", target.instance_id},
+       {"reason", stream.error()},
+       {"last_event", request.event_stream.last_id() ? std::to_string(*request.event_stream.last_id()) : "none"}});
+  if (now < request.deadline) {
+    in_flight_attempts_.note_failure(target, now);
+    blocked_request_guard_.note_lost_response(request, target);
   }
   ++state_.counters.resumed;
-  co_return Sending::kMayHaveRun;
+  co_return DispatchResult::kMayHaveRun;
 }
 
 }  // namespace larchlever::node
--- a/src/node/server_notices.cc
+++ b/src/node/server_notices.cc
@@ -10,21 +10,21 @@
 
 namespace {
 
-constexpr std::string_view kLeaves = "1";
+constexpr std::string_view kLeavingValue = "1";
 
-void note_rest(EntryState& state, const fleet::Target& target, std::string_view value) {
-  const auto asked = requests::parse_retry_after(value);
-  state.dispatcher.note_rest(monotonic_now(), target, asked.rest);
+void record_retry_after(EntryState& state, const fleet::Target& target, std::string_view value) {
+  const auto retry_after = requests::parse_retry_after(value);
+  state.dispatcher.note_rest(monotonic_now(), target, retry_after.rest);
   log_event("", "server_asked_for_rest",
             {{"instance", target.incarnation},
-             {"rest_ms", std::to_string(asked.rest / milliseconds(1))},
+             {"rest_ms", std::to_string(retry_after.rest / milliseconds(1))},
              {"value", std::string(value)},
-             {"is_exact", asked.reading == requests::RetryAfterReading::kExact ? "yes" : "no"}});
+             {"is_exact", retry_after.reading == requests::RetryAfterReading::kExact ? "yes" : "no"}});
 }
 
-void note_leaving(EntryState& state, const fleet::Target& target, std::string_view value) {
-  if (value != kLeaves) {
-    log_problem("", "leaving_not_understood",
+void record_leaving(EntryState& state, const fleet::Target& target, std::string_view value) {
+  if (value != kLeavingValue) {
+    log_warning("", "leaving_not_understood",
                 {{"instance", target.incarnation},
                  {"value", std::string(value)},
                  {"remedy", "a server that leaves says 1; it is used on"}});
@@ -35,7 +35,7 @@
   }
 }
 
-std::vector<std::string_view> values_of(const net::Headers& headers, const std::string& name) {
+std::vector<std::string_view> header_values(const net::Headers& headers, const std::string& name) {
   std::vector<std::string_view> values;
   for (const auto& [header, value] : headers.all()) {
     if (net::equals_ignoring_case(header, name)) {
@@ -45,20 +45,20 @@
   return values;
 }
 
-void note_limit(EntryState& state, const Dialect& dialect, const ServerAnswer& answer) {
-  const auto& [target, sent_at, head] = answer;
-  const auto values = values_of(head.headers, dialect.limit);
+void record_rate_limit(EntryState& state, const Dialect& dialect, const ServerResponse& response) {
+  const auto& [target, sent_at, head] = response;
+  const auto values = header_values(head.headers, dialect.limit_header);
   if (values.empty()) {
     // Without the server's signature another may have answered in its place.
-    const bool is_of_server = head.headers.contains(dialect.signature);
-    if (is_of_server && state.dispatcher.note_limit({target.incarnation, std::nullopt, sent_at})) {
+    const bool is_signed = head.headers.contains(dialect.signature_header);
+    if (is_signed && state.dispatcher.note_limit({target.incarnation, std::nullopt, sent_at})) {
       log_event("", "server_limit_ended", {{"instance", target.incarnation}});
     }
     return;
   }
   const auto limit = requests::parse_server_limit(values);
   if (!limit.per_second) {
-    log_problem("", "server_limit_not_understood",
+    log_warning("", "server_limit_not_understood",
                 {{"instance", target.incarnation},
                  {"value", std::string(values.front())},
                  {"headers", std::to_string(values.size())},
@@ -76,18 +76,18 @@
 
 }  // namespace
 
-void note_server_notices(EntryState& state, const Dialect& dialect, const ServerAnswer& answer) {
-  const auto& [target, sent_at, head] = answer;
-  const bool turns_away =
+void record_server_notices(EntryState& state, const Dialect& dialect, const ServerResponse& response) {
+  const auto& [target, sent_at, head] = response;
+  const bool is_overload_status =
       head.status == http_status::kServiceUnavailable || head.status == http_status::kTooManyRequests;
-  if (turns_away && head.headers.contains(kRetryAfter)) {
-    note_rest(state, target, head.headers.find(kRetryAfter));
+  if (is_overload_status && head.headers.contains(kRetryAfterHeader)) {
+    record_retry_after(state, target, head.headers.find(kRetryAfterHeader));
   }
-  if (head.headers.contains(dialect.leaving)) {
-    note_leaving(state, target, head.headers.find(dialect.leaving));
+  if (head.headers.contains(dialect.leaving_header)) {
+    record_leaving(state, target, head.headers.find(dialect.leaving_header));
   }
   if (head.status != http_status::kMisdirectedRequest) {
-    note_limit(state, dialect, answer);
+    record_rate_limit(state, dialect, response);
   }
 }
 
--- a/src/node/slot_requester.cc
+++ b/src/node/slot_requester.cc
@@ -13,22 +13,22 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 /// The leader's first word comes within a few round trips; bounds of the wait for it while few were measured, and
 /// where measurements vary much.
-constexpr milliseconds kShortestPatience{15};
-constexpr milliseconds kLongestPatience{40};
-constexpr int kPatienceDeviations = 4;
+constexpr milliseconds kMinResponseTimeout{15};
+constexpr milliseconds kMaxResponseTimeout{40};
+constexpr int kTimeoutDeviations = 4;
 /// Before the first answer: whoever started with this entry, as after a loss of power, asks at the same moment.
-constexpr milliseconds kFirstPatience{200};
+constexpr milliseconds kInitialResponseTimeout{200};
 /// A leader that did not answer is asked again after this time; elections take several times as long.
-constexpr auto kSilencePause = milliseconds(150);
+constexpr auto kLeaderBackoff = milliseconds(150);
 /// A queued request is answered at the latest this long after its patience: one tick of the leader, and the way.
-constexpr milliseconds kQueueSlack{40};
+constexpr milliseconds kQueuedReplyMargin{40};
 /// Changes of load within this time are told together.
 constexpr milliseconds kReportDelay{5};
 /// A complete report mends what a lost one left wrong, and shows the leader that this entry lives.
-constexpr auto kCompleteInterval = std::chrono::seconds(1);
+constexpr auto kCompleteReportInterval = std::chrono::seconds(1);
 
 std::vector<wire::ServerLimitReport> limit_reports(TimePoint now,
                                                    const std::vector<fleet::LimitObservation>& observations) {
@@ -50,68 +50,69 @@
 SlotRequester::SlotRequester(asio::any_io_executor executor, EntryState& state, Sender send)
     : executor_(std::move(executor)), state_(state), send_(std::move(send)), alive_(std::make_shared<bool>(true)) {}
 
-milliseconds SlotRequester::answer_patience() const {
-  if (!answer_time_.is_measured()) {
-    return kFirstPatience;
+milliseconds SlotRequester::response_timeout() const {
+  if (!response_latency_.is_measured()) {
+    return kInitialResponseTimeout;
   }
-  const auto measured = duration_cast<milliseconds>(answer_time_.upper(kPatienceDeviations));
-  return std::clamp(measured, kShortestPatience, kLongestPatience);
+  const auto measured = duration_cast<milliseconds>(response_latency_.upper(kTimeoutDeviations));
+  return std::clamp(measured, kMinResponseTimeout, kMaxResponseTimeout);
 }
 
-asio::awaitable<void> SlotRequester::wait_for_answer(std::shared_ptr<Question> question, milliseconds time) {
-  question->is_answered = false;
-  question->timer.expires_after(time);
-  co_await question->timer.async_wait(kAwait);
+asio::awaitable<void> SlotRequester::wait_for_answer(std::shared_ptr<PendingRequest> pending_request,
+                                                     milliseconds timeout) {
+  pending_request->is_answered = false;
+  pending_request->timer.expires_after(timeout);
+  co_await pending_request->timer.async_wait(kAwaitWithError);
 }
 
-asio::awaitable<wire::SlotGrant> SlotRequester::ask(wire::SlotRequest request) {
+asio::awaitable<wire::SlotGrant> SlotRequester::request_slot(wire::SlotRequest request) {
   wire::SlotGrant undecided;
   undecided.verdict = wire::SlotVerdict::UNDECIDED;
   const TimePoint now = monotonic_now();
-  if (now < not_before_) {
+  if (now < leader_backoff_until_) {
     co_return undecided;
   }
   request.id = next_id_++;
   const int64_t id = request.id;
-  const milliseconds patience(request.patience_ms);
-  auto question = std::make_shared<Question>(executor_);
-  question->asked = now;
-  question->grant = undecided;
-  questions_[id] = question;
-  send_soon(std::move(request));
-  co_await wait_for_answer(question, answer_patience());
-  if (!question->is_answered) {
-    not_before_ = monotonic_now() + kSilencePause;
-  } else if (question->grant.verdict == wire::SlotVerdict::QUEUED) {
-    co_await wait_for_answer(question, patience + kQueueSlack);
+  const milliseconds queue_timeout(request.patience_ms);
+  auto pending_request = std::make_shared<PendingRequest>(executor_);
+  pending_request->asked_at = now;
+  pending_request->grant = undecided;
+  pending_requests_[id] = pending_request;
+  queue_request(std::move(request));
+  co_await wait_for_answer(pending_request, response_timeout());
+  if (!pending_request->is_answered) {
+    leader_backoff_until_ = monotonic_now() + kLeaderBackoff;
+  } else if (pending_request->grant.verdict == wire::SlotVerdict::QUEUED) {
+    co_await wait_for_answer(pending_request, queue_timeout + kQueuedReplyMargin);
   }
-  questions_.erase(id);
-  const bool is_open = question->grant.verdict == wire::SlotVerdict::QUEUED;
-  co_return is_open ? undecided : question->grant;
+  pending_requests_.erase(id);
+  const bool is_still_queued = pending_request->grant.verdict == wire::SlotVerdict::QUEUED;
+  co_return is_still_queued ? undecided : pending_request->grant;
 }
 
-asio::awaitable<bool> SlotRequester::ask_for_trial(requests::RequestFingerprint request) {
-  wire::SlotRequest question;
-  question.__set_trial_of(request.value());
-  const auto grant = co_await ask(std::move(question));
+asio::awaitable<bool> SlotRequester::request_trial(requests::RequestFingerprint request) {
+  wire::SlotRequest slot_request;
+  slot_request.__set_trial_of(request.value());
+  const auto grant = co_await request_slot(std::move(slot_request));
   co_return grant.verdict == wire::SlotVerdict::GRANTED;
 }
 
-asio::awaitable<bool> SlotRequester::ask_for_repeat(requests::RequestFingerprint request) {
-  wire::SlotRequest question;
-  question.__set_repeat_of(request.value());
-  const auto grant = co_await ask(std::move(question));
+asio::awaitable<bool> SlotRequester::request_retry_permission(requests::RequestFingerprint request) {
+  wire::SlotRequest slot_request;
+  slot_request.__set_repeat_of(request.value());
+  const auto grant = co_await request_slot(std::move(slot_request));
   co_return grant.verdict != wire::SlotVerdict::BUSY;
 }
 
-void SlotRequester::send_soon(wire::SlotRequest request) {
-  unsent_.push_back(std::move(request));
-  if (unsent_.size() > 1) {
+void SlotRequester::queue_request(wire::SlotRequest request) {
+  unsent_requests_.push_back(std::move(request));
+  if (unsent_requests_.size() > 1) {
     return;
   }
   asio::post(executor_, [this, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired()) {
-      report(std::exchange(unsent_, {}));
+      send_report(std::exchange(unsent_requests_, {}));
     }
   });
 }
@@ -126,34 +127,34 @@
   }
   for (const auto& grant : answer.grants) {
     grants_seen_ = std::max(grants_seen_, grant.sequence);
-    const auto found = questions_.find(grant.id);
-    if (found == questions_.end()) {
-      note_change();  // Nobody waits for the slot any more: tell the leader that it is not used.
+    const auto found = pending_requests_.find(grant.id);
+    if (found == pending_requests_.end()) {
+      note_load_change();  // Nobody waits for the slot any more: tell the leader that it is not used.
       continue;
     }
-    Question& question = *found->second;
-    if (question.grant.verdict == wire::SlotVerdict::UNDECIDED) {
-      answer_time_.note(monotonic_now() - question.asked);
+    PendingRequest& pending_request = *found->second;
+    if (pending_request.grant.verdict == wire::SlotVerdict::UNDECIDED) {
+      response_latency_.note(monotonic_now() - pending_request.asked_at);
     }
-    question.grant = grant;
-    question.is_answered = true;
-    question.timer.cancel();
+    pending_request.grant = grant;
+    pending_request.is_answered = true;
+    pending_request.timer.cancel();
   }
 }
 
-void SlotRequester::note_change() {
-  if (!report_is_due_) {
-    report_is_due_ = true;
-    asio::co_spawn(executor_, report_later(), asio::detached);
+void SlotRequester::note_load_change() {
+  if (!is_report_scheduled_) {
+    is_report_scheduled_ = true;
+    asio::co_spawn(executor_, send_report_later(), asio::detached);
   }
 }
 
-asio::awaitable<void> SlotRequester::report_later() {
+asio::awaitable<void> SlotRequester::send_report_later() {
   const std::weak_ptr<bool> alive = alive_;
   asio::steady_timer timer(executor_, kReportDelay);
-  co_await timer.async_wait(kAwait);
-  if (!alive.expired() && report_is_due_) {
-    report({});
+  co_await timer.async_wait(kAwaitWithError);
+  if (!alive.expired() && is_report_scheduled_) {
+    send_report({});
   }
 }
 
@@ -163,44 +164,44 @@
     return std::find(reported_failures_.begin(), reported_failures_.end(), failure) == reported_failures_.end();
   });
   const std::string& leader = state_.subscription.leader();
-  if (!leader.empty() && (state_.blocked.has_news() || state_.dispatcher.has_limit_news())) {
-    note_change();
+  if (!leader.empty() && (state_.blocked_request_tracker.has_news() || state_.dispatcher.has_limit_news())) {
+    note_load_change();
   }
-  if (!leader.empty() && (now >= next_complete_ || has_new_failure || leader != reported_to_)) {
-    report_all(now, std::move(failures));
-  } else if (!leader.empty() && state_.dispatcher.quiet_groups(now) != reported_quiet_) {
-    report({});
+  if (!leader.empty() && (now >= next_complete_report_ || has_new_failure || leader != last_report_leader_)) {
+    send_complete_report(now, std::move(failures));
+  } else if (!leader.empty() && state_.dispatcher.quiet_groups(now) != reported_quiet_groups_) {
+    send_report({});
   }
 }
 
-wire::SlotReport SlotRequester::current_report(std::vector<wire::SlotRequest> requests) {
-  reported_quiet_ = state_.dispatcher.quiet_groups(monotonic_now());
+wire::SlotReport SlotRequester::make_report(std::vector<wire::SlotRequest> requests) {
+  reported_quiet_groups_ = state_.dispatcher.quiet_groups(monotonic_now());
   wire::SlotReport report;
   report.requests = std::move(requests);
   report.grants_term = grants_term_;
   report.grants_seen = grants_seen_;
   report.traffic_seen = state_.traffic_seen;
-  report.quiet_groups = reported_quiet_;
+  report.quiet_groups = reported_quiet_groups_;
   if (!state_.subscription.leader().empty()) {
-    report.server_ends = state_.blocked.take_ends(monotonic_now());
-    report.answered_requests = state_.blocked.take_answered();
+    report.server_ends = state_.blocked_request_tracker.take_ends(monotonic_now());
+    report.answered_requests = state_.blocked_request_tracker.take_answered();
     report.server_limits = limit_reports(monotonic_now(), state_.dispatcher.take_changed_limits(monotonic_now()));
   }
   return report;
 }
 
-void SlotRequester::report(std::vector<wire::SlotRequest> requests) {
-  auto report = current_report(std::move(requests));
+void SlotRequester::send_report(std::vector<wire::SlotRequest> requests) {
+  auto report = make_report(std::move(requests));
   report.loads = state_.dispatcher.take_changed_loads(monotonic_now());
   send(std::move(report));
 }
 
-void SlotRequester::report_all(TimePoint now, std::vector<wire::GroupFailure> failures) {
-  next_complete_ = now + kCompleteInterval;
-  const bool is_new_leader = reported_to_ != state_.subscription.leader();
-  reported_to_ = state_.subscription.leader();
+void SlotRequester::send_complete_report(TimePoint now, std::vector<wire::GroupFailure> failures) {
+  next_complete_report_ = now + kCompleteReportInterval;
+  const bool is_new_leader = last_report_leader_ != state_.subscription.leader();
+  last_report_leader_ = state_.subscription.leader();
   reported_failures_ = failures;
-  auto report = current_report({});
+  auto report = make_report({});
   state_.dispatcher.take_changed_loads(now);
   report.loads = state_.dispatcher.loads(now);
   report.is_complete = true;
@@ -208,13 +209,13 @@
   report.demand = state_.dispatcher.demand_totals();
   report.failures = std::move(failures);
   if (is_new_leader) {
-    report.server_ends = state_.blocked.recent_ends(now);
+    report.server_ends = state_.blocked_request_tracker.recent_ends(now);
   }
   send(std::move(report));
 }
 
 void SlotRequester::send(wire::SlotReport report) {
-  report_is_due_ = false;
+  is_report_scheduled_ = false;
   wire::Envelope envelope;
   envelope.to_node = state_.subscription.leader();
   envelope.__isset.slot_report = true;
--- a/src/node/storage_worker.cc
+++ b/src/node/storage_worker.cc
@@ -14,7 +14,7 @@
     const std::lock_guard lock(mutex_);
     queue_.push_back(std::move(batch));
   }
-  wake_.notify_one();
+  work_available_.notify_one();
 }
 
 std::unique_ptr<storage::DataFolder> StorageWorker::stop() {
@@ -22,7 +22,7 @@
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  wake_.notify_one();
+  work_available_.notify_one();
   if (thread_.joinable()) {
     thread_.join();
   }
@@ -34,12 +34,12 @@
   return stats_;
 }
 
-void StorageWorker::submit_copy(std::string content) {
+void StorageWorker::submit_state_copy(std::string content) {
   {
     const std::lock_guard lock(mutex_);
-    copy_ = std::move(content);
+    state_copy_ = std::move(content);
   }
-  wake_.notify_one();
+  work_available_.notify_one();
 }
 
 bool StorageWorker::write_batches(std::vector<consensus::RaftOutput> batches) {
@@ -67,7 +67,7 @@
     std::optional<std::string> copy;
     {
       std::unique_lock lock(mutex_);
-      wake_.wait(lock, [this] { return stopping_ || copy_ || !queue_.empty(); });
+      work_available_.wait(lock, [this] { return stopping_ || state_copy_ || !queue_.empty(); });
       if (stopping_ && queue_.empty()) {
         return;
       }
@@ -75,7 +75,7 @@
       queue_.clear();
       // The log goes first: a copy waits until nothing else does.
       if (batches.empty()) {
-        copy.swap(copy_);
+        copy.swap(state_copy_);
       }
     }
     if (!batches.empty() && !write_batches(std::move(batches))) {
--- a/src/node/storage_worker.h
+++ b/src/node/storage_worker.h
@@ -31,7 +31,7 @@
 
   void submit(consensus::RaftOutput batch);
   /// Keeps a copy of state beside the log, after the batches submitted before. Only the newest of several is written.
-  void submit_copy(std::string content);
+  void submit_state_copy(std::string content);
   /// Finishes what was submitted and ends the thread; returns the folder.
   std::unique_ptr<storage::DataFolder> stop();
   storage::StorageStats stats() const;
@@ -45,9 +45,9 @@
   OnWritten on_written_;
   OnFailure on_failure_;
   mutable std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable work_available_;
   std::deque<consensus::RaftOutput> queue_;
-  std::optional<std::string> copy_;
+  std::optional<std::string> state_copy_;
   storage::StorageStats stats_;
   bool stopping_ = false;
   std::thread thread_;
