--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -12,107 +12,111 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 /// Pause before looking for a target again.
-constexpr auto kTargetPause = std::chrono::milliseconds(20);
+constexpr auto kTargetRetryInterval = std::chrono::milliseconds(20);
 /// Part of the latency objective that a request may wait for a place before it is refused; who was held until this
 /// entry had a lease may wait for all of it, since all that were held come at once.
-constexpr int kWaitingPart = 5;
+constexpr int kWaitDivisor = 5;
 /// Part of the recent first events whose excess over the forecast is allowed for.
-constexpr double kExcessShare = 0.75;
+constexpr double kExcessQuantile = 0.75;
 /// Most of the objective that may be set aside for it: a group that is forecast within the rest is always worth a try,
 /// which also is the only way to learn that first events come sooner again.
-constexpr int kExcessPart = 2;
+constexpr int kMaxExcessDivisor = 2;
 /// Plain services have none.
 const std::string kNoModel;
 
 int32_t to_milliseconds(Duration duration) { return static_cast<int32_t>(duration / milliseconds(1)); }
 
 /// By then another leader counts for all entries, and gives more than this entry's part.
-constexpr Duration kBackWhenLed = seconds(2);
+constexpr Duration kMaxLocalRetryAfter = seconds(2);
 /// How long the leader is not asked again for servers at which it had no turn.
-constexpr Duration kNoTurnPause = milliseconds(100);
+constexpr Duration kNoPermitBackoff = milliseconds(100);
 
-Refusal busy() { return {http_status::kServiceUnavailable, "all places are taken", kBackWhenBusy}; }
+Refusal busy_refusal() { return {http_status::kServiceUnavailable, "all places are taken", kRetryAfterBusy}; }
 
-Refusal refusal_of(const wire::SlotGrant& grant) {
+Refusal refusal_from_grant(const wire::SlotGrant& grant) {
   if (!grant.__isset.retry_after_ms) {
-    return busy();
+    return busy_refusal();
   }
   return {http_status::kServiceUnavailable, "the servers' limits are used up", milliseconds(grant.retry_after_ms)};
 }
 
 }  // namespace
 
-TimePoint TargetFinder::patience_of(const RelayedRequest& request) {
-  if (request.head_sent) {
-    return request.due;
+TimePoint TargetFinder::wait_deadline(const RelayedRequest& request) {
+  if (request.response_started) {
+    return request.deadline;
   }
   const Duration objective = request.route->target_latency;
-  return std::min(request.due, request.admitted + (request.was_held ? objective : objective / kWaitingPart));
+  return std::min(request.deadline,
+                  request.admitted_at + (request.was_held_for_lease ? objective : objective / kWaitDivisor));
 }
 
 asio::awaitable<FoundTarget> TargetFinder::find(RelayedRequest& request) {
-  const TimePoint wait_until = patience_of(request);
-  if (auto refusal = refusal_while_all_rest(request, wait_until)) {
+  const TimePoint wait_until = wait_deadline(request);
+  if (auto refusal = refusal_if_all_backing_off(request, wait_until)) {
     co_return std::move(*refusal);
   }
   if (request.service->engine) {
-    auto answer = co_await ask_leader(request, wait_until);
-    if (answer) {
-      co_return std::move(*answer);
+    auto leader_decision = co_await ask_leader(request, wait_until);
+    if (leader_decision) {
+      co_return std::move(*leader_decision);
     }
   }
-  co_return co_await choose_here(request, wait_until);
+  co_return co_await choose_locally(request, wait_until);
 }
 
-std::optional<Refusal> TargetFinder::refusal_while_all_rest(const RelayedRequest& request, TimePoint until) const {
+std::optional<Refusal> TargetFinder::refusal_if_all_backing_off(const RelayedRequest& request, TimePoint until) const {
   const TimePoint now = monotonic_now();
   const auto& service = *request.service;
-  const auto first = state_.dispatcher.all_rest_until(now, service.name, service.engine ? request.model : "");
-  if (!first || *first <= until) {
+  const auto all_available_after =
+      state_.dispatcher.all_rest_until(now, service.name, service.engine ? request.model : "");
+  if (!all_available_after || *all_available_after <= until) {
     return std::nullopt;
   }
-  return Refusal{http_status::kServiceUnavailable, "all servers asked for rest", *first - now};
+  return Refusal{http_status::kServiceUnavailable, "all servers asked for rest", *all_available_after - now};
 }
 
-wire::SlotRequest TargetFinder::question_for(const RelayedRequest& request, TimePoint now, TimePoint wait_until) const {
-  wire::SlotRequest question;
-  question.service_name = request.service->name;
-  question.model = request.model;
-  question.prompt_tokens = static_cast<int32_t>(request.prompt_tokens);
+wire::SlotRequest TargetFinder::make_slot_request(const RelayedRequest& request, TimePoint now,
+                                                  TimePoint wait_until) const {
+  wire::SlotRequest slot_request;
+  slot_request.service_name = request.service->name;
+  slot_request.model = request.model;
+  slot_request.prompt_tokens = static_cast<int32_t>(request.prompt_tokens);
   const Duration objective = request.route->target_latency;
   // Once it may have run, it cannot be refused any more: the soonest group is best, in time or not.
-  if (objective > Duration::zero() && !request.head_sent && !request.may_have_run) {
+  if (objective > Duration::zero() && !request.response_started && !request.may_have_run) {
     const auto excess = state_.first_event_excess.find(request.model);
-    const Duration allowance =
-        excess == state_.first_event_excess.end()
-            ? Duration::zero()
-            : std::clamp<Duration>(excess->second.value(now, kExcessShare), Duration::zero(), objective / kExcessPart);
+    const Duration allowance = excess == state_.first_event_excess.end()
+                                   ? Duration::zero()
+                                   : std::clamp<Duration>(excess->second.value(now, kExcessQuantile), Duration::zero(),
+                                                          objective / kMaxExcessDivisor);
     // Whoever was held is late already; as with those that come back, the objective counts anew.
-    const Duration left = request.admitted + objective - now - allowance;
-    question.first_event_ms = std::max(1, to_milliseconds(left));
+    const Duration left = request.admitted_at + objective - now - allowance;
+    slot_request.first_event_ms = std::max(1, to_milliseconds(left));
   }
-  question.gap_ms = to_milliseconds(request.route->target_gap);
-  const bool by_tenant = request.tenant != nullptr && request.tenant->priority >= 0;
-  question.priority = by_tenant ? request.tenant->priority : request.route->priority;
-  question.patience_ms = std::max(0, to_milliseconds(wait_until - now));
+  slot_request.gap_ms = to_milliseconds(request.route->target_gap);
+  const bool has_tenant_priority = request.tenant != nullptr && request.tenant->priority >= 0;
+  slot_request.priority = has_tenant_priority ? request.tenant->priority : request.route->priority;
+  slot_request.patience_ms = std::max(0, to_milliseconds(wait_until - now));
   if (request.allowed_zones) {
-    question.__set_allowed_zones({request.allowed_zones->begin(), request.allowed_zones->end()});
+    slot_request.__set_allowed_zones({request.allowed_zones->begin(), request.allowed_zones->end()});
   }
-  question.excluded_groups = state_.dispatcher.doubtful_groups(now, request.service->name, request.model);
-  question.excluded_groups.insert(question.excluded_groups.end(), request.excluded.begin(), request.excluded.end());
-  return question;
+  slot_request.excluded_groups = state_.dispatcher.doubtful_groups(now, request.service->name, request.model);
+  slot_request.excluded_groups.insert(slot_request.excluded_groups.end(), request.excluded_targets.begin(),
+                                      request.excluded_targets.end());
+  return slot_request;
 }
 
 asio::awaitable<std::optional<FoundTarget>> TargetFinder::ask_leader(RelayedRequest& request, TimePoint wait_until) {
-  const auto question = question_for(request, monotonic_now(), wait_until);
-  const auto grant = co_await slots_.ask(question);
+  const auto slot_request = make_slot_request(request, monotonic_now(), wait_until);
+  const auto grant = co_await slot_requester_.request_slot(slot_request);
   if (request.caller_gone) {
     co_return FoundTarget(CallerGone());
   }
   if (grant.verdict == wire::SlotVerdict::BUSY) {
-    co_return FoundTarget(refusal_of(grant));
+    co_return FoundTarget(refusal_from_grant(grant));
   }
   if (grant.verdict != wire::SlotVerdict::GRANTED) {
     co_return std::nullopt;
@@ -123,25 +127,25 @@
   const bool is_usable =
       target && state_.dispatcher.may_send(now, *target) && document::are_allowed(home_zones(request), target->zones);
   if (!is_usable) {
-    slots_.note_change();  // The slot is not used.
+    slot_requester_.note_load_change();  // The slot is not used.
     co_return std::nullopt;
   }
-  request.expected_first_event = milliseconds(grant.expected_ms);
+  request.expected_first_event_delay = milliseconds(grant.expected_ms);
   request.has_slot = true;
   co_return FoundTarget(std::move(*target));
 }
 
-asio::awaitable<std::optional<FoundTarget>> TargetFinder::ask_for_turn(RelayedRequest& request,
-                                                                       const fleet::Choice& choice,
-                                                                       TimePoint wait_until) {
+asio::awaitable<std::optional<FoundTarget>> TargetFinder::request_rate_permit(RelayedRequest& request,
+                                                                              const fleet::Choice& choice,
+                                                                              TimePoint wait_until) {
   const TimePoint now = monotonic_now();
-  auto question = question_for(request, now, choice.target ? now : wait_until);
+  auto slot_request = make_slot_request(request, now, choice.target ? now : wait_until);
   std::vector<std::string> incarnations;
   for (const auto& target : choice.rated) {
     incarnations.push_back(target.incarnation);
   }
-  question.__set_rated_servers(incarnations);
-  const auto grant = co_await slots_.ask(question);
+  slot_request.__set_rated_servers(incarnations);
+  const auto grant = co_await slot_requester_.request_slot(slot_request);
   if (request.caller_gone) {
     co_return FoundTarget(CallerGone());
   }
@@ -154,11 +158,11 @@
     co_return std::nullopt;
   }
   if (grant.verdict == wire::SlotVerdict::BUSY && !choice.target) {
-    co_return FoundTarget(refusal_of(grant));
+    co_return FoundTarget(refusal_from_grant(grant));
   }
   if (grant.verdict == wire::SlotVerdict::BUSY) {
     for (const auto& target : choice.rated) {
-      state_.dispatcher.note_no_turn(monotonic_now() + kNoTurnPause, target);
+      state_.dispatcher.note_no_turn(monotonic_now() + kNoPermitBackoff, target);
     }
   }
   co_return std::nullopt;
@@ -168,38 +172,39 @@
                                                             TimePoint now, TimePoint wait_until) const {
   if (choice.next_turn && *choice.next_turn > wait_until) {
     return Refusal{http_status::kServiceUnavailable, "this node's part of the servers' limits is used up",
-                   std::min(*choice.next_turn - now, kBackWhenLed)};
+                   std::min(*choice.next_turn - now, kMaxLocalRetryAfter)};
   }
-  if (auto refusal = refusal_while_all_rest(request, wait_until)) {
+  if (auto refusal = refusal_if_all_backing_off(request, wait_until)) {
     return refusal;
   }
   const std::string& model = request.service->engine ? request.model : kNoModel;
   if (state_.dispatcher.is_emptied(request.service->name, model, home_zones(request))) {
     return Refusal{http_status::kServiceUnavailable, "all zones with servers for it are evacuated",
-                   kBackWhenUnavailable};
+                   kRetryAfterUnavailable};
   }
   if (now < wait_until) {
     return std::nullopt;
   }
   if (choice.failure == fleet::ChoiceFailure::kAllBusy) {
-    return busy();
+    return busy_refusal();
   }
-  return Refusal{http_status::kServiceUnavailable, "no server is available", kBackWhenUnavailable};
+  return Refusal{http_status::kServiceUnavailable, "no server is available", kRetryAfterUnavailable};
 }
 
-asio::awaitable<FoundTarget> TargetFinder::choose_here(RelayedRequest& request, TimePoint wait_until) {
+asio::awaitable<FoundTarget> TargetFinder::choose_locally(RelayedRequest& request, TimePoint wait_until) {
   const fleet::Demand demand{request.model, request.route->target_latency, request.prompt_tokens, home_zones(request)};
-  request.expected_first_event = Duration::zero();
+  request.expected_first_event_delay = Duration::zero();
   request.has_slot = false;
-  auto authority = slots_.hears_leader(monotonic_now()) ? fleet::RateAuthority::kLeader : fleet::RateAuthority::kShares;
+  auto authority = slot_requester_.is_leader_responsive(monotonic_now()) ? fleet::RateAuthority::kLeader
+                                                                         : fleet::RateAuthority::kShares;
   asio::steady_timer timer(executor_);
   while (!request.caller_gone) {
     const TimePoint now = monotonic_now();
-    auto choice = state_.dispatcher.choose(now, *request.service, demand, request.excluded, authority);
+    auto choice = state_.dispatcher.choose(now, *request.service, demand, request.excluded_targets, authority);
     if (!choice.rated.empty()) {
-      auto turn = co_await ask_for_turn(request, choice, wait_until);
-      if (turn) {
-        co_return std::move(*turn);
+      auto permitted_target = co_await request_rate_permit(request, choice, wait_until);
+      if (permitted_target) {
+        co_return std::move(*permitted_target);
       }
       authority = fleet::RateAuthority::kShares;  // Unless another server takes the request.
     }
@@ -209,8 +214,8 @@
     if (auto refusal = refusal_without_target(request, choice, now, wait_until)) {
       co_return std::move(*refusal);
     }
-    timer.expires_after(kTargetPause);
-    co_await timer.async_wait(kAwait);
+    timer.expires_after(kTargetRetryInterval);
+    co_await timer.async_wait(kAwaitWithError);
   }
   co_return CallerGone();
 }
--- a/tests/integration/ending_server.cc
+++ b/tests/integration/ending_server.cc
@@ -129,8 +129,9 @@
   const auto& dialect = *node::find_dialect("larchlever");
   net::HttpResponse response;
   response.status = http_status::kOk;
-  response.headers.add(dialect.request_id, std::string(exchange.request().headers.find(dialect.request_id)));
-  response.headers.add(dialect.signature, "signed");
+  response.headers.add(dialect.request_id_header,
+                       std::string(exchange.request().headers.find(dialect.request_id_header)));
+  response.headers.add(dialect.signature_header, "signed");
   if (exchange.request().body == kEndingBody) {
     ends_.add_arrival();
     asio::steady_timer harm(client_.context(), kWork);
--- a/tests/integration/forms_server.h
+++ b/tests/integration/forms_server.h
@@ -37,21 +37,21 @@
 
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override {
     const auto& dialect = *node::find_dialect("larchlever");
-    const std::string request_id(exchange.request().headers.find(dialect.request_id));
+    const std::string request_id(exchange.request().headers.find(dialect.request_id_header));
     const std::string rest = rest_asked();
     const std::string limit = limits_.for_answer();
     arrivals_.add(request_id, !rest.empty(), !limit.empty());
     net::HttpResponse response;
-    response.headers.add(dialect.request_id, request_id);
+    response.headers.add(dialect.request_id_header, request_id);
     if (is_leaving_) {
       response.headers.add(kLeavingHeader, "1");
     }
     if (!limit.empty()) {
-      response.headers.add(dialect.limit, limit);
+      response.headers.add(dialect.limit_header, limit);
     }
     if (!rest.empty()) {
       response.status = http_status::kServiceUnavailable;
-      response.headers.add(dialect.not_run, "1");
+      response.headers.add(dialect.not_run_header, "1");
       response.headers.add("Retry-After", rest);
       co_await exchange.respond(std::move(response));
       co_return;
@@ -60,7 +60,7 @@
     boost::asio::steady_timer timer(client_.context(), delay_);
     co_await timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
     response.status = http_status::kOk;
-    response.headers.add(dialect.signature, "signed");
+    response.headers.add(dialect.signature_header, "signed");
     response.body = exchange.request().path() == kLargePath ? std::string(kLargeBytes, 'x') : "form";
     co_await exchange.respond(std::move(response));
   }
--- a/tests/integration/registered_engines.cc
+++ b/tests/integration/registered_engines.cc
@@ -108,7 +108,7 @@
   ~Server() override { destroy_on_its_thread(engines_.client_, server_); }
 
   asio::awaitable<void> handle(net::HttpExchange& exchange) override {
-    if (exchange.request().path() == dialect_.order_path) {
+    if (exchange.request().path() == dialect_.engine_order_path) {
       co_await take_order(exchange);
     } else {
       co_await serve(exchange);
@@ -259,24 +259,25 @@
 
   asio::awaitable<void> serve(net::HttpExchange& exchange) {
     net::HttpResponse head;
-    head.headers.add(dialect_.request_id, std::string(exchange.request().headers.find(dialect_.request_id)));
+    head.headers.add(dialect_.request_id_header,
+                     std::string(exchange.request().headers.find(dialect_.request_id_header)));
     if (!is_open_head()) {
       ++engines_.misdirected_;
       head.status = http_status::kMisdirectedRequest;
-      head.headers.add(dialect_.not_run, "1");
+      head.headers.add(dialect_.not_run_header, "1");
       co_await exchange.respond(std::move(head));
       co_return;
     }
     const std::string limit = limits_.for_answer();
-    arrivals_.add(std::string(exchange.request().headers.find(dialect_.request_id)), false, !limit.empty());
+    arrivals_.add(std::string(exchange.request().headers.find(dialect_.request_id_header)), false, !limit.empty());
     if (!limit.empty()) {
-      head.headers.add(dialect_.limit, limit);
+      head.headers.add(dialect_.limit_header, limit);
     }
     const std::string rest = rest_asked();
     if (!rest.empty()) {
-      engines_.turned_away_.add(std::string(exchange.request().headers.find(dialect_.request_id)), true);
+      engines_.turned_away_.add(std::string(exchange.request().headers.find(dialect_.request_id_header)), true);
       head.status = http_status::kServiceUnavailable;
-      head.headers.add(dialect_.not_run, "1");
+      head.headers.add(dialect_.not_run_header, "1");
       head.headers.add("Retry-After", rest);
       co_await exchange.respond(std::move(head));
       co_return;
@@ -294,10 +295,10 @@
       const auto& before_breaks = engines_.options_.events_before_breaks;
       const size_t number = engines_.broken_off_.all().size();
       events = number < before_breaks.size() ? before_breaks[number] : 0;
-      engines_.broken_off_.add(std::string(exchange.request().headers.find(dialect_.request_id)), false);
+      engines_.broken_off_.add(std::string(exchange.request().headers.find(dialect_.request_id_header)), false);
     }
     ++engines_.served_;
-    head.headers.add(dialect_.signature, "signed-" + id());
+    head.headers.add(dialect_.signature_header, "signed-" + id());
     head.headers.add("Content-Type", "text/event-stream");
     co_await exchange.begin_stream(head);
     asio::steady_timer timer(engines_.client_.context());
--- a/tests/node/outcome_header_test.cc
+++ b/tests/node/outcome_header_test.cc
@@ -17,19 +17,19 @@
 
 // An attempt that is turned away must not deny a run of an earlier attempt that its caller tells of.
 TEST(EarlierOutcome, IsNotTakenBackByAnAttemptThatDidNotRun) {
-  EXPECT_EQ(outcome_told(request_after("unknown"), Outcome::kNotRun), Outcome::kUnknown);
-  EXPECT_EQ(outcome_told(request_after("ran"), Outcome::kNotRun), Outcome::kRan);
-  EXPECT_EQ(outcome_told(request_after("ran"), Outcome::kUnknown), Outcome::kRan);
-  EXPECT_EQ(outcome_told(request_after("unknown"), Outcome::kRan), Outcome::kRan);
-  EXPECT_EQ(outcome_told(request_after("perhaps"), Outcome::kNotRun), Outcome::kUnknown) << "unreadable";
+  EXPECT_EQ(outcome_for_caller(request_after("unknown"), Outcome::kNotRun), Outcome::kUnknown);
+  EXPECT_EQ(outcome_for_caller(request_after("ran"), Outcome::kNotRun), Outcome::kRan);
+  EXPECT_EQ(outcome_for_caller(request_after("ran"), Outcome::kUnknown), Outcome::kRan);
+  EXPECT_EQ(outcome_for_caller(request_after("unknown"), Outcome::kRan), Outcome::kRan);
+  EXPECT_EQ(outcome_for_caller(request_after("perhaps"), Outcome::kNotRun), Outcome::kUnknown) << "unreadable";
 }
 
 // Callers who were told that nothing ran must be told so again, or they could not send the request any more.
 TEST(EarlierOutcome, LeavesTheAttemptsOwnWordWhereNothingRanBefore) {
   for (const std::string earlier : {"", "not-run"}) {
-    EXPECT_EQ(outcome_told(request_after(earlier), Outcome::kNotRun), Outcome::kNotRun);
-    EXPECT_EQ(outcome_told(request_after(earlier), Outcome::kUnknown), Outcome::kUnknown);
-    EXPECT_EQ(outcome_told(request_after(earlier), Outcome::kRan), Outcome::kRan);
+    EXPECT_EQ(outcome_for_caller(request_after(earlier), Outcome::kNotRun), Outcome::kNotRun);
+    EXPECT_EQ(outcome_for_caller(request_after(earlier), Outcome::kUnknown), Outcome::kUnknown);
+    EXPECT_EQ(outcome_for_caller(request_after(earlier), Outcome::kRan), Outcome::kRan);
   }
 }
 
--- a/tests/node/slot_requester_test.cc
+++ b/tests/node/slot_requester_test.cc
@@ -33,23 +33,23 @@
  protected:
   SlotRequesterTest()
       : state_(fleet::FleetOptions(), identity(), {"10.0.0.1:1"}, 1),
-        slots_(context_.get_executor(), state_, [this](wire::Envelope envelope) {
+        slot_requester_(context_.get_executor(), state_, [this](wire::Envelope envelope) {
           reports_.push_back(envelope.slot_report);
           if (on_report_) {
             on_report_(reports_.back());
           }
         }) {}
 
-  wire::SlotGrant ask(int patience_ms = 80) {
+  wire::SlotGrant request_slot(int patience_ms = 80) {
     wire::SlotRequest request;
     request.patience_ms = patience_ms;
-    auto answer = asio::co_spawn(context_, slots_.ask(request), asio::use_future);
+    auto pending_grant = asio::co_spawn(context_, slot_requester_.request_slot(request), asio::use_future);
     context_.restart();
     context_.run();
-    return answer.get();
+    return pending_grant.get();
   }
 
-  void answer(int64_t term, int64_t id, wire::SlotVerdict::type verdict, int64_t sequence = 0) {
+  void deliver_grant(int64_t term, int64_t id, wire::SlotVerdict::type verdict, int64_t sequence = 0) {
     wire::SlotAnswer message;
     message.term = term;
     wire::SlotGrant grant;
@@ -57,21 +57,21 @@
     grant.verdict = verdict;
     grant.sequence = sequence;
     message.grants.push_back(grant);
-    slots_.receive(message);
+    slot_requester_.receive(message);
   }
 
   asio::io_context context_;
   EntryState state_;
   std::vector<wire::SlotReport> reports_;
   std::function<void(const wire::SlotReport&)> on_report_;
-  SlotRequester slots_;
+  SlotRequester slot_requester_;
 };
 
 TEST_F(SlotRequesterTest, ASilentLeaderIsNotWaitedForTwice) {
   const TimePoint before = monotonic_now();
-  EXPECT_EQ(ask().verdict, wire::SlotVerdict::UNDECIDED);
+  EXPECT_EQ(request_slot().verdict, wire::SlotVerdict::UNDECIDED);
   EXPECT_LT(monotonic_now() - before, seconds(1));
-  EXPECT_EQ(ask().verdict, wire::SlotVerdict::UNDECIDED);
+  EXPECT_EQ(request_slot().verdict, wire::SlotVerdict::UNDECIDED);
   EXPECT_EQ(reports_.size(), 1U) << "the second request decides at once";
 }
 
@@ -79,21 +79,22 @@
   on_report_ = [this](const wire::SlotReport& report) {
     const int64_t id = report.requests.front().id;
     asio::post(context_, [this, id] {
-      answer(5, id, wire::SlotVerdict::QUEUED);
-      asio::post(context_, [this, id] { answer(5, id, wire::SlotVerdict::GRANTED, 9); });
+      deliver_grant(5, id, wire::SlotVerdict::QUEUED);
+      asio::post(context_, [this, id] { deliver_grant(5, id, wire::SlotVerdict::GRANTED, 9); });
     });
   };
-  EXPECT_EQ(ask().verdict, wire::SlotVerdict::GRANTED);
-  EXPECT_EQ(slots_.last_grant(), std::pair(int64_t{5}, int64_t{9}));
-  answer(4, 1, wire::SlotVerdict::GRANTED, 50);
-  EXPECT_EQ(slots_.last_grant(), std::pair(int64_t{5}, int64_t{9})) << "a deposed leader's numbers do not count";
+  EXPECT_EQ(request_slot().verdict, wire::SlotVerdict::GRANTED);
+  EXPECT_EQ(slot_requester_.last_grant(), std::pair(int64_t{5}, int64_t{9}));
+  deliver_grant(4, 1, wire::SlotVerdict::GRANTED, 50);
+  EXPECT_EQ(slot_requester_.last_grant(), std::pair(int64_t{5}, int64_t{9}))
+      << "a deposed leader's numbers do not count";
 }
 
 TEST_F(SlotRequesterTest, QuestionsOfOneMomentTravelTogether) {
   wire::SlotRequest request;
   request.patience_ms = 80;
   for (int count = 0; count < 3; ++count) {
-    asio::co_spawn(context_, slots_.ask(request), asio::detached);
+    asio::co_spawn(context_, slot_requester_.request_slot(request), asio::detached);
   }
   context_.run();
   ASSERT_EQ(reports_.size(), 1U);
@@ -108,29 +109,29 @@
   envelope.fleet_update.leader = "10.0.0.1:1";
   state_.subscription.receive(monotonic_now(), envelope);
   const TimePoint now = monotonic_now();
-  slots_.tick(now);
-  slots_.tick(now + milliseconds(500));
+  slot_requester_.tick(now);
+  slot_requester_.tick(now + milliseconds(500));
   EXPECT_EQ(reports_.size(), 1U);
   EXPECT_TRUE(reports_.back().is_complete);
-  slots_.tick(now + milliseconds(1100));
+  slot_requester_.tick(now + milliseconds(1100));
   EXPECT_EQ(reports_.size(), 2U);
   envelope.fleet_update.leader = "10.0.0.2:1";
   state_.subscription.receive(monotonic_now(), envelope);
-  slots_.tick(now + milliseconds(1200));
+  slot_requester_.tick(now + milliseconds(1200));
   EXPECT_EQ(reports_.size(), 3U);
   state_.dispatcher.update_state(state_with_group("g1"));
   state_.dispatcher.avoid(now + milliseconds(1250), "g1");
-  slots_.tick(now + milliseconds(1300));
+  slot_requester_.tick(now + milliseconds(1300));
   ASSERT_EQ(reports_.size(), 4U) << "a failure is told at once";
   EXPECT_EQ(reports_.back().failures.size(), 1U);
-  slots_.tick(now + milliseconds(1350));
+  slot_requester_.tick(now + milliseconds(1350));
   EXPECT_EQ(reports_.size(), 4U);
 }
 
 TEST_F(SlotRequesterTest, ASlotThatComesTooLateIsGivenBack) {
-  ask();
+  request_slot();
   const size_t before = reports_.size();
-  answer(5, 1, wire::SlotVerdict::GRANTED, 1);
+  deliver_grant(5, 1, wire::SlotVerdict::GRANTED, 1);
   context_.restart();
   context_.run();
   ASSERT_EQ(reports_.size(), before + 1);
@@ -140,14 +141,14 @@
 
 TEST_F(SlotRequesterTest, RequestsAreHeldForALeaseOnlyWhileOneMayCome) {
   LeaseGate gate(context_.get_executor(), state_);
-  auto held = asio::co_spawn(context_, gate.wait(monotonic_now() + milliseconds(30)), asio::use_future);
+  auto held = asio::co_spawn(context_, gate.wait_for_lease(monotonic_now() + milliseconds(30)), asio::use_future);
   const TimePoint before = monotonic_now();
   context_.restart();
   context_.run();
   held.get();
   EXPECT_GE(monotonic_now() - before, milliseconds(25));
-  gate.set_lease(monotonic_now() - seconds(10), false);
-  auto late = asio::co_spawn(context_, gate.wait(monotonic_now() + seconds(60)), asio::use_future);
+  gate.note_lease_change(monotonic_now() - seconds(10), false);
+  auto late = asio::co_spawn(context_, gate.wait_for_lease(monotonic_now() + seconds(60)), asio::use_future);
   context_.restart();
   context_.run();
   late.get();
