--- a/src/node/admin_api.h
+++ b/src/node/admin_api.h
@@ -7,8 +7,8 @@
 
 namespace larchlever::node {
 
-/// The operators' side of a node: POST /admin/operate takes a Thrift OperatorRequest and answers with an
-/// OperatorReply; /metrics, /healthz and /readyz serve monitoring. One executor.
+/// HTTP interface for operators and monitoring. POST /admin/operate takes a Thrift OperatorRequest and returns an
+/// OperatorReply; /metrics, /healthz and /readyz serve monitoring. Runs on one executor.
 class AdminApi : public net::HttpHandler {
  public:
   AdminApi(NodeRuntime& runtime, CallerApi& caller_api, const net::HttpServer& caller_server);
--- a/src/node/blocked_request_guard.cc
+++ b/src/node/blocked_request_guard.cc
@@ -15,15 +15,16 @@
 
 namespace {
 
-/// As long as a connection for a request may take.
+/// The same time as a connection attempt for a request may take.
 constexpr auto kProbeTimeout = std::chrono::milliseconds(150);
-/// A refused connection is known within a round trip or two; a server that keeps the connection is not waited for.
+/// How long to wait for the first probe. A refused connection shows within one or two round trips; if the server
+/// accepts it, there is nothing to wait for.
 constexpr Duration kFirstProbeWait = milliseconds(8);
-/// One that dropped it is looked at again 20 ms after the loss, when the port of a process that ended is closed. It is
-/// a tenth of the pause that callers of streams allow.
+/// How long to wait for the second probe of a server that closed the probe connection. It runs 20 ms after the loss,
+/// when the port of a process that ended is closed. This wait is a tenth of the pause that callers of streams allow.
 constexpr Duration kSecondProbeWait = milliseconds(30);
 constexpr Duration kProbeWaitInterval = milliseconds(1);
-/// Callers of a blocked request are told to come back no sooner than this.
+/// Minimum Retry-After for a blocked request.
 constexpr Duration kMinRetryAfter = seconds(1);
 
 fleet::Look to_look(net::ListenerState state) {
@@ -54,7 +55,8 @@
   if (incarnation.empty()) {
     co_return true;
   }
-  // What the looks show goes to the leader before the question, which it then answers by the words of all entries.
+  // The probe results must reach the leader before the request for permission, so that the leader can decide from the
+  // observations of all entries.
   asio::steady_timer timer(executor_);
   const TimePoint wait_started = monotonic_now();
   const auto should_wait_for_probe = [&] {
@@ -81,7 +83,7 @@
     co_return true;
   }
   if (request.attempts_sent > 0) {
-    co_return false;  // One server is enough for this attempt, whether it was a trial or not.
+    co_return false;  // A blocked request is sent at most once per caller request, trial or not.
   }
   if (verdict == Verdict::kTrialDue && !request.is_trial) {
     request.is_trial = co_await slot_requester_.request_trial(request.fingerprint);
@@ -151,7 +153,7 @@
                {"is_proved", ended.certainty == fleet::Certainty::kProved ? "yes" : "no"},
                {"ends_seen_here", std::to_string(observed_ends)}});
   }
-  slot_requester_.note_load_change();  // The leader hears of it within milliseconds.
+  slot_requester_.note_load_change();  // The leader gets the report within milliseconds.
 }
 
 }  // namespace larchlever::node
--- a/src/node/blocked_request_guard.h
+++ b/src/node/blocked_request_guard.h
@@ -12,34 +12,35 @@
 
 namespace larchlever::node {
 
-/// Keeps requests from servers that would end under them: it finds out which servers ended while they ran a request,
-/// and lets no request pass that is blocked for it (`fleet::BlockedRequests`).
+/// Protects servers from requests that crash them. Detects which servers ended while they ran a request, and withholds
+/// requests that are blocked for it (`fleet::BlockedRequests`).
 ///
-/// An answer that breaks off does not prove that its server ended; `fleet::LostAnswers` weighs what is seen of the
-/// server afterwards, and this class looks. One executor; not thread-safe.
+/// A lost response does not prove that the server ended. This class probes the server afterwards, and
+/// `fleet::LostAnswers` evaluates the results. Runs on one executor; not thread-safe.
 class BlockedRequestGuard {
  public:
   BlockedRequestGuard(boost::asio::any_io_executor executor, EntryState& state, SlotRequester& slot_requester);
 
-  /// Whether the request may be sent now; asks the leader where a trial is due.
+  /// Returns whether the request may be sent now. Asks the leader for permission when a trial of a blocked request is
+  /// due.
   boost::asio::awaitable<bool> admit(RelayedRequest& request);
-  /// What the caller of a request that may not be sent is told.
+  /// Returns the refusal for a request that may not be sent.
   Refusal make_refusal(const RelayedRequest& request);
-  /// The answer of the request was lost at the target after it was sent there.
+  /// Called when the response was lost after the request was sent to the target.
   void note_lost_response(RelayedRequest& request, const fleet::Target& target);
-  /// A server ran the request and answered whole.
+  /// Called when a server ran the request and returned a complete response.
   void note_response(const RelayedRequest& request);
-  /// The target made progress with a request.
+  /// Called when the target made progress on any request.
   void note_target_progress(TimePoint now, const fleet::Target& target) {
     lost_responses_.note_progress(now, target.incarnation);
   }
-  /// The incarnation has started again as another one.
+  /// Called when the server that ran as `incarnation` has restarted under a new incarnation.
   void note_server_restarted(const std::string& incarnation);
 
  private:
-  /// Whether a request whose last answer was lost may go to another server.
+  /// Returns whether the request may go to another server, if its last response was lost.
   boost::asio::awaitable<bool> may_retry_after_loss(RelayedRequest& request);
-  /// Looks at the target until it is known whether it ended.
+  /// Probes the target until it is known whether its server ended.
   boost::asio::awaitable<void> probe_until_resolved(fleet::Target target);
   void record_ended_server(const std::string& incarnation, const fleet::EndedServer& ended);
 
--- a/src/node/caller_api.h
+++ b/src/node/caller_api.h
@@ -9,14 +9,14 @@
 
 namespace larchlever::node {
 
-/// The callers' side of a node: sends each request to the part that serves its path, and answers the balancer's checks.
-/// One executor; requests interleave.
+/// HTTP interface for callers: dispatches each request to the handler for its path, and answers the load balancer's
+/// health checks. Runs on one executor; requests interleave.
 class CallerApi : public net::HttpHandler {
  public:
   explicit CallerApi(NodeRuntime& runtime);
 
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
-  /// A stopping node reports itself as not ready, and goes on serving.
+  /// A stopping node reports itself as not ready but keeps serving.
   void set_ready(bool ready) { ready_ = ready; }
   bool ready() const;
   const RequestStats& stats() const { return stats_; }
--- a/src/node/control_api.cc
+++ b/src/node/control_api.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
-/// The controller answers every call earlier than this.
+/// Longer than the controller takes to reply to any call.
 constexpr auto kReplyTimeout = std::chrono::seconds(10);
 
 constexpr std::string_view kInstancesPrefix = "/v1/instances/";
@@ -24,7 +24,8 @@
 constexpr std::string_view kEvacuateSuffix = "/evacuate";
 constexpr std::string_view kRestoreSuffix = "/restore";
 
-/// Takes `prefix` and `suffix` off a path; false, and the path as it was, when it has not both around something.
+/// Removes `prefix` and `suffix` from a path. Returns false and leaves the path unchanged unless it has both, with text
+/// between them.
 bool strip_affixes(std::string_view& path, std::string_view prefix, std::string_view suffix) {
   if (path.size() <= prefix.size() + suffix.size() || !path.starts_with(prefix) || !path.ends_with(suffix)) {
     return false;
@@ -82,7 +83,7 @@
 void ControlApi::complete(const wire::ControlCallReply& reply) {
   auto& pending_reply = pending_replies_[reply.id];
   if (pending_reply == nullptr) {
-    pending_reply = std::make_shared<PendingReply>(executor_);  // Answered while it was being submitted.
+    pending_reply = std::make_shared<PendingReply>(executor_);  // The reply arrived while the call was being submitted.
   }
   pending_reply->reply = reply;
   pending_reply->timer.cancel();
--- a/src/node/control_api.h
+++ b/src/node/control_api.h
@@ -10,15 +10,16 @@
 
 namespace larchlever::node {
 
-/// The calls of instances and operators: registration under /v1/instances, the configuration document under
-/// /v1/configuration. Any control replica takes them; the leader answers. One executor; not thread-safe.
+/// HTTP interface for instances and operators: registration under /v1/instances, the configuration document under
+/// /v1/configuration, zone evacuation under /v1/zones. Any control replica accepts these calls; the leader answers
+/// them. Runs on one executor; not thread-safe.
 class ControlApi : public net::HttpHandler {
  public:
-  /// `submit` hands a call to the controller and returns its id.
+  /// `submit` passes a call to the controller and returns the call's id.
   ControlApi(boost::asio::any_io_executor executor, std::function<int64_t(wire::ControlCall)> submit);
 
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
-  /// The controller answered a call.
+  /// Delivers the controller's reply to a call.
   void complete(const wire::ControlCallReply& reply);
 
  private:
--- a/src/node/control_process.cc
+++ b/src/node/control_process.cc
@@ -26,16 +26,16 @@
 constexpr auto kTickInterval = std::chrono::milliseconds(20);
 constexpr auto kOrderTimeout = std::chrono::milliseconds(800);
 constexpr auto kOrderConnectTimeout = std::chrono::milliseconds(400);
-/// How often a seed logs what it waits for while the fleet is not formed.
+/// How often a seed logs that the fleet is not formed yet.
 constexpr Duration kFormationLogInterval = seconds(1);
-/// A tick that comes this much later than the one before tells that this process stood still: a dozen ticks, and a
-/// small part of the time after which a node counts as lost.
+/// If ticks are further apart than this, the process was paused. A dozen ticks, and a small fraction of the time after
+/// which a node counts as lost.
 constexpr Duration kProcessPauseThreshold = milliseconds(250);
-/// Shortest time between two copies of the fleet's state on disk.
+/// Minimum time between two saves of the fleet state to disk.
 constexpr Duration kStateSaveInterval = milliseconds(400);
-/// Pause before a failed data folder is opened again: a full disk may have room by then.
+/// Delay before a failed data folder is opened again; a full disk may have space by then.
 constexpr auto kReopenInterval = std::chrono::milliseconds(500);
-/// Longest wait of a stopping leader for somebody else to lead.
+/// How long a stopping leader waits for another replica to take over leadership.
 constexpr auto kLeadershipHandoverTimeout = std::chrono::milliseconds(1500);
 
 std::string_view operation_name(const Dialect& dialect, fleet::OrderKind kind) {
@@ -68,7 +68,7 @@
   return json::serialize(body);
 }
 
-/// Drives a FleetController in real time: clock, peer links, data folder, control calls and orders to engines.
+/// Runs a FleetController in real time: clock, peer connections, data folder, control calls and orders to engines.
 class ControlProcess : public FleetProcess {
  public:
   ControlProcess(asio::any_io_executor executor, const settings::FleetSettings& settings)
@@ -116,9 +116,10 @@
     }
     controller_.start_replica(monotonic_now(), opened.replica_id, opened.boot, std::move(opened.persisted));
   }
-  /// Starts on a folder as it was found, which may be the first start of a whole fleet.
+  /// Starts from the contents of the opened folder. This may be the first start of a whole fleet.
   void start_from_folder(ReplicaStorage::OpenedReplica opened) {
-    // A seed that was stopped before the fleet was formed goes on with it, whatever later settings say.
+    // A seed that was stopped before the fleet was formed continues to form it, even if the settings have changed
+    // since.
     const bool is_forming = !opened.holds_log() && (settings_.may_found_cluster() || opened.formation);
     const std::string choice = opened.formation.value_or("");
     start_replica(std::move(opened));
@@ -151,7 +152,7 @@
   FleetChangeLogger change_logger_;
   ControlApi api_;
   net::HttpServer server_;
-  /// Order of the fleet's state as last kept on disk.
+  /// Term and version of the fleet state that was last saved to disk.
   std::pair<int64_t, int64_t> saved_state_version_{0, 0};
   TimePoint next_state_save_{};
   bool was_leader_ = false;
@@ -164,7 +165,7 @@
 
 bool ControlProcess::start(std::string& error) {
   const auto [host, port] = net::split_endpoint(settings_.peer_address);
-  // All addresses are bound before the data folder is touched, so that a start that fails on one leaves no trace.
+  // Bind all addresses before the data folder is touched, so that a failed start leaves nothing behind.
   if (!transport_.listen(host, static_cast<uint16_t>(std::stoi(port)), error) ||
       !net::listen_on(server_, settings_.control_address, error)) {
     return false;
@@ -221,7 +222,7 @@
   std::string error;
   if (!storage_.store_formation(choice, error)) {
     log_warning(settings_.name, "founder_not_stored", {{"founder", choice}, {"reason", error}});
-    return;  // Asked for again at the next tick.
+    return;  // The controller repeats the request at the next tick.
   }
   log_event(settings_.name, "founder_chosen", {{"founder", choice}});
   controller_.choice_stored();
@@ -337,7 +338,8 @@
   while (*alive) {
     const TimePoint now = monotonic_now();
     if (now - last_tick > kProcessPauseThreshold) {
-      // What others sent meanwhile was not read: judged by it, every node and instance would count as lost at once.
+      // Messages that arrived during the pause have not been read yet. Without this correction, every node and instance
+      // would count as lost at once.
       controller_.note_own_pause(now, now - last_tick);
       log_warning(settings_.name, "stood_still", {{"for_ms", std::to_string((now - last_tick) / milliseconds(1))}});
     }
--- a/src/node/dialect.h
+++ b/src/node/dialect.h
@@ -4,8 +4,8 @@
 
 namespace larchlever::node {
 
-/// The names under which callers and engines exchange what the product needs of a request. The defaults are the
-/// product's own; an adapter may supply others.
+/// Header names, paths and operation names used with callers and engines. The defaults are the product's own; a
+/// platform adapter may supply others.
 struct Dialect {
   std::string request_id_header = "Larchlever-Request-Id";
   std::string deadline_ms_header = "Larchlever-Deadline-Ms";
@@ -13,28 +13,29 @@
   std::string tenant_header = "Larchlever-Tenant";
   std::string expect_instance_header = "Larchlever-Expect-Instance";
   std::string instance_header = "Larchlever-Instance";
-  /// Present when the server did not run the request.
+  /// Present in a response if the server did not run the request.
   std::string not_run_header = "Larchlever-Not-Run";
-  /// The server's signature over an answer; a success without it is none.
+  /// The server's signature over the response. A success response without it is not accepted as the server's.
   std::string signature_header = "Larchlever-Signature";
   std::string model_header = "Larchlever-Model";
   std::string token_counts_header = "Larchlever-Tokens";
   std::string length_hint_header = "Larchlever-Length-Hint";
   std::string priority_class_header = "Larchlever-Priority";
   std::string last_event_id_header = "Last-Event-Id";
-  /// The server at fault when a head turns a request away.
+  /// Names the faulty server when the head of a group refuses a request.
   std::string faulty_server_header = "At-Server";
-  /// Says "1" in all answers of a server that leaves.
+  /// Has the value "1" in all responses of a server that is shutting down.
   std::string leaving_header = "Larchlever-Leaving";
-  /// Requests a second that a server takes from all entries together; in all answers for as long as it holds.
+  /// Rate limit of the server in requests per second, shared by all entries. Present in all responses while the limit
+  /// applies.
   std::string limit_header = "Larchlever-Limit";
-  /// Where engines take orders.
+  /// Path at which engines accept orders.
   std::string engine_order_path = "/engine/orders";
-  /// What the order to load a model onto the host, without joining a group, is called.
+  /// Name of the order that loads a model onto a host without joining a group.
   std::string stage_operation = "stage";
 };
 
-/// The dialect named in the settings; null when there is none of that name.
+/// Returns the dialect with this name from the settings, or null if there is none.
 const Dialect* find_dialect(const std::string& name);
 
 }  // namespace larchlever::node
--- a/src/node/entry_process.cc
+++ b/src/node/entry_process.cc
@@ -22,17 +22,18 @@
 
 constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 constexpr auto kTickInterval = std::chrono::milliseconds(25);
-/// A tick that comes this much later than the one before tells that this process stood still: ten ticks, and well below
-/// the time after which a silent group counts as stalled.
+/// If ticks are further apart than this, the process was paused. Ten ticks, and well below the time after which a
+/// silent group counts as stalled.
 constexpr Duration kProcessPauseThreshold = milliseconds(250);
-/// How long a stopping entry still gets new connections: the balancer asks once a second and wants two misses.
+/// How long a stopping entry still accepts new connections. The load balancer probes once a second and removes an entry
+/// after two failed probes.
 constexpr auto kLoadBalancerDelay = std::chrono::milliseconds(2500);
-/// A stopping entry closes a connection whose last answer did not say so only once it has rested for this long: a
-/// caller that uses it again at once is told with the next answer.
+/// A stopping entry closes a connection only after it has been idle for this long, unless its last response already
+/// announced the close. A caller that reuses the connection sooner is told in its next response.
 constexpr auto kIdleBeforeClose = std::chrono::seconds(1);
-/// Part of the machine's memory that answers may take which their callers have not read yet.
+/// Responses that callers have not read yet may use 1/16 of the machine's memory.
 constexpr size_t kResponseBufferDivisor = 16;
-/// Kept back of the grace, for closing down.
+/// Part of the grace period reserved for the final shutdown.
 constexpr auto kShutdownReserve = std::chrono::milliseconds(500);
 
 size_t response_buffer_bytes(const settings::FleetSettings& settings) {
@@ -44,7 +45,7 @@
   return pages * page_size / kResponseBufferDivisor;
 }
 
-/// Answers the balancer's question whether this entry wants new connections.
+/// Readiness probe for the load balancer: whether this entry accepts new connections.
 class ReadinessHandler : public net::HttpHandler {
  public:
   explicit ReadinessHandler(std::function<bool()> is_ready) : is_ready_(std::move(is_ready)) {}
@@ -61,7 +62,7 @@
   std::function<bool()> is_ready_;
 };
 
-/// Serves callers, and keeps its copy of configuration and fleet fresh through the subscription.
+/// Serves callers, and keeps its copy of the configuration and fleet state up to date through the subscription.
 class EntryProcess : public FleetProcess {
  public:
   EntryProcess(asio::any_io_executor executor, const settings::FleetSettings& settings)
@@ -166,7 +167,7 @@
   }
   state_.dispatcher.set_serving_nodes(state_.subscription.serving_nodes());
   if (changed) {
-    tick();  // Confirms what was learned without waiting for the next tick.
+    tick();  // Acknowledge the update without waiting for the next tick.
   }
 }
 
@@ -188,7 +189,8 @@
   options.largest_body = limits.max_body_bytes;
   options.head_timeout = std::chrono::duration_cast<std::chrono::milliseconds>(limits.header_timeout);
   options.idle_timeout = std::chrono::duration_cast<std::chrono::milliseconds>(limits.idle_timeout);
-  options.write_timeout = options.idle_timeout;  // Who takes nothing for so long is as good as gone.
+  // A caller that reads nothing for this long is treated as disconnected.
+  options.write_timeout = options.idle_timeout;
   caller_server_.set_options(options);
   log_event(settings_.name, "document_in_force", {{"version", std::to_string(document_version_)}});
 }
@@ -230,8 +232,8 @@
   while (*alive) {
     const TimePoint now = monotonic_now();
     if (now - last_tick > kProcessPauseThreshold) {
-      // Answers that arrived meanwhile wait in the sockets. Judged before they are read, healthy groups would count as
-      // stalled and their whole answers would be cut.
+      // Responses that arrived during the pause are still in the socket buffers. Without this correction, healthy
+      // groups would count as stalled and their complete responses would be cut.
       state_.dispatcher.note_own_pause(now);
       request_relay_.in_flight_attempts().cancel_overdue(now);
       log_warning(settings_.name, "stood_still", {{"for_ms", std::to_string((now - last_tick) / milliseconds(1))}});
@@ -250,7 +252,7 @@
   is_draining_ = true;
   caller_server_.begin_draining();
   log_event(settings_.name, "draining", {{"requests", std::to_string(caller_server_.stats().active_requests)}});
-  // The balancer reacts late: what it still sends here is served.
+  // The load balancer reacts with a delay; requests that it still sends are served.
   timer.expires_after(kLoadBalancerDelay);
   co_await timer.async_wait(kAwaitWithError);
   caller_server_.stop_accepting();
--- a/src/node/entry_state.h
+++ b/src/node/entry_state.h
@@ -12,7 +12,7 @@
 
 namespace larchlever::node {
 
-/// Requests and their ends, as an entry counts them.
+/// Request counters of an entry, by result.
 struct EntryCounters {
   uint64_t requests = 0;
   uint64_t served = 0;
@@ -26,7 +26,7 @@
   uint64_t stalls = 0;
 };
 
-/// What an entry's parts share on its one thread.
+/// State shared by the components of an entry, all on one thread.
 struct EntryState {
   EntryState(const fleet::FleetOptions& options, const fleet::FleetIdentity& identity,
              const std::vector<std::string>& seeds, uint64_t random_seed)
@@ -36,13 +36,13 @@
 
   fleet::FleetSubscription subscription;
   fleet::Dispatcher dispatcher;
-  /// The region of each zone that the settings name.
+  /// Maps each zone in the settings to its region.
   document::ZoneRegions zone_regions;
-  /// Requests that end the servers that run them.
+  /// Requests that are known to crash the servers that run them.
   fleet::BlockedRequests blocked_request_tracker;
-  /// Null until the first document arrived.
+  /// Null until the first configuration document arrives.
   std::shared_ptr<const document::RouteTable> routes;
-  /// By model, how much later than the leader expected the first events come: what the cost model leaves out.
+  /// By model: actual minus predicted time to the first event, an error that the leader's cost model leaves out.
   std::map<std::string, requests::RecentQuantile> first_event_excess;
   EntryCounters counters;
   bool traffic_seen = false;
--- a/src/node/fleet_change_logger.cc
+++ b/src/node/fleet_change_logger.cc
@@ -10,7 +10,7 @@
 
 /// How often the leader logs a summary of the fleet.
 constexpr Duration kSummaryInterval = seconds(1);
-/// Shortest time between two lines on reports that were refused.
+/// Minimum time between two log lines about refused reports.
 constexpr Duration kMalformedReportLogInterval = milliseconds(200);
 
 }  // namespace
@@ -19,7 +19,8 @@
                                              const fleet::MalformedReport& fault) {
   ++malformed_report_count_;
   if (now < next_malformed_report_log_) {
-    return;  // Counted in the next line: another writer may report as often as all servers together.
+    // Included in the count of the next line. A faulty sender may send as many reports as all servers together.
+    return;
   }
   next_malformed_report_log_ = now + kMalformedReportLogInterval;
   log_warning(node_name_, "malformed_report",
--- a/src/node/fleet_change_logger.h
+++ b/src/node/fleet_change_logger.h
@@ -10,17 +10,18 @@
 
 namespace larchlever::node {
 
-/// What a control replica logs of its decisions and, while it leads, of the fleet: each change once, and a summary a
-/// second. Keeps what was logged last; one thread.
+/// Logs a control replica's decisions and, while it leads, the state of the fleet: one line per change, and a summary
+/// every second. Remembers what was last logged to detect changes. Runs on one thread.
 class FleetChangeLogger {
  public:
-  /// `name` is the node's.
+  /// `name` is the name of this node.
   explicit FleetChangeLogger(std::string name) : node_name_(std::move(name)) {}
 
   void log_group_change(const fleet::GroupDecision& decision) const;
-  /// A report of an instance was refused. Bounded to a few lines a second, each with the number refused so far.
+  /// Logs that a report of an instance was refused. Rate-limited to a few lines a second, each with the total refused
+  /// so far.
   void log_malformed_report(TimePoint now, const std::string& instance, const fleet::MalformedReport& fault);
-  /// What differs from when it was last called. To be called at each tick while this replica leads.
+  /// Logs what changed since the last call. Call at each tick while this replica leads.
   void log_changes(TimePoint now, const fleet::FleetLeader& leader) {
     log_instance_changes(leader);
     log_blocked_request_changes(leader);
@@ -28,7 +29,7 @@
   }
 
  private:
-  /// What was last logged of an instance; a difference is logged.
+  /// Last logged state of an instance; a change is logged.
   struct LoggedInstance {
     wire::InstanceState::type state = wire::InstanceState::READY;
     bool silent = false;
@@ -46,7 +47,7 @@
   std::string node_name_;
   std::map<std::string, LoggedInstance> logged_instances_;
   std::vector<wire::BlockedRequest> logged_blocked_requests_;
-  /// Reports of instances that were refused since the start.
+  /// Number of instance reports refused since the process started.
   uint64_t malformed_report_count_ = 0;
   TimePoint next_malformed_report_log_{};
   TimePoint next_summary_{};
--- a/src/node/fleet_process.h
+++ b/src/node/fleet_process.h
@@ -10,17 +10,17 @@
 
 namespace larchlever::node {
 
-/// One node of a registered fleet, in either role. Runs on one executor served by one thread.
+/// One node of a registered fleet: an entry or a control replica. Runs on one executor, served by one thread.
 class FleetProcess {
  public:
   virtual ~FleetProcess() = default;
-  /// Binds addresses and starts. False with `error` set, remedy included, when the node cannot run.
+  /// Binds the addresses and starts. Returns false if the node cannot run, with the cause and a remedy in `error`.
   virtual bool start(std::string& error) = 0;
-  /// Takes checked settings read anew; what cannot change at run time is kept.
+  /// Applies reloaded, validated settings. Settings that cannot change at run time keep their old values.
   virtual void reload(const settings::FleetSettings& settings) = 0;
-  /// Finishes what is in flight, within the settings' grace.
+  /// Finishes in-flight work within the grace period from the settings.
   virtual boost::asio::awaitable<void> drain() = 0;
-  /// Drops everything at once.
+  /// Stops immediately and drops all in-flight work.
   virtual void stop() = 0;
 };
 
@@ -29,7 +29,7 @@
 std::unique_ptr<FleetProcess> make_control_process(boost::asio::any_io_executor executor,
                                                    const settings::FleetSettings& settings);
 
-/// Who this process is among its peers; the incarnation rises with every start.
+/// The identity of this process among its peers. The incarnation increases with every start.
 fleet::FleetIdentity make_fleet_identity(const settings::FleetSettings& settings);
 
 }  // namespace larchlever::node
--- a/src/node/idempotency_guard.cc
+++ b/src/node/idempotency_guard.cc
@@ -20,7 +20,7 @@
   }
   ++stats_.claims_refused;
   if (!outcome.decided) {
-    // The claim may still be committed later; this bars it, so that a later resend is not taken for a double.
+    // The claim may still be committed later. Recording "not run" keeps it from blocking a later retry as a duplicate.
     record_outcome(key_claim, Outcome::kNotRun, 0, "", "");
   }
   co_await respond_not_granted(exchange, outcome, key_claim.body_digest);
--- a/src/node/idempotency_guard.h
+++ b/src/node/idempotency_guard.h
@@ -8,8 +8,9 @@
 
 namespace larchlever::node {
 
-/// Keeps keyed requests to at most one run: asks a quorum for the key before anything leaves, answers the caller when
-/// the key is taken, and records what became of a request that held it. One executor.
+/// Runs each request with an idempotency key at most once. Claims the key at a quorum before the request is sent,
+/// responds to the caller if the key is already taken, and records the outcome of a request that holds its key. Runs on
+/// one executor.
 class IdempotencyGuard {
  public:
   IdempotencyGuard(NodeRuntime& runtime, RequestStats& stats) : runtime_(runtime), stats_(stats) {}
@@ -19,12 +20,13 @@
     std::string key;
     int64_t body_digest = 0;
     int64_t issued_at_ms = 0;
-    int64_t nonce = 0;  ///< Set by `take`.
+    int64_t nonce = 0;  ///< Set by `acquire_key`.
   };
 
-  /// True when this request may run. Otherwise the caller has been answered.
+  /// Returns true if this request may run. Otherwise the caller has already got its response.
   boost::asio::awaitable<bool> acquire_key(net::HttpExchange& exchange, KeyClaim& key_claim);
-  /// Records the outcome of a request that held the key; an answer with a content type is kept for resends.
+  /// Records the outcome of a request that holds its key. A response with a content type is stored and replayed when
+  /// the caller retries.
   void record_outcome(const KeyClaim& key_claim, requests::Outcome outcome, int status, std::string body,
                       std::string content_type);
 
--- a/src/node/in_flight_attempts.cc
+++ b/src/node/in_flight_attempts.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A group that brings nothing to any of this entry's requests for this long stands still.
+/// A group has stalled if it makes no progress on any of this entry's requests for the base time plus the time per
+/// request.
 constexpr Duration kBaseStallTime = milliseconds(900);
 constexpr Duration kStallTimePerRequest = milliseconds(100);
 
@@ -61,7 +62,7 @@
 void InFlightAttempts::cancel_at_failed_group(TimePoint now, const std::string& group) {
   const auto target = state_.dispatcher.target_of_group(now, group);
   if (!target) {
-    return;  // Avoided already, or gone.
+    return;  // The target is already avoided, or no longer exists.
   }
   ++state_.counters.stalls;
   log_event("", "group_failed", {{"group", group}, {"requests", std::to_string(attempts_at(target->key).size())}});
--- a/src/node/in_flight_attempts.h
+++ b/src/node/in_flight_attempts.h
@@ -9,32 +9,32 @@
 
 namespace larchlever::node {
 
-/// The sendings that this entry waits for, by target, and the decisions to give them up because they cannot come back:
-/// each is then sent elsewhere or ended, as its request allows. One executor; not thread-safe.
+/// Tracks the request attempts in flight at each target and cancels those that cannot complete. A cancelled attempt is
+/// retried elsewhere or fails, as its request allows. Runs on one executor; not thread-safe.
 class InFlightAttempts {
  public:
   explicit InFlightAttempts(EntryState& state) : state_(state) {}
 
-  /// Brackets one sending, which `request.cancellation` ends.
+  /// Mark the start and the end of one attempt, which `request.cancellation` cancels.
   void add_attempt(const RelayedRequest& request, const fleet::Target& target);
   void remove_attempt(const RelayedRequest& request, const fleet::Target& target);
-  /// A sending to the target failed. Where that shows that the target is dead, nothing else there will come back.
+  /// Records a failed attempt. If it shows that the target is dead, all other attempts there are cancelled too.
   void note_failure(const fleet::Target& target, TimePoint now);
-  /// Gives up what waits at groups that stand still. To be called every few ticks.
+  /// Cancels attempts at groups that have stalled. Call every few ticks.
   void cancel_stalled(TimePoint now);
-  /// The leader found that the group stands still.
+  /// Cancels attempts at a group that the leader found to be stalled.
   void cancel_at_failed_group(TimePoint now, const std::string& group);
-  /// The target's server started again: nothing of what is under way there comes back.
+  /// Cancels attempts at a target whose server restarted, since they cannot complete.
   void cancel_at_restarted_server(const std::string& target_key);
-  /// Ends what is past its deadline. To be called after this process stood still: timers did not count that time where
+  /// Cancels attempts past their deadline. Call after this process was paused: timers do not count time during which
   /// the machine was suspended.
   void cancel_overdue(TimePoint now);
 
  private:
-  /// Sendings to one target, and when each is due.
+  /// Attempts at one target, with their deadlines.
   using AttemptDeadlines = std::map<std::shared_ptr<net::Cancellation>, TimePoint>;
 
-  /// Cancels what waits at a dead target, as far as the retry budget lets it be sent elsewhere; the rest waits on.
+  /// Cancels attempts at a dead target, as far as the retry budget covers their retries. The rest keep waiting.
   void cancel_at_target(const fleet::Target& target, TimePoint now);
   AttemptDeadlines attempts_at(const std::string& target_key) const;
 
--- a/src/node/leader_search_logger.cc
+++ b/src/node/leader_search_logger.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A search this long is worth a line, and a further line each time it lasts as long again.
+/// A search is logged after this time, and again each time it has lasted that much longer.
 constexpr Duration kLogInterval = seconds(1);
 
 std::string format_counts(const std::map<std::string, int>& asked) {
--- a/src/node/leader_search_logger.h
+++ b/src/node/leader_search_logger.h
@@ -7,8 +7,8 @@
 
 namespace larchlever::node {
 
-/// Logs a node's search for a control replica that answers for a leader: whom it asked and how often, once a second
-/// while the search lasts, and its end. A node that found one at once logs nothing.
+/// Logs a node's search for a control replica that knows the leader: which replicas it asked and how often, once a
+/// second during the search, and the end of the search. Logs nothing if the search ends within the first second.
 class LeaderSearchLogger {
  public:
   explicit LeaderSearchLogger(std::string node) : node_name_(std::move(node)) {}
@@ -17,7 +17,7 @@
 
  private:
   std::string node_name_;
-  /// The search that is under way began then; `TimePoint::min()` while there is none.
+  /// Start of the current search; `TimePoint::min()` if there is none.
   TimePoint search_began_ = TimePoint::min();
   TimePoint next_log_{};
   bool was_logged_ = false;
--- a/src/node/lease_gate.cc
+++ b/src/node/lease_gate.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
-/// A leader is found this long after all control processes have started anew; later the cause is another.
+/// Time to find a leader after all control processes have restarted. A lease missing for longer has another cause.
 constexpr Duration kLeaderRecoveryTime = milliseconds(2000);
 
 }  // namespace
--- a/src/node/lease_gate.h
+++ b/src/node/lease_gate.h
@@ -9,18 +9,18 @@
 
 namespace larchlever::node {
 
-/// Holds requests for a moment while this entry has no lease on the configuration but may get one soon: it has just
-/// started, or has just lost touch with the leader. A caller refused in that time would spend its retry on it.
+/// Delays requests briefly while this entry has no configuration lease but may get one soon: after its start, or after
+/// it lost contact with the leader. Otherwise callers would use up their retries during that time.
 ///
-/// Guarantees: no request is held once the entry has been without a lease for longer than a change of leader takes.
-/// One executor; not thread-safe.
+/// Guarantees: requests are not delayed once the entry has been without a lease for longer than a leader change takes.
+/// Runs on one executor; not thread-safe.
 class LeaseGate {
  public:
   LeaseGate(boost::asio::any_io_executor executor, EntryState& state);
 
-  /// Returns once there is a lease, or none is to be expected, or `until` has passed.
+  /// Returns when there is a lease, when none is expected any more, or at `until`.
   boost::asio::awaitable<void> wait_for_lease(TimePoint until);
-  /// The lease was gained: lets everybody go on. Or it was lost.
+  /// Called when the lease is gained or lost. A gained lease releases all delayed requests.
   void note_lease_change(TimePoint now, bool has_lease);
 
  private:
@@ -28,9 +28,9 @@
 
   boost::asio::any_io_executor executor_;
   EntryState& state_;
-  /// Timers of those that wait; cancelled when the lease is gained.
+  /// Timers of delayed requests; cancelled when the lease is gained.
   std::set<boost::asio::steady_timer*> waiting_timers_;
-  /// Since when there has been none: the start, or the loss of the last one.
+  /// Start of the time without a lease: the process start or the loss of the last lease.
   TimePoint without_lease_since_;
 };
 
--- a/src/node/log_output.cc
+++ b/src/node/log_output.cc
@@ -17,14 +17,14 @@
 void LogOutput::flush() {
   size_t written = 0;
   while (written < buffer_.size() && is_writable()) {
-    // A pipe that is ready takes this many bytes; more might wait for its reader.
+    // A writable pipe accepts this many bytes without blocking; a larger write might block.
     const size_t size = std::min<size_t>(buffer_.size() - written, PIPE_BUF);
     const ssize_t count = ::write(descriptor_, buffer_.data() + written, size);
     if (count < 0 && errno == EINTR) {
       continue;
     }
     if (count <= 0) {
-      // The reader is gone, or the disk is full: the same bytes would fail again, so they make room for later lines.
+      // The reader is gone or the disk is full. Writing the same bytes again would fail too, so drop them.
       unreported_dropped_lines_ +=
           static_cast<uint64_t>(std::count(buffer_.begin() + static_cast<ssize_t>(written), buffer_.end(), '\n'));
       buffer_.clear();
--- a/src/node/log_output.h
+++ b/src/node/log_output.h
@@ -7,26 +7,26 @@
 
 namespace larchlever::node {
 
-/// Writes whole lines to a descriptor without ever waiting for its reader.
+/// Writes whole lines to a file descriptor without blocking on its reader.
 ///
-/// What the reader does not take at once is kept, up to a bound; lines beyond it are dropped, counted, and reported in
-/// a line of their own once there is room again. Order is kept. Lines that wait go out with later calls. Not
-/// thread-safe.
+/// Lines that the reader does not take at once are buffered, up to a limit. Lines beyond the limit are dropped and
+/// counted, and a line that reports their number follows once there is room again. The order of lines is kept. Buffered
+/// lines are written by later calls. Not thread-safe.
 class LogOutput {
  public:
-  /// `descriptor` stays the caller's. `max_buffered_bytes` bytes of lines wait at the most.
+  /// Does not take ownership of `descriptor`. Buffers at most `max_buffered_bytes`.
   LogOutput(int descriptor, size_t max_buffered_bytes)
       : descriptor_(descriptor), max_buffered_bytes_(max_buffered_bytes) {}
 
-  /// `line` ends with a line feed.
+  /// `line` must end with a line feed.
   void write(std::string_view line);
-  /// Writes what waits, as far as the reader takes it.
+  /// Writes buffered lines as far as the reader takes them.
   void flush();
   size_t buffered_bytes() const { return buffer_.size(); }
   uint64_t dropped_lines() const { return dropped_lines_; }
 
  private:
-  /// The next bytes go out without waiting.
+  /// Returns whether the descriptor accepts bytes without blocking.
   bool is_writable() const;
 
   int descriptor_;
--- a/src/node/logging.cc
+++ b/src/node/logging.cc
@@ -25,10 +25,11 @@
   return instance;
 }
 
-/// Lines that wait for the reader of standard output: some seconds of a busy node's, and little beside its memory.
+/// Buffer for lines that the reader of standard output has not taken: several seconds of a busy node's log, and small
+/// compared to its memory.
 constexpr size_t kMaxBufferedBytes = 256 * 1024;
 
-/// Lays lines out and writes them to standard output without waiting for its reader.
+/// Formats lines and writes them to standard output without blocking on its reader.
 class StandardOutputAppender : public log4cplus::Appender {
  public:
   StandardOutputAppender() : output_(STDOUT_FILENO, kMaxBufferedBytes) {}
@@ -62,7 +63,7 @@
   return appender;
 }
 
-/// Names the process in lines whose writer knows no node.
+/// Node name used in lines that are logged without one.
 std::string& default_node() {
   static std::string name;
   return name;
@@ -117,7 +118,7 @@
 void open_standard_descriptors() {
   for (const int descriptor : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO}) {
     if (::fcntl(descriptor, F_GETFD) < 0 && errno == EBADF) {
-      // Takes the lowest number that is free, which is this one.
+      // open() returns the lowest free descriptor, which is this one.
       static_cast<void>(::open("/dev/null", O_RDWR));
     }
   }
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -8,7 +8,7 @@
 
 namespace larchlever::node {
 
-/// The node's counters and gauges in Prometheus' text format.
+/// Renders the node's counters and gauges in the Prometheus text format.
 std::string render_metrics(NodeRuntime& runtime, const CallerApi& caller_api, const net::HttpServerStats& server_stats);
 
 }  // namespace larchlever::node
--- a/src/node/model_request.cc
+++ b/src/node/model_request.cc
@@ -16,7 +16,7 @@
 constexpr size_t kMaxKeyBytes = 256;
 constexpr size_t kMaxJsonDepth = 32;
 
-/// The whole prompt as one text, for the prefix hash; false when a message is not of the expected shape.
+/// Appends all messages to `prompt`, as input of the prefix hash. Returns false if a message is malformed.
 bool append_messages(const json::object& body, std::string& prompt) {
   const auto* messages = body.if_contains("messages");
   if (messages == nullptr || !messages->is_array() || messages->as_array().empty()) {
@@ -102,7 +102,7 @@
   model_request.priority = tenant->tenant.priority;
   const std::string requested_priority(request.headers.find("larchlever-priority"));
   if (!requested_priority.empty()) {
-    // A caller may step back behind its tenant's priority, never ahead of it.
+    // A caller may lower its priority below its tenant's, but not raise it.
     model_request.priority = std::clamp(std::atoi(requested_priority.c_str()), 0, model_request.priority);
   }
   model_request.body_digest = hash_body(request.body);
--- a/src/node/model_request.h
+++ b/src/node/model_request.h
@@ -10,7 +10,7 @@
 
 namespace larchlever::node {
 
-/// A caller's model request, taken apart and checked.
+/// A parsed and validated model request.
 struct ModelRequest {
   std::string tenant;
   std::string model;
@@ -23,19 +23,19 @@
   int64_t issued_at_ms = 0;
   int priority = 5;
   int64_t body_digest = 0;
-  /// The body for the engine: the caller's, with streaming switched on.
+  /// The body sent to the engine: the caller's body with streaming enabled.
   std::string engine_body;
 };
 
-/// Reads a call of /v1/chat/completions or /v1/completions. Returns nothing and fills `problem` for malformed JSON,
+/// Parses a request to /v1/chat/completions or /v1/completions. Returns nothing and fills `problem` for malformed JSON,
 /// missing fields or an unknown tenant.
 std::optional<ModelRequest> parse_model_request(const net::HttpRequest& request, const routing::RoutingTable& table,
                                                 ProblemDetails& problem);
 
-/// `Larchlever-Repeat` of the request: safe, unsafe, or nothing when absent or unreadable.
+/// Reads the `Larchlever-Repeat` header: true for safe, false for unsafe, nothing if it is absent or invalid.
 std::optional<bool> parse_repeat_header(const net::HttpRequest& request);
 
-/// Hash of a request body as claims store it.
+/// Hash of a request body, as stored with claims.
 int64_t hash_body(std::string_view body);
 
 }  // namespace larchlever::node
--- a/src/node/model_request_handler.cc
+++ b/src/node/model_request_handler.cc
@@ -18,13 +18,13 @@
 
 constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 constexpr auto kGroupPollInterval = std::chrono::milliseconds(25);
-/// A group that failed a request is not tried for it again before this: a lost machine's group loses its lease, or is
-/// formed anew, in the time of a few such pauses.
+/// A group that failed a request is not tried for it again for this long. A group that lost a machine loses its lease,
+/// or is re-formed, within a few times this.
 constexpr Duration kFailedGroupPause = milliseconds(1000);
 constexpr size_t kMaxStoredResponseBytes = 64U << 10U;
 constexpr std::string_view kEventStream = "text/event-stream";
 
-/// The answer's text, from the verified events of a whole stream.
+/// Extracts the text of the response from the verified events of a complete stream.
 std::string text_of_events(std::string_view events) {
   std::string text;
   while (!events.empty()) {
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-/// One model request on its way through the node.
+/// State of one model request while it is served.
 struct ModelRequestHandler::RequestContext {
   RequestContext(net::HttpExchange& http_exchange, ModelRequest parsed, TimePoint started_at)
       : exchange(http_exchange), model_request(std::move(parsed)), started(started_at) {}
@@ -64,14 +64,14 @@
   bool is_complete = false;
   int64_t next_offset = 0;
   std::string
-      verified_events;      ///< Verified events gathered for a caller that wants one answer, or to store under the key.
-  std::string stored_body;  ///< The whole answer as sent, to be kept under the caller's key.
+      verified_events;      ///< Verified events, collected for a non-streaming response or for storage under the key.
+  std::string stored_body;  ///< The complete response, stored under the idempotency key.
   std::string stored_type;
   Outcome outcome = Outcome::kNotRun;
   net::ClientStream* upstream = nullptr;
 
   bool needs_claim() const { return !model_request.is_repeatable && !model_request.idempotency_key.empty(); }
-  /// What this call tells of its request: a key of a repeatable request is never looked up.
+  /// The outcome to report to the caller. The key of a request that is safe to repeat is never looked up.
   Outcome reported_outcome() const { return has_claim ? outcome : outcome_without_claim(exchange.request(), outcome); }
 };
 
@@ -234,7 +234,8 @@
     ++stats_.resumed_streams;
   }
   request.body = context.model_request.engine_body;
-  // Permission is judged again when the connection stands: connecting may outlast a lease, or a change of residency.
+  // Check again when the connection is established: meanwhile the lease may have expired, or the tenant's permitted
+  // zones may have changed.
   net::OpenOptions options;
   options.timeout = limits.first_byte_timeout;
   options.fresh_connection = true;
@@ -262,7 +263,7 @@
     result.reason = "the engine answered " + std::to_string(head.status);
     co_return result;
   }
-  // The engine has taken it up under our id: from here on it counts as run, at least in part.
+  // The engine has accepted the request under our id; from here on it counts as run, at least in part.
   context.outcome = Outcome::kRan;
   context.upstream = opened.stream.get();
   result = co_await relay_stream(context, *opened.stream);
@@ -302,7 +303,7 @@
       co_return result;
     }
     if (context.caller_gone) {
-      // Dropping the connection cancels the request at the engine.
+      // Closing the connection cancels the request at the engine.
       stream.close();
       result.is_finished = true;
       co_return result;
@@ -379,7 +380,7 @@
                          not_run ? kRetryAfterSeconds : 0};
   if (context.stream_started) {
     ++stats_.truncated_streams;
-    // Part of the answer is out: say so in the stream and leave it without its end.
+    // Part of the response has been sent. Report the error as an event, and leave the stream without its regular end.
     const std::string event =
         "event: error\ndata: " + json::serialize(to_problem_json(problem, Outcome::kUnknown)) + "\n\n";
     co_await context.exchange.write_piece(event);
--- a/src/node/model_request_handler.h
+++ b/src/node/model_request_handler.h
@@ -11,11 +11,12 @@
 
 namespace larchlever::node {
 
-/// Serves model requests: admission, claim, routing, attempts at groups, and the relay of their event streams.
+/// Serves model requests: admission, idempotency claim, routing, attempts at groups, and relaying of their event
+/// streams.
 ///
-/// Guarantees: "not-run" is told only when no byte reached an engine or the engine said that it did not start; a
-/// request that is unsafe to repeat leaves this node at most once; an answer that is not whole is never ended as if it
-/// were. One executor; requests interleave.
+/// Guarantees: the outcome "not-run" is reported only if no byte reached an engine or the engine said that it did not
+/// start; a request that is unsafe to repeat is sent by this node at most once; a truncated response is never
+/// terminated as if it were complete. Runs on one executor; requests interleave.
 class ModelRequestHandler {
  public:
   ModelRequestHandler(NodeRuntime& runtime, requests::RetryBudget& retry_budget, IdempotencyGuard& idempotency_guard,
--- a/src/node/node_process.cc
+++ b/src/node/node_process.cc
@@ -52,7 +52,7 @@
   asio::steady_timer timer(executor_);
   caller_api_.set_ready(false);
   log_event(settings_.name, "draining", {{"requests", std::to_string(caller_api_.active_requests())}});
-  // The balancer reacts late: what it still sends here is served.
+  // The load balancer reacts with a delay; requests that it still sends are served.
   timer.expires_after(settings_.unready_before_drain);
   co_await timer.async_wait(await_with_error);
   caller_server_.stop_accepting();
--- a/src/node/node_process.h
+++ b/src/node/node_process.h
@@ -12,16 +12,18 @@
 
 namespace larchlever::node {
 
-/// One whole node: runtime, callers' server, operators' server, and the order of its stop. One executor, one thread.
+/// A complete node: runtime, HTTP servers for callers and operators, and the shutdown sequence. Runs on one executor
+/// and one thread.
 class NodeProcess {
  public:
   NodeProcess(boost::asio::any_io_executor executor, settings::NodeSettings settings);
 
-  /// Binds all addresses and starts. False with `error` set.
+  /// Binds all addresses and starts. Returns false with `error` set on failure.
   bool start(std::string& error);
-  /// Planned stop: not ready first, then no new connections, then what is in flight ends, then the process may go.
+  /// Shuts down gracefully: reports not ready, stops accepting connections, waits for in-flight requests, then signs
+  /// off from the fleet.
   boost::asio::awaitable<void> drain();
-  /// Drops everything at once.
+  /// Stops immediately and drops all in-flight work.
   void stop();
 
   std::string service_address() const { return service_address_; }
--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -53,7 +53,7 @@
   NodeIdentity identity;
   identity.node = settings_.name;
   identity.zone = settings_.zone;
-  // Rises with every start as long as the wall clock does not jump back by more than the restart took.
+  // Increases with every start, unless the wall clock jumps back by more than the restart took.
   identity.incarnation = Incarnation(
       std::chrono::duration_cast<microseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
   identity.peer_address = peer_address_;
@@ -159,7 +159,7 @@
   return worker_ ? worker_->stats() : storage::StorageStats();
 }
 
-// ------------------------------------------------------ carrying the outputs
+// -------------------------------------------------------- controller outputs
 
 void NodeRuntime::on_written(std::vector<consensus::RaftOutput> batches) {
   for (auto& batch : batches) {
@@ -232,7 +232,7 @@
   }
 }
 
-// -------------------------------------------------------------- back ends
+// ------------------------------------------------- engines and membership
 
 asio::awaitable<void> NodeRuntime::poll_loop() {
   const auto alive = alive_;
@@ -270,7 +270,8 @@
       listed != listed_machines_.end() &&
       (text_field(state, "zone") != listed->second.zone || text_field(state, "domain") != listed->second.domain);
   if (text_field(state, "machine") != target.machine || location_mismatch) {
-    // Somebody else answers at this address, or the machine is not where the platform says: not seen.
+    // Another machine answers at this address, or the machine is not where the platform lists it. It does not count as
+    // seen.
     ++stats_.poll_mismatches;
     co_return;
   }
@@ -346,7 +347,7 @@
   request.target = "/engine/orders";
   request.headers.add("Content-Type", "application/json");
   request.body = json::serialize(body);
-  // Sent only while this node leads with a valid lease: engines that check no fence depend on it.
+  // Send only while this node leads with a valid lease; engines that do not check fencing tokens depend on this.
   net::OpenOptions options;
   options.timeout = kOrderTimeout;
   options.fresh_connection = true;
@@ -371,7 +372,7 @@
   controller_->order_result(result);
 }
 
-// ------------------------------------------------------------ what waits here
+// ------------------------------------------------------------ pending results
 
 void NodeRuntime::complete_admissions() {
   auto& admission_controller = controller_->entry().admission();
--- a/src/node/node_runtime.h
+++ b/src/node/node_runtime.h
@@ -23,10 +23,11 @@
   uint64_t poll_mismatches = 0;
 };
 
-/// Drives a NodeController in real time: clock, peer links, data folder, orders and polls towards the engines, and the
-/// platform's membership list. What waits for the controller (admission, claims, operators' answers) waits here.
+/// Runs a NodeController in real time: clock, peer connections, data folder, orders to engines and polls of them, and
+/// the platform's membership list. Callers of `admit`, `claim` and `operator_request` wait here for the controller's
+/// result.
 ///
-/// Runs on one executor, which must not be served by more than one thread; the data folder has a thread of its own.
+/// Runs on one executor that must be served by a single thread; the data folder has its own thread.
 class NodeRuntime {
  public:
   NodeRuntime(boost::asio::any_io_executor executor, const settings::NodeSettings& settings);
@@ -34,10 +35,10 @@
   NodeRuntime(const NodeRuntime&) = delete;
   NodeRuntime& operator=(const NodeRuntime&) = delete;
 
-  /// Binds the peer address and opens the data folder. `service_address` is what callers reach this node by. False
-  /// with `error` set when the node cannot run.
+  /// Binds the peer address and opens the data folder. `service_address` is the address at which callers reach this
+  /// node. Returns false with `error` set if the node cannot run.
   bool start(const std::string& service_address, std::string& error);
-  /// Drops everything at once, as when the process dies.
+  /// Stops immediately and drops all in-flight work, as a crash would.
   void stop();
   void begin_leaving();
 
@@ -45,7 +46,7 @@
   static int64_t wall_clock_ms();
 
   enum class AdmissionResult { kAdmitted, kQueueFull, kDeadlineExceeded, kCallerGone };
-  /// Waits for the tenant's concurrency; `cancelled` is asked whenever the wait is woken.
+  /// Waits for admission under the tenant's concurrency limit. `cancelled` is checked at each wake-up.
   boost::asio::awaitable<AdmissionResult> admit(std::string tenant, int priority, TimePoint deadline,
                                                 const std::function<bool()>& cancelled);
   void release_admission(const std::string& tenant, Duration service_time);
--- a/src/node/outcome_header.h
+++ b/src/node/outcome_header.h
@@ -7,11 +7,13 @@
 
 namespace larchlever::node {
 
-/// What a caller who sends a request again without a key was told before, or `unknown` when no answer came.
+/// A caller that retries without an idempotency key sends in this header the outcome it got before, or `unknown` if it
+/// got no response.
 constexpr std::string_view kEarlierOutcomeHeader = "Larchlever-Earlier-Outcome";
 
-/// The outcome to tell the caller after an attempt. Nothing but the caller's own word ties attempts without a key
-/// together, and "not-run" speaks of the request: an attempt that was turned away takes nothing back of an earlier one.
+/// Combines the outcome of this attempt with the earlier outcome that the caller reports. Without a key, only this
+/// header links attempts. "not-run" refers to the request as a whole, so a refused attempt must not hide that an
+/// earlier one ran.
 inline requests::Outcome outcome_for_caller(const net::HttpRequest& request, requests::Outcome attempt) {
   return requests::combined(requests::parse_outcome(request.headers.find(kEarlierOutcomeHeader)), attempt);
 }
--- a/src/node/problem_responses.h
+++ b/src/node/problem_responses.h
@@ -10,7 +10,7 @@
 
 namespace larchlever::node {
 
-/// Counters of the callers' side, shared by its parts.
+/// Request counters, shared by the handlers of callers' requests.
 struct RequestStats {
   uint64_t model_requests = 0;
   uint64_t service_requests = 0;
@@ -30,7 +30,7 @@
   void count_outcome(requests::Outcome outcome);
 };
 
-/// An answer that tells the caller what went wrong and what to do.
+/// An error response that states the problem and what the caller can do.
 struct ProblemDetails {
   int status = 400;
   std::string title;
@@ -40,24 +40,25 @@
 
 constexpr int kRetryAfterSeconds = 1;
 
-/// The problem as its JSON body, outcome included.
+/// Returns the JSON body for the problem, including the outcome.
 boost::json::object to_problem_json(const ProblemDetails& problem, requests::Outcome outcome);
 
-/// Answers with the problem and with what is known of the request after this attempt.
+/// Responds with the problem. The reported outcome combines that of this attempt with the earlier one that the caller
+/// reports.
 boost::asio::awaitable<void> send_problem(net::HttpExchange& exchange, const ProblemDetails& problem,
                                           requests::Outcome attempt);
 
-/// What an attempt tells of a request whose key, if it has one, was not looked up: an earlier attempt under the same
-/// key may have run.
+/// Returns the outcome to report for a request whose idempotency key, if any, was not looked up. If it has a key, "not
+/// run" becomes "unknown", since an earlier attempt with the same key may have run.
 requests::Outcome outcome_without_claim(const net::HttpRequest& request, requests::Outcome attempt);
 
-/// Answers a request that is refused before its key, if it has one, was looked up.
+/// Refuses a request before its idempotency key, if any, was looked up.
 boost::asio::awaitable<void> refuse_without_claim(net::HttpExchange& exchange, const ProblemDetails& problem,
                                                   RequestStats& stats);
 
-/// One attempt at a back end that brought no whole answer, for the log.
+/// Log data of an attempt at a back end that returned no complete response.
 struct FailedAttempt {
-  std::string request;  ///< The id that the back end was given; empty for plain services.
+  std::string request;  ///< Id sent to the back end; empty for plain services.
   std::string target;
   requests::AttemptResult result = requests::AttemptResult::kNotSent;
   std::string reason;
--- a/src/node/relayed_request.h
+++ b/src/node/relayed_request.h
@@ -14,7 +14,7 @@
 
 namespace larchlever::node {
 
-/// A caller's request on its way: identified, and then sent until it is answered.
+/// A caller's request while it is being relayed: its route and tenant, and the state of its attempts.
 struct RelayedRequest {
   net::HttpExchange* exchange = nullptr;
   std::shared_ptr<const document::RouteTable> routes;
@@ -22,62 +22,62 @@
   const document::TenantSpec* tenant = nullptr;  ///< Null on public routes.
   const document::ServiceSpec* service = nullptr;
   std::string id;
-  /// The same for every copy of this request, whoever takes it.
+  /// Identical for all copies of this request, at every entry.
   requests::RequestFingerprint fingerprint;
   std::string model;
-  /// Zones of the home regions of its route and tenant; nothing when it may run anywhere.
+  /// Zones in the home regions of the request's route and tenant; nothing if it may run anywhere.
   std::optional<std::set<std::string>> allowed_zones;
   double prompt_tokens = 0;
   TimePoint received_at{};
-  /// It was held until this entry had a lease on the configuration, longer than a target may be waited for.
+  /// The request waited for this entry's configuration lease for longer than kLeaseWaitThreshold.
   bool was_held_for_lease = false;
-  /// When the search for its first target began.
+  /// When the search for the first target began.
   TimePoint admitted_at{};
-  /// The final answer is due by then: the caller's deadline or the route's timeout.
+  /// Deadline of the final response: the caller's deadline or the route's timeout, whichever is earlier.
   TimePoint deadline{};
   std::set<std::string> excluded_targets;
-  /// Sendings, and those of them that a server may have begun to run.
+  /// Attempts sent, and those that a server may have begun to run.
   int attempts_sent = 0;
   int possible_runs = 0;
-  /// No server is proved not to have run it: a promise that it did not run is no longer possible.
+  /// Set once some attempt is not proved not to have run; the outcome "not-run" can then no longer be reported.
   bool may_have_run = false;
   bool caller_gone = false;
-  /// The request is blocked, and the leader lets this entry send it once.
+  /// The request is blocked, but the leader permits this entry one trial attempt.
   bool is_trial = false;
-  /// The sending under way, and the load that it puts on its target.
+  /// The current attempt, and the load that it puts on its target.
   std::shared_ptr<net::Cancellation> cancellation;
   fleet::SendingMark load_mark;
-  /// The leader granted the sending a slot of its target.
+  /// The leader granted the attempt a slot at its target.
   bool has_slot = false;
   TimePoint sent_at{};
   std::string last_target;
-  /// The incarnation of the server that the last sending was meant for.
+  /// Incarnation of the server that the last attempt was sent to.
   std::string last_incarnation;
-  /// The incarnation of the server at which the last answer was lost, until the request is sent again.
+  /// Incarnation of the server whose response was lost last; empty once the request may be sent again.
   std::string lost_response_incarnation;
   int target_load = 0;
-  /// When the leader that granted the slot expected the first event, counted from the sending; zero when the entry
-  /// chose the target itself.
+  /// Time from sending to the first event, as predicted by the leader that granted the slot; zero if this entry chose
+  /// the target itself.
   Duration expected_first_event_delay{};
   requests::EventStream event_stream;
   bool response_started = false;
-  /// When the first event or the whole answer arrived.
+  /// When the first event or the complete response arrived.
   TimePoint first_event_at{};
-  /// Longest pause between two pieces of the stream that was passed on.
+  /// Longest time between two chunks of the relayed stream.
   Duration longest_gap{};
   TimePoint last_chunk_at{};
 };
 
-/// The zones that bind the request, or null.
+/// Returns the zones that the request is restricted to, or null.
 inline const std::set<std::string>* home_zones(const RelayedRequest& request) {
   return request.allowed_zones ? &*request.allowed_zones : nullptr;
 }
 
-/// Times to come back after that refused requests are told.
+/// Values of Retry-After for refused requests.
 constexpr Duration kRetryAfterBusy = milliseconds(300);
 constexpr Duration kRetryAfterUnavailable = milliseconds(500);
 
-/// Why a request is refused, and when its caller should come back; zero for never.
+/// Why a request is refused, and when its caller should retry; zero means not at all.
 struct Refusal {
   int status = 503;
   std::string title;
--- a/src/node/replica_storage.cc
+++ b/src/node/replica_storage.cc
@@ -123,7 +123,7 @@
   if (!boot) {
     return std::nullopt;
   }
-  remove_formation_file();  // A log stood here, so the fleet was formed.
+  remove_formation_file();  // The folder held a log, so the fleet has been formed.
   OpenedReplica opened;
   opened.boot = *boot;
   opened.replica_id = new_replica_id();
@@ -186,7 +186,7 @@
 }
 
 void ReplicaStorage::remove_formation_file() const {
-  // Where the removal is lost with the power, the folder holds a log all the same, and the next opening removes it.
+  // If a power failure undoes the removal, the folder still holds a log, and the next start removes the file.
   ::unlink((path_ + "/" + kFormationFile).c_str());
 }
 
@@ -223,7 +223,7 @@
 }
 
 std::unique_ptr<storage::DataFolder> ReplicaStorage::stop_worker() {
-  // What is still under way reports to nobody: a replica that starts anew numbers its batches from the beginning.
+  // Discard pending callbacks: a restarted replica numbers its batches from the beginning.
   alive_ = std::make_shared<bool>(true);
   auto folder = worker_ ? worker_->stop() : nullptr;
   worker_.reset();
--- a/src/node/replica_storage.h
+++ b/src/node/replica_storage.h
@@ -14,29 +14,30 @@
 
 namespace larchlever::node {
 
-/// A new random identity of a data folder.
+/// Returns a new random identity for a data folder.
 ReplicaId new_replica_id();
 
-/// Writes the first log of a new cluster, one voter, into an empty folder and gives the folder its identity.
+/// Assigns the identity of `founder` to an empty folder and writes the first log of a new cluster with it as the only
+/// voter.
 std::optional<storage::StorageError> initialize_cluster(storage::DataFolder& folder,
                                                         const wire::ReplicaAddress& founder);
 
-/// The data folder of one control replica, written on a thread of its own. What is reported back comes on the executor.
-/// Not thread-safe.
+/// The data folder of a control replica, written on its own thread. Callbacks run on the executor. Not thread-safe.
 class ReplicaStorage {
  public:
   using OnWritten = std::function<void(std::vector<consensus::RaftOutput>)>;
   using OnFailure = std::function<void(const std::string& reason)>;
 
-  /// What the folder held when it was opened.
+  /// Contents of the folder when it was opened.
   struct OpenedReplica {
     ReplicaId replica_id;
     consensus::PersistedState persisted;
-    /// Rises with every opening of this folder.
+    /// Increases each time the folder is opened.
     Incarnation boot;
-    /// What `submit_state_copy` kept last; empty when there is none.
+    /// Last content saved by `submit_state_copy`; empty if there is none.
     std::string state_copy;
-    /// What `store_formation` kept; nothing when this folder takes part in forming no fleet, or holds a log.
+    /// Last choice saved by `store_formation`; nothing if this replica does not take part in forming a new fleet, or
+    /// the folder already holds a log.
     std::optional<std::string> formation;
 
     bool holds_log() const { return !persisted.entries.empty() || persisted.snapshot.index > 0; }
@@ -47,31 +48,33 @@
   ReplicaStorage(const ReplicaStorage&) = delete;
   ReplicaStorage& operator=(const ReplicaStorage&) = delete;
 
-  /// Opens the folder; an empty one gets an identity. Nothing with `error` set when it cannot be opened.
+  /// Opens the folder and assigns an identity to an empty one. Returns nothing with `error` set on failure.
   std::optional<OpenedReplica> open(std::string& error);
-  /// Notes that this folder takes part in forming a new fleet, and which founder it chose; empty while it has not. On
-  /// disk when this returns; false with `error` set when it could not be written.
+  /// Records that this replica takes part in forming a new fleet, and which founder it chose (empty before it has
+  /// chosen). Durable on return; returns false with `error` set if the write fails.
   bool store_formation(const std::string& choice, std::string& error);
-  /// Makes the first log of a new fleet, whose only voter is this replica at `node`. The folder must hold no log.
+  /// Creates the first log of a new fleet, with this replica at `node` as the only voter. The folder must not hold a
+  /// log.
   std::optional<OpenedReplica> create_first_log(const std::string& node, const std::string& zone, std::string& error);
-  /// Sets the log aside and starts an empty one under a new identity.
+  /// Retires the log and starts an empty one under a new identity.
   std::optional<OpenedReplica> renew_identity(std::string& error);
   void submit(consensus::RaftOutput batch);
-  /// Keeps state that is handy at the next start, but not promised to survive.
+  /// Saves state that speeds up the next start; it may be lost.
   void submit_state_copy(std::string content);
-  /// Stops writing; what was not written is dropped.
+  /// Writes the batches submitted so far and stops. No further callbacks run.
   void close();
 
  private:
-  /// Counts the openings on disk, since clocks may be set back. Nothing when the disk refuses.
+  /// Increments the boot counter on disk, which unlike a clock cannot go back. Returns nothing if the write fails.
   std::optional<Incarnation> increment_boot_count(std::string& error);
-  /// Replaces a small file beside the log; on disk when this returns true.
+  /// Atomically replaces a small file beside the log. Durable if it returns true.
   bool replace_file(const std::string& name, const std::string& text, std::string& error) const;
   std::optional<std::string> read_formation_file() const;
   void remove_formation_file() const;
   bool sync_folder() const;
   void start_worker(std::unique_ptr<storage::DataFolder> folder);
-  /// Ends the worker once all submitted is written; what it has to report is dropped. Null when the folder failed.
+  /// Stops the worker after it has written all submitted batches, and discards its pending callbacks. Returns null if
+  /// the folder failed.
   std::unique_ptr<storage::DataFolder> stop_worker();
 
   boost::asio::any_io_executor executor_;
--- a/src/node/request_completion.cc
+++ b/src/node/request_completion.cc
@@ -72,7 +72,7 @@
   if (request.response_started) {
     ++state_.counters.failed;
     log_completion(request, 0, "the stream could not be continued; cut");
-    co_return;  // The connection is cut, so the caller sees that the answer broke off.
+    co_return;  // The connection is closed early, so the caller sees that the response is truncated.
   }
   const TimePoint now = monotonic_now();
   if (!request.may_have_run) {
--- a/src/node/request_completion.h
+++ b/src/node/request_completion.h
@@ -8,19 +8,19 @@
 
 namespace larchlever::node {
 
-/// Ends requests that no server answered, and accounts for every end: counters, and one line in the log.
+/// Responds to requests that no server answered, and records the end of every request in counters and one log line.
 ///
-/// Guarantees: 503 and 429 are answered only to requests that did not run; a stream that cannot be continued is cut, so
-/// that it does not look whole. One executor; not thread-safe.
+/// Guarantees: 503 and 429 are sent only if the request did not run; a stream that cannot be resumed is cut, so that it
+/// does not look complete. Runs on one executor; not thread-safe.
 class RequestCompletion {
  public:
   explicit RequestCompletion(EntryState& state) : state_(state) {}
 
-  /// The line for a request that ended with `status`; 0 when its answer was cut.
+  /// Logs the end of a request; `status` is 0 if its response was cut.
   void log_completion(const RelayedRequest& request, int status, const std::string& reason) const;
-  /// Answers a request that did not run.
+  /// Responds to a request that did not run.
   boost::asio::awaitable<void> send_refusal(RelayedRequest& request, Refusal refusal);
-  /// Ends a request for which nothing more is tried, by what is known of it.
+  /// Responds to a request that will not be retried, according to whether it may have run.
   boost::asio::awaitable<void> send_failure(RelayedRequest& request);
 
  private:
--- a/src/node/request_relay.cc
+++ b/src/node/request_relay.cc
@@ -16,15 +16,15 @@
 
 namespace {
 
-/// A connection that does not come up in this time counts as not made; nothing was sent. Several times a round trip
-/// between regions, and short enough that the request may still be in time elsewhere.
+/// A connection not established within this time counts as failed, with nothing sent. Several round trips between
+/// regions, yet short enough for the request to succeed elsewhere in time.
 constexpr auto kConnectTimeout = std::chrono::milliseconds(150);
-/// A request is held for a lease on the configuration for this part of its time, and never longer than this.
+/// A request may wait for a configuration lease for a quarter of its time, but no longer than kMaxLeaseWait.
 constexpr int kLeaseWaitDivisor = 4;
 constexpr Duration kMaxLeaseWait = milliseconds(1200);
-/// Held for longer than this, a request has lost time that its objective does not allow for.
+/// A request that waited for a lease for longer than this has lost time that its latency objective does not allow for.
 constexpr Duration kLeaseWaitThreshold = milliseconds(50);
-/// A single stream may pause longer, as long as its group makes progress; callers leave after two seconds.
+/// Maximum gap in a stream, even if its group makes progress; callers disconnect after two seconds.
 constexpr Duration kMaxStreamGap = milliseconds(1600);
 constexpr int kMaxAttempts = 6;
 
@@ -81,7 +81,7 @@
   co_await dispatch_until_done(request);
 }
 
-// ---------------------------------------------------------------- identify
+// -------------------------------------------------------- route and tenant
 
 TimePoint RequestRelay::lease_wait_deadline(const RelayedRequest& request) const {
   const auto deadline_ms = parse_number(request.exchange->request().headers.find(dialect_.deadline_ms_header));
@@ -156,11 +156,12 @@
   return std::nullopt;
 }
 
-// -------------------------------------------------------------- send, retry
+// ----------------------------------------------------- attempts and retries
 
 asio::awaitable<void> RequestRelay::dispatch_until_done(RelayedRequest& request) {
   while (true) {
-    // Asked before each sending: a request under which servers end elsewhere meanwhile must not end one more.
+    // Check before each attempt: if servers elsewhere have meanwhile ended under this request, it must not crash
+    // another one.
     if (!co_await blocked_request_guard_.admit(request)) {
       const FoundTarget no_target = blocked_request_guard_.make_refusal(request);
       co_await finish_without_target(request, no_target);
@@ -180,14 +181,14 @@
     request.excluded_targets.insert(target->key);
     if (result == DispatchResult::kServerError) {
       request.may_have_run = true;
-      ++request.possible_runs;  // The retry was taken from the budget when the answer was put aside.
+      ++request.possible_runs;  // The retry budget was already charged when the response was discarded.
       ++state_.counters.retries;
       continue;
     }
     if (result != DispatchResult::kNotRun) {
       request.may_have_run = true;
-      // Whatever it brought: a server that took a request may run it to the end after its connection was lost, so only
-      // proof to the contrary spares the request one of the servers that its route allows.
+      // A server may run a request to the end after its connection was lost. Unless it is proved otherwise, the attempt
+      // therefore counts against the route's maximum.
       ++request.possible_runs;
       const bool may_run_again = request.route->may_repeat() && request.possible_runs < request.route->max_attempts;
       if (!may_run_again) {
@@ -204,7 +205,7 @@
 }
 
 bool RequestRelay::may_retry(RelayedRequest& request, TimePoint now) {
-  // A sending that never left used none of the budget, which counts arrivals at servers.
+  // An attempt that was never sent does not use the retry budget, which counts requests that reach servers.
   return now < request.deadline && request.attempts_sent < kMaxAttempts && !request.caller_gone &&
          (request.attempts_sent == 0 || state_.dispatcher.take_retry(now, request.service->name));
 }
@@ -238,7 +239,7 @@
   request.load_mark = {target.group.empty() ? 0 : request.prompt_tokens, false};
   state_.dispatcher.begin(request.sent_at, target, request.load_mark);
   if (!request.has_slot) {
-    report_load_change(target);  // The leader counts a slot that it granted.
+    report_load_change(target);  // A slot granted by the leader is already in its count.
   }
   in_flight_attempts_.add_attempt(request, target);
   const ScopeExit finish_on_exit([this, &request, &target] {
@@ -296,7 +297,7 @@
   options.timeout = read_timeout(request, now);
   options.connect_timeout = kConnectTimeout;
   options.cancellation = request.cancellation;
-  // The server may have asked for rest while the connection was made.
+  // The server may have asked for a pause while the connection was being established.
   const auto may_send = [this, &target] { return state_.dispatcher.may_send(monotonic_now(), target); };
   options.may_send = may_send;
   auto opened = co_await client_.open(target.address, outgoing, options);
@@ -351,13 +352,14 @@
   co_return co_await relay_buffered(request, target, *opened.stream);
 }
 
-// ------------------------------------------------------------------- relay
+// ---------------------------------------------------------- response relay
 
 asio::awaitable<RequestRelay::DispatchResult> RequestRelay::relay_buffered(RelayedRequest& request,
                                                                            const fleet::Target& target,
                                                                            net::ClientStream& stream) {
   net::HttpResponse response = stream.head();
-  // Only a success that carries its server's signature, and whose end can be told from a cut, is final before its end.
+  // A response may be relayed before its end only if it is a success, carries the server's signature, and its end can
+  // be told from a truncation.
   const bool may_stream_early = is_success(response.status) && response.headers.contains(dialect_.signature_header) &&
                                 !request.response_started && !stream.delimited_by_close();
   requests::BufferShare buffer_share(response_buffers_);
@@ -406,7 +408,8 @@
     co_return DispatchResult::kServerError;
   }
   if (request.response_started) {
-    co_return DispatchResult::kMayHaveRun;  // A continuation was refused: the answer under way cannot carry it.
+    // The resume attempt was refused. The response already started cannot carry this one.
+    co_return DispatchResult::kMayHaveRun;
   }
   const int status = response.status;
   state_.counters.served += is_success(status) ? 1 : 0;
@@ -439,7 +442,7 @@
     co_return DispatchResult::kAnswered;
   }
   if (!stream.complete()) {
-    // Left without its end: the caller sees that it broke off.
+    // The stream is left without its regular end, so the caller sees that it is truncated.
     ++state_.counters.failed;
     completion_.log_completion(request, 0, "the server's answer broke off");
     co_return DispatchResult::kAnswered;
--- a/src/node/request_relay.h
+++ b/src/node/request_relay.h
@@ -19,54 +19,55 @@
 
 namespace larchlever::node {
 
-/// Serves callers of a registered fleet: finds route and tenant, sends each request to a server, retries and resumes
-/// within the route's rules and the shared budgets, and relays the answer.
+/// Serves callers of a registered fleet: finds route and tenant, sends each request to a server, retries and resumes it
+/// within the route's rules and the shared retry budget, and relays the response.
 ///
-/// Guarantees: a request that may not be repeated is sent again only when no byte left or the server proved that it did
-/// not run; 429, 503, 408 and 421 are answered only to requests that did not run; a broken answer never looks whole.
-/// One executor; not thread-safe.
+/// Guarantees: a request that may not be repeated is sent again only if no byte was sent or the server proved that it
+/// did not run; the relay itself sends 429, 503, 408 and 421 only if the request did not run; a truncated response
+/// never looks complete. Runs on one executor; not thread-safe.
 class RequestRelay : public net::HttpHandler {
  public:
-  /// `response_buffer_bytes` is how many bytes of answers may be held for callers that have not read them yet.
+  /// `response_buffer_bytes` limits how many bytes of responses are buffered for callers that have not read them yet.
   RequestRelay(boost::asio::any_io_executor executor, const Dialect& dialect, EntryState& state,
                SlotRequester& slot_requester, LeaseGate& lease_gate, size_t response_buffer_bytes);
 
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
-  /// What is under way, to be given up where it cannot come back.
+  /// Attempts in flight, so that those that cannot complete can be cancelled.
   InFlightAttempts& in_flight_attempts() { return in_flight_attempts_; }
-  /// What is known of servers that end under requests.
+  /// Detection and blocking of requests that crash servers.
   BlockedRequestGuard& blocked_request_guard() { return blocked_request_guard_; }
 
  private:
-  /// What one sending came to.
+  /// Result of one attempt.
   enum class DispatchResult {
-    kAnswered,    ///< The caller has its final answer, or is gone.
-    kNotRun,      ///< Proved: no server ran it.
-    kMayHaveRun,  ///< It may be running, or its answer was lost.
-    kServerError  ///< The server ran it and failed; its answer is kept.
+    kAnswered,    ///< The caller has its final response or has disconnected.
+    kNotRun,      ///< Proved that no server ran it.
+    kMayHaveRun,  ///< It may still run, or its response was lost.
+    kServerError  ///< The server returned a 5xx status and the request may be retried.
   };
 
-  /// Until when a request may be held for a lease on the configuration.
+  /// Returns until when a request may wait for a configuration lease.
   TimePoint lease_wait_deadline(const RelayedRequest& request) const;
   std::optional<Refusal> resolve_route(RelayedRequest& request);
   std::optional<Refusal> authenticate_tenant(RelayedRequest& request, std::string_view key);
-  /// Takes the request's own statement of its size, for the forecasts of load and the shares of models.
+  /// Records the request's size as stated in its headers, for load prediction and for the models' shares of capacity.
   void record_demand(RelayedRequest& request);
   void report_load_change(const fleet::Target& target);
-  /// The target answered or brought a part of an answer.
+  /// Called when the target responded or sent part of a response.
   void note_progress(const fleet::Target& target, TimePoint now);
-  /// Bytes of a stream arrived.
+  /// Called when bytes of a stream arrived.
   void note_chunk(RelayedRequest& request, const fleet::Target& target, TimePoint now);
   boost::asio::awaitable<void> dispatch_until_done(RelayedRequest& request);
-  /// Ends the request: no target was found for it.
+  /// Responds to a request for which no target was found.
   boost::asio::awaitable<void> finish_without_target(RelayedRequest& request, const FoundTarget& found);
-  /// Ends a request that was turned away and may not be sent once more.
+  /// Responds to a request that did not succeed and may not be retried.
   boost::asio::awaitable<void> finish_without_retry(RelayedRequest& request);
   boost::asio::awaitable<DispatchResult> run_attempt(RelayedRequest& request, const fleet::Target& target);
   boost::asio::awaitable<DispatchResult> send_attempt(RelayedRequest& request, const fleet::Target& target);
   boost::asio::awaitable<DispatchResult> relay_buffered(RelayedRequest& request, const fleet::Target& target,
                                                         net::ClientStream& stream);
-  /// Passes on a successful answer as it comes, after what was read of it: as fast as its caller reads.
+  /// Relays a successful response as it arrives, at the speed at which the caller reads, after the prefix that is
+  /// already buffered.
   boost::asio::awaitable<DispatchResult> relay_unbuffered(RelayedRequest& request, const fleet::Target& target,
                                                           net::ClientStream& stream, std::string buffered_prefix);
   boost::asio::awaitable<DispatchResult> relay_events(RelayedRequest& request, const fleet::Target& target,
--- a/src/node/server_notices.cc
+++ b/src/node/server_notices.cc
@@ -49,7 +49,7 @@
   const auto& [target, sent_at, head] = response;
   const auto values = header_values(head.headers, dialect.limit_header);
   if (values.empty()) {
-    // Without the server's signature another may have answered in its place.
+    // A response without the server's signature may come from another process.
     const bool is_signed = head.headers.contains(dialect.signature_header);
     if (is_signed && state.dispatcher.note_limit({target.incarnation, std::nullopt, sent_at})) {
       log_event("", "server_limit_ended", {{"instance", target.incarnation}});
--- a/src/node/service_request_handler.cc
+++ b/src/node/service_request_handler.cc
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr size_t kMaxStoredResponseBytes = 64U << 10U;
-/// Answers up to this size are read whole before they are passed on, so that a safe request whose answer broke off can
-/// still be tried elsewhere.
+/// Responses up to this size are read completely before they are relayed, so that a safe request can be retried if its
+/// response is truncated.
 constexpr size_t kMaxBufferedResponseBytes = 1U << 20U;
 
 bool is_read_only(const std::string& method) { return method == "GET" || method == "HEAD" || method == "OPTIONS"; }
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-/// One request to a plain service on its way through the node.
+/// State of one request to a plain service while it is served.
 struct ServiceRequestHandler::RequestContext {
   explicit RequestContext(net::HttpExchange& http_exchange) : exchange(http_exchange) {}
 
@@ -48,8 +48,8 @@
   bool safe = false;
   bool has_claim = false;
   IdempotencyGuard::KeyClaim key_claim;
-  bool response_started = false;  ///< Part of the answer may be with the caller.
-  bool is_finished = false;       ///< The answer went out whole.
+  bool response_started = false;  ///< Part of the response may have reached the caller.
+  bool is_finished = false;       ///< The complete response was sent.
   Outcome outcome = Outcome::kNotRun;
   std::string reason = "no endpoint of the service can be used";
   net::HttpResponse stored_response;
--- a/src/node/service_request_handler.h
+++ b/src/node/service_request_handler.h
@@ -10,9 +10,9 @@
 
 namespace larchlever::node {
 
-/// Passes requests through to plain services, unchanged but for hop-by-hop headers: method, path, query, headers, body
-/// and status. Requests that are unsafe to repeat leave this node at most once; with a key, at most once in the fleet.
-/// One executor; requests interleave.
+/// Relays requests to plain services. Method, path, query, headers, body and status are unchanged except for hop-by-hop
+/// headers. A request that is unsafe to repeat is sent by this node at most once, and with an idempotency key at most
+/// once in the fleet. Runs on one executor; requests interleave.
 class ServiceRequestHandler {
  public:
   ServiceRequestHandler(NodeRuntime& runtime, requests::RetryBudget& retry_budget, IdempotencyGuard& idempotency_guard,
--- a/src/node/slot_requester.cc
+++ b/src/node/slot_requester.cc
@@ -14,20 +14,20 @@
 namespace {
 
 constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
-/// The leader's first word comes within a few round trips; bounds of the wait for it while few were measured, and
-/// where measurements vary much.
+/// Bounds of the timeout for the leader's first answer, which takes a few round trips. They apply while few answers
+/// have been measured and when measurements vary widely.
 constexpr milliseconds kMinResponseTimeout{15};
 constexpr milliseconds kMaxResponseTimeout{40};
 constexpr int kTimeoutDeviations = 4;
-/// Before the first answer: whoever started with this entry, as after a loss of power, asks at the same moment.
+/// Timeout before the first answer. Entries that start at the same time, as after a power failure, all ask at once.
 constexpr milliseconds kInitialResponseTimeout{200};
-/// A leader that did not answer is asked again after this time; elections take several times as long.
+/// How long a leader that did not answer is not asked again. Elections take several times as long.
 constexpr auto kLeaderBackoff = milliseconds(150);
-/// A queued request is answered at the latest this long after its patience: one tick of the leader, and the way.
+/// A queued request is answered at most this long after its queue timeout: one tick of the leader plus network time.
 constexpr milliseconds kQueuedReplyMargin{40};
-/// Changes of load within this time are told together.
+/// Load changes within this time are reported together.
 constexpr milliseconds kReportDelay{5};
-/// A complete report mends what a lost one left wrong, and shows the leader that this entry lives.
+/// A complete report corrects errors left by a lost one, and shows the leader that this entry is alive.
 constexpr auto kCompleteReportInterval = std::chrono::seconds(1);
 
 std::vector<wire::ServerLimitReport> limit_reports(TimePoint now,
@@ -119,7 +119,7 @@
 
 void SlotRequester::receive(const wire::SlotAnswer& answer) {
   if (answer.term < grants_term_) {
-    return;  // From a leader that was deposed.
+    return;  // Sent by a deposed leader.
   }
   if (answer.term > grants_term_) {
     grants_term_ = answer.term;
@@ -129,7 +129,7 @@
     grants_seen_ = std::max(grants_seen_, grant.sequence);
     const auto found = pending_requests_.find(grant.id);
     if (found == pending_requests_.end()) {
-      note_load_change();  // Nobody waits for the slot any more: tell the leader that it is not used.
+      note_load_change();  // The requester has given up; report to the leader that the slot is unused.
       continue;
     }
     PendingRequest& pending_request = *found->second;
--- a/src/node/slot_requester.h
+++ b/src/node/slot_requester.h
@@ -17,11 +17,11 @@
 
 namespace larchlever::node {
 
-/// Asks the leader for slots of engine groups, and tells it of this entry's load as it changes, of its callers' demand
-/// and of groups that fail.
+/// Requests slots of engine groups from the leader, and reports to it this entry's load as it changes, the demand of
+/// its callers, and failing groups.
 ///
-/// Guarantees: `ask` returns within the request's patience and a little, whatever the leader does; while the leader
-/// does not answer, it returns at once. One executor; not thread-safe.
+/// Guarantees: `request_slot` returns shortly after the request's `patience_ms`, whatever the leader does; while the
+/// leader does not answer, it returns immediately. Runs on one executor; not thread-safe.
 class SlotRequester {
  public:
   /// Sends an envelope to the leader, best effort.
@@ -29,28 +29,29 @@
 
   SlotRequester(boost::asio::any_io_executor executor, EntryState& state, Sender send);
 
-  /// The leader's decision; UNDECIDED when it gave none in time. Fills in the request's id.
+  /// Returns the leader's decision, or UNDECIDED if there was none in time. Sets the request's id.
   boost::asio::awaitable<wire::SlotGrant> request_slot(wire::SlotRequest request);
-  /// Whether the leader lets this entry send a blocked request once.
+  /// Returns whether the leader permits this entry one trial attempt of a blocked request.
   boost::asio::awaitable<bool> request_trial(requests::RequestFingerprint request);
-  /// Whether a request whose answer was lost may be sent again, as the leader decides with this entry's own word
-  /// included. An entry that gets no word decides for itself.
+  /// Returns whether a request whose response was lost may be retried. The leader decides from the observations of all
+  /// entries, including this one. Returns true if the leader does not decide.
   boost::asio::awaitable<bool> request_retry_permission(requests::RequestFingerprint request);
   void receive(const wire::SlotAnswer& answer);
-  /// The load of some group changed in a way that the leader does not know of: it learns within a few milliseconds.
+  /// Schedules a report to the leader within a few milliseconds. Call when the load of a group changed in a way that
+  /// the leader does not know of.
   void note_load_change();
-  /// Sends a complete report when one is due: about once a second, to every new leader, and when a group began to fail;
-  /// and a word when streams of a group began to pause too long, or go on again. To be called every few ticks.
+  /// Sends a complete report when one is due: about once a second, to each new leader, and when a group began to fail.
+  /// Sends a short report when a stream of a group began to pause too long, or continued. Call every few ticks.
   void tick(TimePoint now);
-  /// The leader is asked: it did not leave a question unanswered just now.
+  /// False for a short time after the leader left a request unanswered; it is not asked then.
   bool is_leader_responsive(TimePoint now) const { return now >= leader_backoff_until_; }
-  /// Nobody answered a question for a slot of late, so this entry chooses targets by itself.
+  /// True if the leader recently left a request unanswered, so that this entry chooses targets itself.
   bool decides_locally(TimePoint now) const { return now < leader_backoff_until_ + kLocalDecisionWindow; }
-  /// Term and sequence of the last slot received.
+  /// Term and sequence number of the last slot received.
   std::pair<int64_t, int64_t> last_grant() const { return {grants_term_, grants_seen_}; }
 
  private:
-  /// After a silence of the leader, loads of others are asked for this long.
+  /// How long this entry wants the loads reported by other entries after the leader did not answer.
   static constexpr Duration kLocalDecisionWindow = seconds(1);
 
   struct PendingRequest {
@@ -61,11 +62,11 @@
     bool is_answered = false;
   };
 
-  /// Waits until the question's answer is another than `known`, or the time is over.
+  /// Waits until an answer to the request arrives, or until the timeout.
   boost::asio::awaitable<void> wait_for_answer(std::shared_ptr<PendingRequest> pending_request,
                                                std::chrono::milliseconds timeout);
   boost::asio::awaitable<void> send_report_later();
-  /// Sends the question with all others that are asked in the same moment.
+  /// Sends the request together with all others that are made in the same turn of the event loop.
   void queue_request(wire::SlotRequest request);
   wire::SlotReport make_report(std::vector<wire::SlotRequest> requests);
   void send_report(std::vector<wire::SlotRequest> requests);
@@ -78,12 +79,12 @@
   Sender send_;
   int64_t next_id_ = 1;
   std::map<int64_t, std::shared_ptr<PendingRequest>> pending_requests_;
-  /// Asked and not sent yet.
+  /// Requested but not yet sent.
   std::vector<wire::SlotRequest> unsent_requests_;
   requests::LatencyEstimate response_latency_;
-  /// The leader did not answer: it is not asked until then.
+  /// The leader did not answer and is not asked again until then.
   TimePoint leader_backoff_until_ = TimePoint();
-  /// When the next complete report is due, whom the last one went to and which failures it named.
+  /// When the next complete report is due, which leader got the last one, and which failures it contained.
   TimePoint next_complete_report_ = TimePoint::min();
   std::string last_report_leader_;
   std::vector<wire::GroupFailure> reported_failures_;
--- a/src/node/storage_worker.cc
+++ b/src/node/storage_worker.cc
@@ -73,7 +73,7 @@
       }
       batches.assign(std::make_move_iterator(queue_.begin()), std::make_move_iterator(queue_.end()));
       queue_.clear();
-      // The log goes first: a copy waits until nothing else does.
+      // The log has priority; a copy is written only when no batch is waiting.
       if (batches.empty()) {
         copy.swap(state_copy_);
       }
--- a/src/node/storage_worker.h
+++ b/src/node/storage_worker.h
@@ -14,11 +14,11 @@
 
 namespace larchlever::node {
 
-/// Writes batches to the data folder on a thread of its own, so that a sync never holds up the node. Batches that pile
-/// up during one sync share the next: group commit.
+/// Writes batches to the data folder on its own thread, so that a sync never blocks the node. Batches that arrive
+/// during one sync share the next one (group commit).
 ///
-/// `on_written` runs on the worker's thread with the batches just synced, in order; `on_failure` once, with the reason,
-/// after which nothing more is written.
+/// `on_written` runs on the worker's thread with the batches just synced, in order. `on_failure` runs once with the
+/// error; nothing is written after it.
 class StorageWorker {
  public:
   using OnWritten = std::function<void(std::vector<consensus::RaftOutput>)>;
@@ -30,15 +30,16 @@
   StorageWorker& operator=(const StorageWorker&) = delete;
 
   void submit(consensus::RaftOutput batch);
-  /// Keeps a copy of state beside the log, after the batches submitted before. Only the newest of several is written.
+  /// Saves a copy of the state beside the log, after the batches submitted so far. If several are pending, only the
+  /// newest is written.
   void submit_state_copy(std::string content);
-  /// Finishes what was submitted and ends the thread; returns the folder.
+  /// Writes all submitted batches, ends the thread and returns the folder. A pending copy of the state may be dropped.
   std::unique_ptr<storage::DataFolder> stop();
   storage::StorageStats stats() const;
 
  private:
   void run();
-  /// False when the folder failed.
+  /// Returns false if the folder failed.
   bool write_batches(std::vector<consensus::RaftOutput> batches);
 
   std::unique_ptr<storage::DataFolder> folder_;
--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -13,24 +13,25 @@
 namespace {
 
 constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
-/// Pause before looking for a target again.
+/// Delay before the next search for a target.
 constexpr auto kTargetRetryInterval = std::chrono::milliseconds(20);
-/// Part of the latency objective that a request may wait for a place before it is refused; who was held until this
-/// entry had a lease may wait for all of it, since all that were held come at once.
+/// A request may wait for a target for a fifth of its latency objective before it is refused. A request that waited for
+/// a configuration lease may use the whole objective, since all such requests are released at once.
 constexpr int kWaitDivisor = 5;
-/// Part of the recent first events whose excess over the forecast is allowed for.
+/// Quantile of the recent prediction errors of the first event that is allowed for.
 constexpr double kExcessQuantile = 0.75;
-/// Most of the objective that may be set aside for it: a group that is forecast within the rest is always worth a try,
-/// which also is the only way to learn that first events come sooner again.
+/// At most half of the objective is set aside for prediction errors. A group predicted to respond within the other half
+/// is always tried, which is also the only way to notice that responses have become faster.
 constexpr int kMaxExcessDivisor = 2;
-/// Plain services have none.
+/// Plain services have no model.
 const std::string kNoModel;
 
 int32_t to_milliseconds(Duration duration) { return static_cast<int32_t>(duration / milliseconds(1)); }
 
-/// By then another leader counts for all entries, and gives more than this entry's part.
+/// Maximum Retry-After while no leader answers. By then a new leader tracks the rate limits for all entries and grants
+/// more than this entry's share.
 constexpr Duration kMaxLocalRetryAfter = seconds(2);
-/// How long the leader is not asked again for servers at which it had no turn.
+/// How long the leader is not asked again about servers for which it had no permit.
 constexpr Duration kNoPermitBackoff = milliseconds(100);
 
 Refusal busy_refusal() { return {http_status::kServiceUnavailable, "all places are taken", kRetryAfterBusy}; }
@@ -85,14 +86,16 @@
   slot_request.model = request.model;
   slot_request.prompt_tokens = static_cast<int32_t>(request.prompt_tokens);
   const Duration objective = request.route->target_latency;
-  // Once it may have run, it cannot be refused any more: the soonest group is best, in time or not.
+  // A request that may have run can no longer be refused as busy, so any group is acceptable, in time or not; the
+  // leader picks the fastest.
   if (objective > Duration::zero() && !request.response_started && !request.may_have_run) {
     const auto excess = state_.first_event_excess.find(request.model);
     const Duration allowance = excess == state_.first_event_excess.end()
                                    ? Duration::zero()
                                    : std::clamp<Duration>(excess->second.value(now, kExcessQuantile), Duration::zero(),
                                                           objective / kMaxExcessDivisor);
-    // Whoever was held is late already; as with those that come back, the objective counts anew.
+    // A request that waited for a lease is late already. Its objective is counted from now, as for one that is retried
+    // by its caller.
     const Duration left = request.admitted_at + objective - now - allowance;
     slot_request.first_event_ms = std::max(1, to_milliseconds(left));
   }
@@ -123,11 +126,11 @@
   }
   const TimePoint now = monotonic_now();
   auto target = state_.dispatcher.target_of_group(now, grant.group);
-  // A leader of an earlier version grants slots without regard to homes.
+  // A leader running an earlier version ignores home regions.
   const bool is_usable =
       target && state_.dispatcher.may_send(now, *target) && document::are_allowed(home_zones(request), target->zones);
   if (!is_usable) {
-    slot_requester_.note_load_change();  // The slot is not used.
+    slot_requester_.note_load_change();  // Report that the slot is unused.
     co_return std::nullopt;
   }
   request.expected_first_event_delay = milliseconds(grant.expected_ms);
@@ -206,7 +209,8 @@
       if (permitted_target) {
         co_return std::move(*permitted_target);
       }
-      authority = fleet::RateAuthority::kShares;  // Unless another server takes the request.
+      // Use this entry's share of the rate limits, unless another server takes the request.
+      authority = fleet::RateAuthority::kShares;
     }
     if (choice.target && state_.dispatcher.may_send(monotonic_now(), *choice.target)) {
       co_return std::move(*choice.target);
