--- a/src/node/admin_api.cc
+++ b/src/node/admin_api.cc
@@ -29,7 +29,7 @@
   } else if (path == "/healthz") {
     co_await exchange.respond(text_response(200, "ok\n"));
   } else if (path == "/readyz") {
-    const bool ready = caller_api_.ready();
+    const bool ready = caller_api_.is_ready();
     co_await exchange.respond(text_response(ready ? 200 : 503, ready ? "ok\n" : "not ready\n"));
   } else if (path == "/admin/operate" && exchange.request().method == "POST") {
     co_await operate(exchange);
--- a/src/node/caller_api.cc
+++ b/src/node/caller_api.cc
@@ -16,7 +16,7 @@
       model_handler_(runtime, retry_budget_, idempotency_guard_, stats_),
       service_handler_(runtime, retry_budget_, idempotency_guard_, stats_) {}
 
-bool CallerApi::ready() const {
+bool CallerApi::is_ready() const {
   return ready_ && runtime_.controller().entry().has_configuration_lease(NodeRuntime::now());
 }
 
@@ -24,7 +24,7 @@
   const auto path = exchange.request().path();
   if (path == "/healthz" || path == "/readyz") {
     net::HttpResponse response;
-    response.status = path == "/healthz" || ready() ? 200 : 503;
+    response.status = path == "/healthz" || is_ready() ? 200 : 503;
     response.headers.add("Content-Type", "text/plain");
     response.body = response.status == 200 ? "ok\n" : "not ready\n";
     co_await exchange.respond(std::move(response));
--- a/src/node/caller_api.h
+++ b/src/node/caller_api.h
@@ -17,8 +17,8 @@
 
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
   /// A stopping node reports itself as not ready but keeps serving.
-  void set_ready(bool ready) { ready_ = ready; }
-  bool ready() const;
+  void set_ready(bool is_ready) { ready_ = is_ready; }
+  bool is_ready() const;
   const RequestStats& stats() const { return stats_; }
   size_t active_requests() const { return active_requests_; }
 
--- a/src/node/control_process.cc
+++ b/src/node/control_process.cc
@@ -287,8 +287,8 @@
   for (const auto& decision : outputs.decisions) {
     change_logger_.log_group_change(decision);
   }
-  for (const auto& [instance, fault] : outputs.malformed_reports) {
-    change_logger_.log_malformed_report(monotonic_now(), instance, fault);
+  for (const auto& [instance, report_error] : outputs.malformed_reports) {
+    change_logger_.log_malformed_report(monotonic_now(), instance, report_error);
   }
   for (const auto& reply : outputs.replies) {
     api_.complete(reply);
--- a/src/node/dialect.cc
+++ b/src/node/dialect.cc
@@ -5,9 +5,9 @@
 namespace larchlever::node {
 
 const Dialect* find_dialect(const std::string& name) {
-  static const Dialect own;
+  static const Dialect default_dialect;
   if (name == "larchlever") {
-    return &own;
+    return &default_dialect;
   }
   return name == "platform" ? &platform::platform_dialect() : nullptr;
 }
--- a/src/node/entry_state.h
+++ b/src/node/entry_state.h
@@ -16,11 +16,11 @@
 struct EntryCounters {
   uint64_t requests = 0;
   uint64_t served = 0;
-  uint64_t refused = 0;
+  uint64_t refused_retryable = 0;
   uint64_t failed = 0;
-  uint64_t denied = 0;
-  uint64_t blocked = 0;
-  uint64_t caller_gone = 0;
+  uint64_t refused_permanently = 0;
+  uint64_t refused_blocked = 0;
+  uint64_t caller_disconnects = 0;
   uint64_t retries = 0;
   uint64_t resumed = 0;
   uint64_t stalls = 0;
--- a/src/node/fleet_change_logger.cc
+++ b/src/node/fleet_change_logger.cc
@@ -16,7 +16,7 @@
 }  // namespace
 
 void FleetChangeLogger::log_malformed_report(TimePoint now, const std::string& instance,
-                                             const fleet::MalformedReport& fault) {
+                                             const fleet::MalformedReport& report_error) {
   ++malformed_report_count_;
   if (now < next_malformed_report_log_) {
     // Included in the count of the next line. A faulty sender may send as many reports as all servers together.
@@ -25,8 +25,8 @@
   next_malformed_report_log_ = now + kMalformedReportLogInterval;
   log_warning(node_name_, "malformed_report",
               {{"instance", instance},
-               {"field", fault.field},
-               {"reason", fault.message},
+               {"field", report_error.field},
+               {"reason", report_error.message},
                {"refused_so_far", std::to_string(malformed_report_count_)}});
 }
 
--- a/src/node/fleet_change_logger.h
+++ b/src/node/fleet_change_logger.h
@@ -20,7 +20,7 @@
   void log_group_change(const fleet::GroupDecision& decision) const;
   /// Logs that a report of an instance was refused. Rate-limited to a few lines a second, each with the total refused
   /// so far.
-  void log_malformed_report(TimePoint now, const std::string& instance, const fleet::MalformedReport& fault);
+  void log_malformed_report(TimePoint now, const std::string& instance, const fleet::MalformedReport& report_error);
   /// Logs what changed since the last call. Call at each tick while this replica leads.
   void log_changes(TimePoint now, const fleet::FleetLeader& leader) {
     log_instance_changes(leader);
--- a/src/node/in_flight_attempts.cc
+++ b/src/node/in_flight_attempts.cc
@@ -71,12 +71,12 @@
 }
 
 void InFlightAttempts::cancel_at_restarted_server(const std::string& target_key) {
-  const auto lost = attempts_at(target_key);
-  if (lost.empty()) {
+  const auto lost_attempts = attempts_at(target_key);
+  if (lost_attempts.empty()) {
     return;
   }
-  log_event("", "server_started_again", {{"target", target_key}, {"requests", std::to_string(lost.size())}});
-  for (const auto& [cancellation, deadline] : lost) {
+  log_event("", "server_started_again", {{"target", target_key}, {"requests", std::to_string(lost_attempts.size())}});
+  for (const auto& [cancellation, deadline] : lost_attempts) {
     cancellation->cancel();
   }
 }
--- a/src/node/leader_search_logger.cc
+++ b/src/node/leader_search_logger.cc
@@ -9,9 +9,9 @@
 /// A search is logged after this time, and again each time it has lasted that much longer.
 constexpr Duration kLogInterval = seconds(1);
 
-std::string format_counts(const std::map<std::string, int>& asked) {
+std::string format_counts(const std::map<std::string, int>& request_counts) {
   std::string text;
-  for (const auto& [peer, count] : asked) {
+  for (const auto& [peer, count] : request_counts) {
     text += (text.empty() ? "" : ",") + peer + "*" + std::to_string(count);
   }
   return text;
--- a/src/node/model_request_handler.cc
+++ b/src/node/model_request_handler.cc
@@ -59,7 +59,7 @@
   std::string request_id;
   IdempotencyGuard::KeyClaim key_claim;
   bool has_claim = false;
-  bool caller_gone = false;
+  bool caller_disconnected = false;
   bool stream_started = false;
   bool is_complete = false;
   int64_t next_offset = 0;
@@ -104,17 +104,17 @@
   const std::weak_ptr<RequestContext> weak_context = context;
   exchange.watch_caller([weak_context] {
     if (const auto locked_context = weak_context.lock()) {
-      locked_context->caller_gone = true;
+      locked_context->caller_disconnected = true;
       if (locked_context->upstream != nullptr) {
         locked_context->upstream->close();
       }
     }
   });
-  const std::function<bool()> cancelled = [context] { return context->caller_gone; };
+  const std::function<bool()> cancelled = [context] { return context->caller_disconnected; };
   const auto admitted = co_await runtime_.admit(context->model_request.tenant, context->model_request.priority,
                                                 context->queue_deadline, cancelled);
   if (admitted != NodeRuntime::AdmissionResult::kAdmitted) {
-    if (admitted != NodeRuntime::AdmissionResult::kCallerGone) {
+    if (admitted != NodeRuntime::AdmissionResult::kCallerDisconnected) {
       const bool is_queue_full = admitted == NodeRuntime::AdmissionResult::kQueueFull;
       problem = {429, is_queue_full ? "too many requests wait for this tenant" : "the tenant's share is in use",
                  "send the request again later", kRetryAfterSeconds};
@@ -141,7 +141,7 @@
   }
   co_await run_attempts(context);
   stats_.count_outcome(context.outcome);
-  stats_.caller_disconnects += context.caller_gone ? 1 : 0;
+  stats_.caller_disconnects += context.caller_disconnected ? 1 : 0;
   if (context.has_claim) {
     if (context.stored_body.size() > kMaxStoredResponseBytes) {
       context.stored_body.clear();
@@ -163,7 +163,7 @@
   query.prefix_hash = routing::hash_prefix(context.model_request.tenant, context.model_request.prompt);
   AttemptStatus last_attempt;
   std::map<int64_t, TimePoint> failed_until;
-  while (!context.caller_gone) {
+  while (!context.caller_disconnected) {
     const TimePoint now = NodeRuntime::now();
     std::erase_if(failed_until, [now](const auto& item) { return item.second <= now; });
     query.excluded.clear();
@@ -242,7 +242,7 @@
   options.may_send = [&router, &context, id = group.id, epoch = group.epoch, zone = group.zone] {
     const auto* tenant = router.table().find_tenant(context.model_request.tenant);
     return router.may_dispatch(NodeRuntime::now(), id, epoch) && tenant != nullptr && tenant->permits_zone(zone) &&
-           !context.caller_gone;
+           !context.caller_disconnected;
   };
   router.dispatched(group.id);
   auto opened = co_await runtime_.client().open(group.endpoint, request, options);
@@ -287,8 +287,8 @@
       if (collects_events) {
         context.verified_events += events;
       }
-      const bool open = co_await forward_events(context, events);
-      context.caller_gone = context.caller_gone || !open;
+      const bool is_connected = co_await forward_events(context, events);
+      context.caller_disconnected = context.caller_disconnected || !is_connected;
     }
     if (verifier.status() == requests::StreamStatus::kDone) {
       context.is_complete = true;
@@ -302,7 +302,7 @@
       stream.close();
       co_return result;
     }
-    if (context.caller_gone) {
+    if (context.caller_disconnected) {
       // Closing the connection cancels the request at the engine.
       stream.close();
       result.is_finished = true;
@@ -328,8 +328,8 @@
     context.stream_started = true;
     co_await context.exchange.begin_stream(head);
   }
-  const bool open = co_await context.exchange.write_piece(events);
-  co_return open;
+  const bool is_connected = co_await context.exchange.write_piece(events);
+  co_return is_connected;
 }
 
 asio::awaitable<void> ModelRequestHandler::finish_response(RequestContext& context) {
@@ -364,7 +364,7 @@
 }
 
 asio::awaitable<void> ModelRequestHandler::send_failure(RequestContext& context, const AttemptStatus& last_attempt) {
-  if (context.caller_gone) {
+  if (context.caller_disconnected) {
     co_return;
   }
   log_event(runtime_.settings().name, "request_given_up",
--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -45,11 +45,11 @@
 
 bool NodeRuntime::start(const std::string& service_address, std::string& error) {
   const auto [host, port] = net::split_endpoint(settings_.peer_address);
-  const auto bound = transport_.listen(host, static_cast<uint16_t>(std::stoi(port)), error);
-  if (!bound) {
+  const auto bound_port = transport_.listen(host, static_cast<uint16_t>(std::stoi(port)), error);
+  if (!bound_port) {
     return false;
   }
-  peer_address_ = host + ":" + std::to_string(*bound);
+  peer_address_ = host + ":" + std::to_string(*bound_port);
   NodeIdentity identity;
   identity.node = settings_.name;
   identity.zone = settings_.zone;
@@ -139,14 +139,14 @@
   alive_.reset();
   transport_.close_all();
   worker_.reset();
-  const auto wake = [](auto& pending_results) {
+  const auto cancel_timers = [](auto& pending_results) {
     for (auto& [id, pending_result] : pending_results) {
       pending_result->timer.cancel();
     }
   };
-  wake(pending_admissions_);
-  wake(pending_claims_);
-  wake(pending_operator_requests_);
+  cancel_timers(pending_admissions_);
+  cancel_timers(pending_claims_);
+  cancel_timers(pending_operator_requests_);
   alive_ = std::make_shared<bool>(false);
 }
 
@@ -412,12 +412,12 @@
     co_await pending_result->timer.async_wait(kAwaitWithError);
   }
   if (!*alive) {
-    co_return AdmissionResult::kCallerGone;
+    co_return AdmissionResult::kCallerDisconnected;
   }
   pending_admissions_.erase(ticket);
   if (!pending_result->result) {
     admission_controller.cancel(ticket);
-    co_return AdmissionResult::kCallerGone;
+    co_return AdmissionResult::kCallerDisconnected;
   }
   co_return *pending_result->result;
 }
--- a/src/node/node_runtime.h
+++ b/src/node/node_runtime.h
@@ -45,7 +45,7 @@
   static TimePoint now();
   static int64_t wall_clock_ms();
 
-  enum class AdmissionResult { kAdmitted, kQueueFull, kDeadlineExceeded, kCallerGone };
+  enum class AdmissionResult { kAdmitted, kQueueFull, kDeadlineExceeded, kCallerDisconnected };
   /// Waits for admission under the tenant's concurrency limit. `cancelled` is checked at each wake-up.
   boost::asio::awaitable<AdmissionResult> admit(std::string tenant, int priority, TimePoint deadline,
                                                 const std::function<bool()>& cancelled);
--- a/src/node/relayed_request.h
+++ b/src/node/relayed_request.h
@@ -41,7 +41,7 @@
   int possible_runs = 0;
   /// Set once some attempt is not proved not to have run; the outcome "not-run" can then no longer be reported.
   bool may_have_run = false;
-  bool caller_gone = false;
+  bool caller_disconnected = false;
   /// The request is blocked, but the leader permits this entry one trial attempt.
   bool is_trial = false;
   /// The current attempt, and the load that it puts on its target.
--- a/src/node/request_completion.cc
+++ b/src/node/request_completion.cc
@@ -58,15 +58,15 @@
   response.body = "{\"status\":" + std::to_string(refusal.status) + ",\"title\":\"" + refusal.title + "\"}";
   const bool is_retryable =
       refusal.status == http_status::kServiceUnavailable || refusal.status == http_status::kTooManyRequests;
-  state_.counters.refused += is_retryable ? 1 : 0;
-  state_.counters.denied += is_retryable ? 0 : 1;
+  state_.counters.refused_retryable += is_retryable ? 1 : 0;
+  state_.counters.refused_permanently += is_retryable ? 0 : 1;
   log_completion(request, refusal.status, refusal.title);
   co_await request.exchange->respond(std::move(response));
 }
 
 asio::awaitable<void> RequestCompletion::send_failure(RelayedRequest& request) {
-  if (request.caller_gone) {
-    ++state_.counters.caller_gone;
+  if (request.caller_disconnected) {
+    ++state_.counters.caller_disconnects;
     co_return;
   }
   if (request.response_started) {
--- a/src/node/request_relay.cc
+++ b/src/node/request_relay.cc
@@ -63,15 +63,15 @@
   ++state_.counters.requests;
   state_.traffic_seen = true;
   exchange.watch_caller([&request] {
-    request.caller_gone = true;
+    request.caller_disconnected = true;
     if (request.cancellation) {
       request.cancellation->cancel();
     }
   });
   co_await lease_gate_.wait_for_lease(lease_wait_deadline(request));
   request.admitted_at = monotonic_now();
-  if (request.caller_gone) {
-    ++state_.counters.caller_gone;
+  if (request.caller_disconnected) {
+    ++state_.counters.caller_disconnects;
     co_return;
   }
   if (auto refusal = resolve_route(request)) {
@@ -206,7 +206,7 @@
 
 bool RequestRelay::may_retry(RelayedRequest& request, TimePoint now) {
   // An attempt that was never sent does not use the retry budget, which counts requests that reach servers.
-  return now < request.deadline && request.attempts_sent < kMaxAttempts && !request.caller_gone &&
+  return now < request.deadline && request.attempts_sent < kMaxAttempts && !request.caller_disconnected &&
          (request.attempts_sent == 0 || state_.dispatcher.take_retry(now, request.service->name));
 }
 
@@ -302,8 +302,8 @@
   options.may_send = may_send;
   auto opened = co_await client_.open(target.address, outgoing, options);
   request.attempts_sent += opened.state == net::SendState::kNotSent ? 0 : 1;
-  if (request.caller_gone) {
-    ++state_.counters.caller_gone;
+  if (request.caller_disconnected) {
+    ++state_.counters.caller_disconnects;
     co_return DispatchResult::kAnswered;
   }
   if (opened.stream == nullptr) {
@@ -374,13 +374,13 @@
     }
     response.body += chunk;
     const bool has_room = buffer_share.grow(chunk.size());
-    if (!has_room && may_stream_early && !request.caller_gone) {
+    if (!has_room && may_stream_early && !request.caller_disconnected) {
       buffer_share.release();
       co_return co_await relay_unbuffered(request, target, stream, std::move(response.body));
     }
   }
-  if (request.caller_gone) {
-    ++state_.counters.caller_gone;
+  if (request.caller_disconnected) {
+    ++state_.counters.caller_disconnects;
     co_return DispatchResult::kAnswered;
   }
   if (!stream.complete()) {
@@ -436,8 +436,8 @@
       chunk = co_await stream.read_some(to_milliseconds(request.deadline - now));
     }
   }
-  if (!is_open || request.caller_gone) {
-    ++state_.counters.caller_gone;
+  if (!is_open || request.caller_disconnected) {
+    ++state_.counters.caller_disconnects;
     completion_.log_completion(request, 0, "its caller took no more of the answer");
     co_return DispatchResult::kAnswered;
   }
@@ -489,8 +489,8 @@
     if (now < request.deadline) {
       chunk = co_await stream.read_some(read_timeout(request, now));
     }
-    if (request.caller_gone) {
-      ++state_.counters.caller_gone;
+    if (request.caller_disconnected) {
+      ++state_.counters.caller_disconnects;
       co_return DispatchResult::kAnswered;
     }
     if (chunk.empty()) {
--- a/src/node/service_request_handler.cc
+++ b/src/node/service_request_handler.cc
@@ -45,7 +45,7 @@
   wire::Service service;
   net::HttpRequest forwarded;
   net::OpenOptions options;
-  bool safe = false;
+  bool is_repeatable = false;
   bool has_claim = false;
   IdempotencyGuard::KeyClaim key_claim;
   bool response_started = false;  ///< Part of the response may have reached the caller.
@@ -73,15 +73,15 @@
   }
   RequestContext context(exchange);
   context.service = *service;
-  context.safe = parse_repeat_header(request).value_or(is_read_only(request.method));
+  context.is_repeatable = parse_repeat_header(request).value_or(is_read_only(request.method));
   context.forwarded = without_hop_by_hop(request);
   context.options.timeout = runtime_.settings().requests.first_byte_timeout;
-  context.options.fresh_connection = !context.safe;
+  context.options.fresh_connection = !context.is_repeatable;
   context.options.may_send = [&entry] { return entry.has_configuration_lease(NodeRuntime::now()); };
   context.key_claim.tenant = "service/" + context.service.name;
   context.key_claim.key = std::string(request.headers.find("idempotency-key"));
   context.key_claim.body_digest = hash_body(request.method + " " + request.target + "\n" + request.body);
-  if (!context.safe && !context.key_claim.key.empty()) {
+  if (!context.is_repeatable && !context.key_claim.key.empty()) {
     context.has_claim = co_await idempotency_guard_.acquire_key(exchange, context.key_claim);
     if (!context.has_claim) {
       co_return;
@@ -109,7 +109,8 @@
 
 asio::awaitable<void> ServiceRequestHandler::run_attempts(RequestContext& context) {
   const auto& limits = runtime_.settings().requests;
-  requests::RetryState retries(context.safe, limits.most_attempts, NodeRuntime::now() + limits.request_timeout);
+  requests::RetryState retries(context.is_repeatable, limits.most_attempts,
+                               NodeRuntime::now() + limits.request_timeout);
   std::set<std::string> tried;
   while (true) {
     const std::string endpoint =
@@ -158,27 +159,27 @@
   const auto timeout = runtime_.settings().requests.between_bytes_timeout;
   net::HttpResponse response = stream.head();
   response.headers.set("Larchlever-Outcome", "ran");
-  const bool small = is_small(response);
-  bool open = true;
-  if (!small) {
+  const bool is_buffered = is_small(response);
+  bool is_connected = true;
+  if (!is_buffered) {
     context.response_started = true;
-    open = co_await context.exchange.begin_stream(response);
+    is_connected = co_await context.exchange.begin_stream(response);
   }
-  while (open) {
+  while (is_connected) {
     std::string piece = co_await stream.read_some(timeout);
     if (piece.empty()) {
       break;
     }
-    if (small) {
+    if (is_buffered) {
       response.body += piece;
     } else {
-      open = co_await context.exchange.write_piece(piece);
+      is_connected = co_await context.exchange.write_piece(piece);
     }
   }
   if (!stream.complete()) {
     co_return false;
   }
-  if (!small) {
+  if (!is_buffered) {
     co_await context.exchange.end_stream();
     co_return true;
   }
--- a/src/node/slot_requester.cc
+++ b/src/node/slot_requester.cc
@@ -30,8 +30,8 @@
 /// A complete report corrects errors left by a lost one, and shows the leader that this entry is alive.
 constexpr auto kCompleteReportInterval = std::chrono::seconds(1);
 
-std::vector<wire::ServerLimitReport> limit_reports(TimePoint now,
-                                                   const std::vector<fleet::LimitObservation>& observations) {
+std::vector<wire::ServerLimitReport> make_limit_reports(TimePoint now,
+                                                        const std::vector<fleet::LimitObservation>& observations) {
   std::vector<wire::ServerLimitReport> result;
   for (const auto& observation : observations) {
     wire::ServerLimitReport report;
@@ -185,7 +185,7 @@
   if (!state_.subscription.leader().empty()) {
     report.server_ends = state_.blocked_request_tracker.take_ends(monotonic_now());
     report.answered_requests = state_.blocked_request_tracker.take_answered();
-    report.server_limits = limit_reports(monotonic_now(), state_.dispatcher.take_changed_limits(monotonic_now()));
+    report.server_limits = make_limit_reports(monotonic_now(), state_.dispatcher.take_changed_limits(monotonic_now()));
   }
   return report;
 }
@@ -205,7 +205,7 @@
   state_.dispatcher.take_changed_loads(now);
   report.loads = state_.dispatcher.loads(now);
   report.is_complete = true;
-  report.server_limits = limit_reports(now, state_.dispatcher.take_limits(now));
+  report.server_limits = make_limit_reports(now, state_.dispatcher.take_limits(now));
   report.demand = state_.dispatcher.demand_totals();
   report.failures = std::move(failures);
   if (is_new_leader) {
--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -115,8 +115,8 @@
 asio::awaitable<std::optional<FoundTarget>> TargetFinder::ask_leader(RelayedRequest& request, TimePoint wait_until) {
   const auto slot_request = make_slot_request(request, monotonic_now(), wait_until);
   const auto grant = co_await slot_requester_.request_slot(slot_request);
-  if (request.caller_gone) {
-    co_return FoundTarget(CallerGone());
+  if (request.caller_disconnected) {
+    co_return FoundTarget(CallerDisconnected());
   }
   if (grant.verdict == wire::SlotVerdict::BUSY) {
     co_return FoundTarget(refusal_from_grant(grant));
@@ -149,8 +149,8 @@
   }
   slot_request.__set_rated_servers(incarnations);
   const auto grant = co_await slot_requester_.request_slot(slot_request);
-  if (request.caller_gone) {
-    co_return FoundTarget(CallerGone());
+  if (request.caller_disconnected) {
+    co_return FoundTarget(CallerDisconnected());
   }
   if (grant.verdict == wire::SlotVerdict::GRANTED) {
     for (const auto& target : choice.rated) {
@@ -201,7 +201,7 @@
   auto authority = slot_requester_.is_leader_responsive(monotonic_now()) ? fleet::RateAuthority::kLeader
                                                                          : fleet::RateAuthority::kShares;
   asio::steady_timer timer(executor_);
-  while (!request.caller_gone) {
+  while (!request.caller_disconnected) {
     const TimePoint now = monotonic_now();
     auto choice = state_.dispatcher.choose(now, *request.service, demand, request.excluded_targets, authority);
     if (!choice.rated.empty()) {
@@ -221,7 +221,7 @@
     timer.expires_after(kTargetRetryInterval);
     co_await timer.async_wait(kAwaitWithError);
   }
-  co_return CallerGone();
+  co_return CallerDisconnected();
 }
 
 }  // namespace larchlever::node
--- a/src/node/target_finder.h
+++ b/src/node/target_finder.h
@@ -12,10 +12,10 @@
 namespace larchlever::node {
 
 /// The caller disconnected while its request waited.
-struct CallerGone {};
+struct CallerDisconnected {};
 
 /// The target of a request, or why there is none.
-using FoundTarget = std::variant<fleet::Target, Refusal, CallerGone>;
+using FoundTarget = std::variant<fleet::Target, Refusal, CallerDisconnected>;
 
 /// Finds the target of each attempt. For engine groups the leader grants slots; for plain services, and while no leader
 /// answers, the entry chooses itself.
--- a/tests/node/log_output_test.cc
+++ b/tests/node/log_output_test.cc
@@ -48,7 +48,7 @@
 
 std::string make_line(int number) { return "line " + std::to_string(number) + " " + std::string(80, '.') + "\n"; }
 
-TEST(LogOutput, WritesAtOnceWhatTheReaderTakes) {
+TEST(LogOutput, WritesImmediatelyWhenReaderKeepsUp) {
   Pipe pipe;
   LogOutput output(pipe.writer_descriptor(), kMaxBufferedBytes);
   output.write("one\n");
@@ -57,7 +57,7 @@
   EXPECT_EQ(output.buffered_bytes(), 0U);
 }
 
-TEST(LogOutput, NeitherWaitsNorGrowsWhileNobodyReads) {
+TEST(LogOutput, StaysNonBlockingAndBoundedWithoutReader) {
   Pipe pipe;
   LogOutput output(pipe.writer_descriptor(), kMaxBufferedBytes);
   for (int number = 0; number < 1000; ++number) {
@@ -67,7 +67,7 @@
   EXPECT_GT(output.dropped_lines(), 900U);
 }
 
-TEST(LogOutput, GoesOnInOrderAndTellsWhatWasDroppedOnceTheReaderReads) {
+TEST(LogOutput, KeepsOrderAndReportsDroppedLinesWhenReaderResumes) {
   Pipe pipe;
   LogOutput output(pipe.writer_descriptor(), kMaxBufferedBytes);
   constexpr int kLines = 200;
@@ -89,7 +89,7 @@
   EXPECT_EQ(text, expected);
 }
 
-TEST(LogOutput, OutlivesItsReader) {
+TEST(LogOutput, DiscardsOutputAfterReaderCloses) {
   std::signal(SIGPIPE, SIG_IGN);
   Pipe pipe;
   LogOutput output(pipe.writer_descriptor(), kMaxBufferedBytes);
--- a/tests/node/slot_requester_test.cc
+++ b/tests/node/slot_requester_test.cc
@@ -67,7 +67,7 @@
   SlotRequester slot_requester_;
 };
 
-TEST_F(SlotRequesterTest, ASilentLeaderIsNotWaitedForTwice) {
+TEST_F(SlotRequesterTest, DoesNotWaitAgainForUnresponsiveLeader) {
   const TimePoint before = monotonic_now();
   EXPECT_EQ(request_slot().verdict, wire::SlotVerdict::UNDECIDED);
   EXPECT_LT(monotonic_now() - before, seconds(1));
@@ -75,7 +75,7 @@
   EXPECT_EQ(reports_.size(), 1U) << "the second request decides at once";
 }
 
-TEST_F(SlotRequesterTest, AQueuedRequestGetsTheSlotThatBecomesFree) {
+TEST_F(SlotRequesterTest, QueuedRequestGetsSlotWhenGranted) {
   on_report_ = [this](const wire::SlotReport& report) {
     const int64_t id = report.requests.front().id;
     asio::post(context_, [this, id] {
@@ -90,7 +90,7 @@
       << "a deposed leader's numbers do not count";
 }
 
-TEST_F(SlotRequesterTest, QuestionsOfOneMomentTravelTogether) {
+TEST_F(SlotRequesterTest, BatchesConcurrentRequests) {
   wire::SlotRequest request;
   request.patience_ms = 80;
   for (int count = 0; count < 3; ++count) {
@@ -101,7 +101,7 @@
   EXPECT_EQ(reports_.front().requests.size(), 3U);
 }
 
-TEST_F(SlotRequesterTest, ANewLeaderGetsACompleteReportAtOnceAndThenOneASecond) {
+TEST_F(SlotRequesterTest, SendsCompleteReportToNewLeaderAndEverySecond) {
   state_.subscription.tick(monotonic_now(), {});
   wire::Envelope envelope;
   envelope.from_node = "10.0.0.1:1";
@@ -128,7 +128,7 @@
   EXPECT_EQ(reports_.size(), 4U);
 }
 
-TEST_F(SlotRequesterTest, ASlotThatComesTooLateIsGivenBack) {
+TEST_F(SlotRequesterTest, ReportsLateGrantAsUnused) {
   request_slot();
   const size_t before = reports_.size();
   deliver_grant(5, 1, wire::SlotVerdict::GRANTED, 1);
@@ -139,19 +139,19 @@
   EXPECT_TRUE(reports_.back().loads.empty()) << "nothing was sent with it";
 }
 
-TEST_F(SlotRequesterTest, RequestsAreHeldForALeaseOnlyWhileOneMayCome) {
+TEST_F(SlotRequesterTest, LeaseGateDelaysRequestsOnlyWhileLeaseIsExpected) {
   LeaseGate gate(context_.get_executor(), state_);
-  auto held = asio::co_spawn(context_, gate.wait_for_lease(monotonic_now() + milliseconds(30)), asio::use_future);
+  auto first_wait = asio::co_spawn(context_, gate.wait_for_lease(monotonic_now() + milliseconds(30)), asio::use_future);
   const TimePoint before = monotonic_now();
   context_.restart();
   context_.run();
-  held.get();
+  first_wait.get();
   EXPECT_GE(monotonic_now() - before, milliseconds(25));
   gate.note_lease_change(monotonic_now() - seconds(10), false);
-  auto late = asio::co_spawn(context_, gate.wait_for_lease(monotonic_now() + seconds(60)), asio::use_future);
+  auto second_wait = asio::co_spawn(context_, gate.wait_for_lease(monotonic_now() + seconds(60)), asio::use_future);
   context_.restart();
   context_.run();
-  late.get();
+  second_wait.get();
   EXPECT_LT(monotonic_now() - before, seconds(30)) << "long without a lease: nobody is held";
 }
 
