--- a/src/node/admin_api.cc
+++ b/src/node/admin_api.cc
@@ -42,7 +42,8 @@
   const auto& body = exchange.request().body;
   auto request = body.size() <= kMaxOperatorRequestBytes ? wire::decode<wire::OperatorRequest>(body) : std::nullopt;
   if (!request) {
-    co_await exchange.respond(text_response(400, "unreadable request; use a command of the same version\n"));
+    co_await exchange.respond(
+        text_response(400, "cannot decode the request; use a larchlever command of the same version as the node\n"));
     co_return;
   }
   const auto reply = co_await runtime_.operator_request(std::move(*request), kOperatorTimeout);
--- a/src/node/blocked_request_guard.cc
+++ b/src/node/blocked_request_guard.cc
@@ -98,7 +98,7 @@
 Refusal BlockedRequestGuard::make_refusal(const RelayedRequest& request) {
   ++state_.counters.refused_blocked;
   const Duration remaining_block_time = state_.blocked_request_tracker.time_left(monotonic_now(), request.fingerprint);
-  return {http_status::kServiceUnavailable, "servers ended while they ran this request; it is held back from others",
+  return {http_status::kServiceUnavailable, "servers ended while they ran this request; it is temporarily blocked",
           std::max(remaining_block_time, kMinRetryAfter)};
 }
 
--- a/src/node/control_api.cc
+++ b/src/node/control_api.cc
@@ -95,7 +95,7 @@
   auto call = parse_call(exchange.request());
   if (!call) {
     response.status = http_status::kNotFound;
-    response.body = R"({"error":"no such call; see the operators' page for the paths"})";
+    response.body = R"({"error":"no such path or method; see the operators' page"})";
     co_await exchange.respond(std::move(response));
     co_return;
   }
@@ -113,7 +113,7 @@
   response.status = pending_reply->reply ? pending_reply->reply->status : http_status::kServiceUnavailable;
   response.body = pending_reply->reply && !pending_reply->reply->body.empty()
                       ? pending_reply->reply->body
-                      : R"({"error":"no leader answered; send the call again"})";
+                      : R"({"error":"no leader answered; retry the call"})";
   co_await exchange.respond(std::move(response));
 }
 
--- a/src/node/control_process.cc
+++ b/src/node/control_process.cc
@@ -252,7 +252,7 @@
                 {{"seeds_heard", join_items(formation->heard(now))},
                  {"needed", std::to_string(formation->majority())},
                  {"founder", formation->choice()},
-                 {"remedy", "start the seeds that are missing, or correct their addresses in the settings"}});
+                 {"remedy", "start the missing seeds, or correct their addresses in the settings"}});
   }
 }
 
@@ -263,7 +263,7 @@
     on_storage_failure(error);
     return;
   }
-  log_warning(settings_.name, "replica_identity_renewed", {{"reason", "the disk had lost acknowledged entries"}});
+  log_warning(settings_.name, "replica_identity_renewed", {{"reason", "the disk had lost acknowledged log entries"}});
   start_replica(std::move(*opened));
 }
 
--- a/src/node/entry_process.cc
+++ b/src/node/entry_process.cc
@@ -31,7 +31,7 @@
 /// A stopping entry closes a connection only after it has been idle for this long, unless its last response already
 /// announced the close. A caller that reuses the connection sooner is told in its next response.
 constexpr auto kIdleBeforeClose = std::chrono::seconds(1);
-/// Responses that callers have not read yet may use 1/16 of the machine's memory.
+/// Responses that callers have not read yet may use one part in this many of the machine's memory.
 constexpr size_t kResponseBufferDivisor = 16;
 /// Part of the grace period reserved for the final shutdown.
 constexpr auto kShutdownReserve = std::chrono::milliseconds(500);
--- a/src/node/entry_state.h
+++ b/src/node/entry_state.h
@@ -12,7 +12,8 @@
 
 namespace larchlever::node {
 
-/// Request counters of an entry, by result.
+/// Request counters of an entry, by result. `refused_retryable` counts 503 and 429, `refused_permanently` other
+/// refusals.
 struct EntryCounters {
   uint64_t requests = 0;
   uint64_t served = 0;
--- a/src/node/idempotency_guard.cc
+++ b/src/node/idempotency_guard.cc
@@ -33,14 +33,14 @@
   ProblemDetails problem;
   Outcome reported_outcome = Outcome::kUnknown;
   if (!outcome.decided) {
-    problem = {503, "no quorum could be asked whether this key was used", "send the request again with the same key",
+    problem = {503, "no quorum is available to check whether this key was used", "retry with the same key",
                kRetryAfterSeconds};
   } else if (outcome.expired_key) {
-    problem = {410, "the key was issued before the window in which keys are remembered",
-               "find out whether the request ran; then use a new key", 0};
+    problem = {410, "the key is older than the time for which keys are stored",
+               "check whether the request ran before using a new key", 0};
   } else if (existing_claim.body_digest != digest) {
     reported_outcome = Outcome::kNotRun;
-    problem = {422, "the key was used for another request", "use a new key for a new request", 0};
+    problem = {422, "the key was used for a different request", "use a new key for a new request", 0};
   } else if (existing_claim.state == wire::ClaimState::RAN && !existing_claim.answer_content_type.empty()) {
     ++stats_.replayed_responses;
     net::HttpResponse response;
@@ -54,12 +54,12 @@
     co_return;
   } else if (existing_claim.state == wire::ClaimState::RAN) {
     reported_outcome = Outcome::kRan;
-    problem = {409, "the request ran; its answer is no longer held", "do not send it again", 0};
+    problem = {409, "the request ran; its response is no longer stored", "do not retry", 0};
   } else if (existing_claim.state == wire::ClaimState::IN_PROGRESS) {
-    problem = {409, "a request with this key is in progress", "ask again with the same key", kRetryAfterSeconds};
+    problem = {409, "a request with this key is in progress", "retry later with the same key", kRetryAfterSeconds};
   } else {
-    problem = {409, "a request with this key was started and its outcome is not known",
-               "find out whether it ran before using a new key", 0};
+    problem = {409, "a request with this key was started and its outcome is unknown",
+               "check whether it ran before using a new key", 0};
   }
   stats_.count_outcome(reported_outcome);
   co_await send_problem(exchange, problem, reported_outcome);
--- a/src/node/in_flight_attempts.cc
+++ b/src/node/in_flight_attempts.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A group has stalled if it makes no progress on any of this entry's requests for the base time plus the time per
-/// request.
+/// A group has stalled if it makes no progress on this entry's requests for the base time, plus a time per request in
+/// flight there. A group that gets many requests at once reads all their prompts first.
 constexpr Duration kBaseStallTime = milliseconds(900);
 constexpr Duration kStallTimePerRequest = milliseconds(100);
 
--- a/src/node/metrics.cc
+++ b/src/node/metrics.cc
@@ -57,23 +57,23 @@
   const auto& stats = caller_api.stats();
   metrics.add_counter("model_requests_total", "Model requests received", stats.model_requests);
   metrics.add_counter("service_requests_total", "Plain service requests received", stats.service_requests);
-  metrics.add_labelled_gauges("requests_by_outcome", "Answers by what is known of their execution", "outcome",
+  metrics.add_labelled_gauges("requests_by_outcome", "Responses by outcome of the request", "outcome",
                               {{"ran", static_cast<double>(stats.ran_outcomes)},
                                {"not-run", static_cast<double>(stats.not_run_outcomes)},
                                {"unknown", static_cast<double>(stats.unknown_outcomes)}});
-  metrics.add_counter("retries_total", "Attempts after a failed one", stats.retries);
+  metrics.add_counter("retries_total", "Retries after a failed attempt", stats.retries);
   metrics.add_counter("resumed_streams_total", "Streams resumed on another group", stats.resumed_streams);
-  metrics.add_counter("cut_streams_total", "Answers that broke off visibly", stats.truncated_streams);
-  metrics.add_counter("disordered_answers_total", "Answers of another request or out of order",
+  metrics.add_counter("cut_streams_total", "Responses truncated after they started", stats.truncated_streams);
+  metrics.add_counter("disordered_answers_total", "Engine responses of another request or out of order",
                       stats.wrong_or_misordered_responses);
   metrics.add_counter("claims_granted_total", "Idempotency keys granted", stats.claims_granted);
   metrics.add_counter("claims_refused_total", "Idempotency keys refused", stats.claims_refused);
-  metrics.add_counter("answers_replayed_total", "Stored answers sent again", stats.replayed_responses);
+  metrics.add_counter("answers_replayed_total", "Stored responses replayed", stats.replayed_responses);
   metrics.add_gauge("requests_active", "Requests being served", static_cast<double>(caller_api.active_requests()));
   metrics.add_counter("http_malformed_total", "Malformed HTTP requests", server_stats.malformed);
   metrics.add_counter("http_too_large_total", "Requests over a size limit", server_stats.too_large);
-  metrics.add_counter("http_timeouts_total", "Callers too slow in sending", server_stats.timeouts);
-  metrics.add_gauge("http_connections", "Open callers' connections",
+  metrics.add_counter("http_timeouts_total", "Requests not received completely in time", server_stats.timeouts);
+  metrics.add_gauge("http_connections", "Open connections from callers",
                     static_cast<double>(server_stats.open_connections));
 }
 
@@ -82,22 +82,24 @@
   const TimePoint now = NodeRuntime::now();
   metrics.add_gauge("configuration_lease", "1 while this node may dispatch",
                     entry.has_configuration_lease(now) ? 1 : 0);
-  metrics.add_gauge("configuration_revision", "Revision this node serves by",
+  metrics.add_gauge("configuration_revision", "Configuration revision in use",
                     static_cast<double>(entry.revision().value()));
   metrics.add_gauge("leased_groups", "Groups this node may dispatch to",
                     static_cast<double>(entry.router().leased_groups(now)));
-  metrics.add_counter("heartbeats_sent_total", "Reports to the leader", entry.stats().heartbeats_sent);
-  metrics.add_counter("heartbeat_replies_total", "Replies accepted from the leader", entry.stats().replies);
-  metrics.add_counter("leader_changes_total", "Changes of the leader followed", entry.stats().leader_changes);
+  metrics.add_counter("heartbeats_sent_total", "Heartbeats sent to the leader", entry.stats().heartbeats_sent);
+  metrics.add_counter("heartbeat_replies_total", "Heartbeat replies accepted from the leader", entry.stats().replies);
+  metrics.add_counter("leader_changes_total", "Leader changes observed", entry.stats().leader_changes);
   const auto& peers = runtime.peer_stats();
   metrics.add_counter("peer_bytes_sent_total", "Bytes sent to other nodes", peers.bytes_sent);
   metrics.add_counter("peer_bytes_received_total", "Bytes received from other nodes", peers.bytes_received);
   metrics.add_counter("peer_frames_sent_total", "Messages sent to other nodes", peers.frames_sent);
-  metrics.add_counter("peer_silent_links_total", "Links dropped because nothing came back", peers.silent_links);
-  metrics.add_counter("peer_bad_frames_total", "Frames that were not ours or damaged", peers.bad_frames);
-  metrics.add_counter("engine_polls_total", "Polls of watched machines", runtime.stats().polls);
-  metrics.add_counter("engine_poll_failures_total", "Polls without an answer", runtime.stats().poll_failures);
-  metrics.add_counter("engine_poll_mismatches_total", "Answers from another machine or place",
+  metrics.add_counter("peer_silent_links_total", "Peer connections dropped because nothing was received",
+                      peers.silent_links);
+  metrics.add_counter("peer_bad_frames_total", "Invalid or damaged frames received", peers.bad_frames);
+  metrics.add_counter("engine_polls_total", "Polls of engines on watched machines", runtime.stats().polls);
+  metrics.add_counter("engine_poll_failures_total", "Polls without a successful response",
+                      runtime.stats().poll_failures);
+  metrics.add_counter("engine_poll_mismatches_total", "Polls answered by another machine or from another location",
                       runtime.stats().poll_mismatches);
 }
 
@@ -109,14 +111,15 @@
   }
   const bool leads = runtime.controller().acts_as_leader(NodeRuntime::now());
   metrics.add_gauge("leader", "1 while this node leads with a valid lease", leads ? 1 : 0);
-  metrics.add_gauge("log_term", "Present term", static_cast<double>(raft->term()));
-  metrics.add_gauge("log_commit_index", "Committed entries", static_cast<double>(raft->commit_index()));
+  metrics.add_gauge("log_term", "Current term", static_cast<double>(raft->term()));
+  metrics.add_gauge("log_commit_index", "Index of the last committed log entry",
+                    static_cast<double>(raft->commit_index()));
   metrics.add_counter("elections_total", "Elections this replica started", raft->stats().elections_started);
-  metrics.add_counter("rollbacks_detected_total", "Replicas whose disk had lost entries",
+  metrics.add_counter("rollbacks_detected_total", "Replicas found to have lost log entries on disk",
                       raft->stats().rollbacks_detected);
   const auto storage = runtime.storage_stats();
   metrics.add_counter("storage_syncs_total", "Syncs of the data folder", storage.syncs);
-  metrics.add_counter("storage_records_total", "Records written", storage.records);
+  metrics.add_counter("storage_records_total", "Log records written", storage.records);
   metrics.add_counter("storage_bytes_total", "Bytes written", storage.bytes);
   if (leads) {
     const auto& leader = runtime.controller().leader();
@@ -125,7 +128,7 @@
                       static_cast<double>(groups.last_plan().stranded_accelerators));
     metrics.add_counter("groups_lost_total", "Groups that lost a member", groups.stats().groups_lost);
     metrics.add_counter("groups_created_total", "Groups planned", groups.stats().groups_created);
-    metrics.add_counter("orders_fenced_total", "Orders that an engine refused as old", groups.stats().orders_fenced);
+    metrics.add_counter("orders_fenced_total", "Orders that engines refused as stale", groups.stats().orders_fenced);
     metrics.add_counter("claims_total", "Claims decided", leader.stats().claims);
     metrics.add_counter("claim_batches_total", "Log entries that carried claims", leader.stats().claim_batches);
   }
--- a/src/node/model_request.cc
+++ b/src/node/model_request.cc
@@ -62,32 +62,32 @@
   try {
     parsed = json::parse(request.body, error, {}, options);
   } catch (const std::exception&) {
-    return reject_request(problem, 400, "body could not be read", "send a smaller JSON object");
+    return reject_request(problem, 400, "the body cannot be parsed", "send a smaller JSON object");
   }
   if (error || !parsed.is_object()) {
-    return reject_request(problem, 400, "body is not a JSON object in UTF-8", "send the request as a JSON object");
+    return reject_request(problem, 400, "the body is not a JSON object in UTF-8", "send the request as a JSON object");
   }
   json::object& body = parsed.as_object();
   model_request.tenant = std::string(request.headers.find("larchlever-tenant"));
   const auto* tenant = table.find_tenant(model_request.tenant);
   if (tenant == nullptr) {
     return reject_request(problem, 403, "unknown tenant '" + model_request.tenant + "'",
-                          "name your tenant in the Larchlever-Tenant header, as your operator set it up");
+                          "set the Larchlever-Tenant header to a tenant that your operator has configured");
   }
   const std::string model = text_field(body, "model");
   const size_t colon = model.find(':');
   model_request.model = model.substr(0, colon);
   model_request.adapter = colon == std::string::npos ? "" : model.substr(colon + 1);
   if (model_request.model.empty()) {
-    return reject_request(problem, 400, "no model named", "set \"model\" to MODEL or MODEL:ADAPTER");
+    return reject_request(problem, 400, "the model is missing", "set \"model\" to MODEL or MODEL:ADAPTER");
   }
   model_request.prompt = text_field(body, "prompt");
   const bool has_prompt =
       model_request.is_chat ? append_messages(body, model_request.prompt) : !model_request.prompt.empty();
   if (!has_prompt) {
     return reject_request(
-        problem, 400, model_request.is_chat ? "messages are missing or malformed" : "prompt is missing",
-        model_request.is_chat ? "send \"messages\" as a list of {role, content}" : "send \"prompt\" as a text");
+        problem, 400, model_request.is_chat ? "the messages are missing or malformed" : "the prompt is missing",
+        model_request.is_chat ? "send \"messages\" as a list of {role, content}" : "send \"prompt\" as a string");
   }
   const auto* stream = body.if_contains("stream");
   model_request.is_streaming = stream != nullptr && stream->is_bool() && stream->as_bool();
--- a/src/node/model_request_handler.cc
+++ b/src/node/model_request_handler.cc
@@ -63,8 +63,8 @@
   bool stream_started = false;
   bool is_complete = false;
   int64_t next_offset = 0;
-  std::string
-      verified_events;      ///< Verified events, collected for a non-streaming response or for storage under the key.
+  /// Verified events, collected for a non-streaming response or for storage under the key.
+  std::string verified_events;
   std::string stored_body;  ///< The complete response, stored under the idempotency key.
   std::string stored_type;
   Outcome outcome = Outcome::kNotRun;
@@ -116,8 +116,9 @@
   if (admitted != NodeRuntime::AdmissionResult::kAdmitted) {
     if (admitted != NodeRuntime::AdmissionResult::kCallerDisconnected) {
       const bool is_queue_full = admitted == NodeRuntime::AdmissionResult::kQueueFull;
-      problem = {429, is_queue_full ? "too many requests wait for this tenant" : "the tenant's share is in use",
-                 "send the request again later", kRetryAfterSeconds};
+      problem = {429,
+                 is_queue_full ? "the queue of this tenant is full" : "the concurrency limit of this tenant is reached",
+                 "retry later", kRetryAfterSeconds};
       co_await refuse_without_claim(exchange, problem, stats_);
     }
     co_return;
@@ -194,13 +195,13 @@
       const ProblemDetails problem{
           adapter ? 403 : 404,
           adapter ? "adapter '" + context.model_request.adapter + "' is not permitted for this tenant"
-                  : "model '" + context.model_request.model + "' is not offered to this tenant",
-          "ask for a model that /v1/models lists, or have your operator permit it", 0};
+                  : "model '" + context.model_request.model + "' is not available to this tenant",
+          "choose a model from /v1/models, or ask your operator to permit it", 0};
       co_await send_problem(context.exchange, problem, context.reported_outcome());
       co_return;
     }
     if (now >= context.queue_deadline) {
-      last_attempt.reason = "no group in a permitted zone is open";
+      last_attempt.reason = "no group in a permitted zone is available";
       break;
     }
     asio::steady_timer timer(runtime_.executor(), kGroupPollInterval);
@@ -298,7 +299,7 @@
     }
     if (verifier.status() != requests::StreamStatus::kOpen) {
       ++stats_.wrong_or_misordered_responses;
-      result.reason = "the engine's stream is not in order";
+      result.reason = "the engine's stream is out of order or belongs to another request";
       stream.close();
       co_return result;
     }
@@ -309,7 +310,7 @@
       co_return result;
     }
     if (piece.empty()) {
-      result.reason = "the engine's stream broke off: " + stream.error();
+      result.reason = "the engine's stream was truncated: " + stream.error();
       co_return result;
     }
   }
@@ -374,9 +375,9 @@
              {"reason", last_attempt.reason}});
   const bool not_run = context.outcome == Outcome::kNotRun;
   ProblemDetails problem{not_run ? 503 : 502,
-                         not_run ? "the request could not be placed: " + last_attempt.reason : last_attempt.reason,
-                         not_run ? "send the request again later; it did not run"
-                                 : "check whether it ran before sending it again, or use an Idempotency-Key",
+                         not_run ? "no group accepted the request: " + last_attempt.reason : last_attempt.reason,
+                         not_run ? "retry later; the request did not run"
+                                 : "check whether it ran before retrying, or use an Idempotency-Key",
                          not_run ? kRetryAfterSeconds : 0};
   if (context.stream_started) {
     ++stats_.truncated_streams;
--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -129,7 +129,7 @@
     return;
   }
   log_warning(settings_.name, "replica_identity_renewed",
-              {{"reason", "the disk had lost acknowledged entries"}, {"replica", std::to_string(id.value())}});
+              {{"reason", "the disk had lost acknowledged log entries"}, {"replica", std::to_string(id.value())}});
   controller_->start_replica(now(), id, {});
   start_worker(std::move(folder));
 }
--- a/src/node/problem_responses.cc
+++ b/src/node/problem_responses.cc
@@ -44,7 +44,7 @@
 
 ProblemDetails unconfirmed_configuration_problem() {
   return {503, "this node may not dispatch now: it cannot confirm its configuration",
-          "send the request again; the balancer will choose another node", kRetryAfterSeconds};
+          "retry; the load balancer will choose another node", kRetryAfterSeconds};
 }
 
 asio::awaitable<void> send_problem(net::HttpExchange& exchange, const ProblemDetails& problem, Outcome attempt) {
--- a/src/node/replica_storage.cc
+++ b/src/node/replica_storage.cc
@@ -156,7 +156,7 @@
     ::close(descriptor);
   }
   if (!stored || ::rename(temporary_file.c_str(), file.c_str()) != 0 || !sync_folder()) {
-    error = "cannot write " + file + "; free space on the disk or correct its permissions";
+    error = "cannot write " + file + "; free disk space or correct the permissions";
     return false;
   }
   return true;
--- a/src/node/request_relay.cc
+++ b/src/node/request_relay.cc
@@ -95,7 +95,7 @@
   request.id = std::string(incoming.headers.find(dialect_.request_id_header));
   request.model = std::string(incoming.headers.find(dialect_.model_header));
   if (request.routes == nullptr || !state_.subscription.has_lease(request.admitted_at)) {
-    return Refusal{http_status::kServiceUnavailable, "this node holds no confirmed configuration",
+    return Refusal{http_status::kServiceUnavailable, "this node has no confirmed configuration",
                    kRetryAfterUnavailable};
   }
   request.route = request.routes->find_route(incoming.headers.find("host"), incoming.path());
@@ -151,7 +151,7 @@
   }
   request.tenant = request.routes->find_tenant(key);
   if (request.tenant == nullptr) {
-    return Refusal{http_status::kUnauthorized, "unknown key; send the tenant's key", {}};
+    return Refusal{http_status::kUnauthorized, "unknown API key; send the tenant's key", {}};
   }
   return std::nullopt;
 }
@@ -414,7 +414,7 @@
   const int status = response.status;
   state_.counters.served += is_success(status) ? 1 : 0;
   state_.counters.failed += is_success(status) ? 0 : 1;
-  completion_.log_completion(request, status, "the server's answer");
+  completion_.log_completion(request, status, "the server's response");
   co_await request.exchange->respond(std::move(response));
   co_return DispatchResult::kAnswered;
 }
@@ -438,18 +438,18 @@
   }
   if (!is_open || request.caller_disconnected) {
     ++state_.counters.caller_disconnects;
-    completion_.log_completion(request, 0, "its caller took no more of the answer");
+    completion_.log_completion(request, 0, "the caller stopped reading the response");
     co_return DispatchResult::kAnswered;
   }
   if (!stream.complete()) {
     // The stream is left without its regular end, so the caller sees that it is truncated.
     ++state_.counters.failed;
-    completion_.log_completion(request, 0, "the server's answer broke off");
+    completion_.log_completion(request, 0, "the server's response was truncated");
     co_return DispatchResult::kAnswered;
   }
   blocked_request_guard_.note_response(request);
   ++state_.counters.served;
-  completion_.log_completion(request, stream.head().status, "the server's answer, by pieces");
+  completion_.log_completion(request, stream.head().status, "the server's response, unbuffered");
   co_await request.exchange->end_stream();
   co_return DispatchResult::kAnswered;
 }
@@ -509,7 +509,7 @@
       }
     }
     if (!co_await request.exchange->write_piece(events)) {
-      completion_.log_completion(request, 0, "its caller took no more of the stream");
+      completion_.log_completion(request, 0, "the caller stopped reading the stream");
       co_return DispatchResult::kAnswered;
     }
   }
--- a/src/node/server_notices.cc
+++ b/src/node/server_notices.cc
@@ -27,7 +27,7 @@
     log_warning("", "leaving_not_understood",
                 {{"instance", target.incarnation},
                  {"value", std::string(value)},
-                 {"remedy", "a server that leaves says 1; it is used on"}});
+                 {"remedy", "a server that shuts down must send 1; this one stays in use"}});
     return;
   }
   if (state.dispatcher.note_leaving(monotonic_now(), target)) {
@@ -62,7 +62,7 @@
                 {{"instance", target.incarnation},
                  {"value", std::string(values.front())},
                  {"headers", std::to_string(values.size())},
-                 {"remedy", "one header with a decimal number; the limit that was held before holds on"}});
+                 {"remedy", "send one header with a decimal number; the previous limit stays in force"}});
     return;
   }
   if (state.dispatcher.note_limit({target.incarnation, limit.per_second, monotonic_now()})) {
--- a/src/node/service_request_handler.cc
+++ b/src/node/service_request_handler.cc
@@ -51,7 +51,7 @@
   bool response_started = false;  ///< Part of the response may have reached the caller.
   bool is_finished = false;       ///< The complete response was sent.
   Outcome outcome = Outcome::kNotRun;
-  std::string reason = "no endpoint of the service can be used";
+  std::string reason = "no endpoint of the service is available";
   net::HttpResponse stored_response;
 };
 
@@ -97,10 +97,9 @@
   }
   if (!context.is_finished && !context.response_started) {
     const bool not_run = context.outcome == Outcome::kNotRun;
-    problem = {
-        not_run ? 503 : 502, context.reason,
-        not_run ? "send the request again later; it did not run" : "check whether it ran before sending it again",
-        not_run ? kRetryAfterSeconds : 0};
+    problem = {not_run ? 503 : 502, context.reason,
+               not_run ? "retry later; the request did not run" : "check whether it ran before retrying",
+               not_run ? kRetryAfterSeconds : 0};
     const Outcome known =
         context.has_claim ? context.outcome : outcome_without_claim(exchange.request(), context.outcome);
     co_await send_problem(exchange, problem, known);
@@ -150,7 +149,7 @@
     runtime_.endpoints().report(NodeRuntime::now(), endpoint, opened.stream->head().status < 500);
     context.is_finished = true;
   } else {
-    context.reason = "the answer broke off";
+    context.reason = "the response was truncated";
   }
   co_return AttemptResult::kCutInStream;
 }
--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -94,8 +94,8 @@
                                    ? Duration::zero()
                                    : std::clamp<Duration>(excess->second.value(now, kExcessQuantile), Duration::zero(),
                                                           objective / kMaxExcessDivisor);
-    // A request that waited for a lease is late already. Its objective is counted from now, as for one that is retried
-    // by its caller.
+    // A request that waited for a lease is late already. Its objective is counted from the end of that wait, as for a
+    // request that its caller retries.
     const Duration left = request.admitted_at + objective - now - allowance;
     slot_request.first_event_ms = std::max(1, to_milliseconds(left));
   }
--- a/tests/node/log_output_test.cc
+++ b/tests/node/log_output_test.cc
@@ -13,7 +13,8 @@
 constexpr size_t kPipeBytes = 8192;
 constexpr size_t kMaxBufferedBytes = 2000;
 
-/// A pipe of two pages, the least that takes a line while another waits; its writing end blocks when it is full.
+/// A pipe with a capacity of two pages, the minimum that accepts a line while another one is still unread. Its write
+/// end blocks when the pipe is full.
 class Pipe {
  public:
   Pipe() {
--- a/tests/node/outcome_header_test.cc
+++ b/tests/node/outcome_header_test.cc
@@ -15,17 +15,17 @@
   return request;
 }
 
-// An attempt that is turned away must not deny a run of an earlier attempt that its caller tells of.
+// A refused attempt must not hide an earlier attempt that ran, as reported by the caller.
 TEST(EarlierOutcome, OverridesNotRunOfThisAttempt) {
   EXPECT_EQ(outcome_for_caller(request_with_earlier_outcome("unknown"), Outcome::kNotRun), Outcome::kUnknown);
   EXPECT_EQ(outcome_for_caller(request_with_earlier_outcome("ran"), Outcome::kNotRun), Outcome::kRan);
   EXPECT_EQ(outcome_for_caller(request_with_earlier_outcome("ran"), Outcome::kUnknown), Outcome::kRan);
   EXPECT_EQ(outcome_for_caller(request_with_earlier_outcome("unknown"), Outcome::kRan), Outcome::kRan);
   EXPECT_EQ(outcome_for_caller(request_with_earlier_outcome("perhaps"), Outcome::kNotRun), Outcome::kUnknown)
-      << "unreadable";
+      << "an invalid header counts as unknown";
 }
 
-// Callers who were told that nothing ran must be told so again, or they could not send the request any more.
+// A caller whose earlier attempts did not run must get "not-run" again, or it could no longer retry.
 TEST(EarlierOutcome, DoesNotChangeOutcomeIfNothingRan) {
   for (const std::string earlier : {"", "not-run"}) {
     EXPECT_EQ(outcome_for_caller(request_with_earlier_outcome(earlier), Outcome::kNotRun), Outcome::kNotRun);
--- a/tests/node/slot_requester_test.cc
+++ b/tests/node/slot_requester_test.cc
@@ -72,7 +72,7 @@
   EXPECT_EQ(request_slot().verdict, wire::SlotVerdict::UNDECIDED);
   EXPECT_LT(monotonic_now() - before, seconds(1));
   EXPECT_EQ(request_slot().verdict, wire::SlotVerdict::UNDECIDED);
-  EXPECT_EQ(reports_.size(), 1U) << "the second request decides at once";
+  EXPECT_EQ(reports_.size(), 1U) << "the second request must not wait for the leader";
 }
 
 TEST_F(SlotRequesterTest, QueuedRequestGetsSlotWhenGranted) {
@@ -87,7 +87,7 @@
   EXPECT_EQ(slot_requester_.last_grant(), std::pair(int64_t{5}, int64_t{9}));
   deliver_grant(4, 1, wire::SlotVerdict::GRANTED, 50);
   EXPECT_EQ(slot_requester_.last_grant(), std::pair(int64_t{5}, int64_t{9}))
-      << "a deposed leader's numbers do not count";
+      << "grants of a deposed leader must be ignored";
 }
 
 TEST_F(SlotRequesterTest, BatchesConcurrentRequests) {
@@ -122,7 +122,7 @@
   state_.dispatcher.update_state(state_with_group("g1"));
   state_.dispatcher.avoid(now + milliseconds(1250), "g1");
   slot_requester_.tick(now + milliseconds(1300));
-  ASSERT_EQ(reports_.size(), 4U) << "a failure is told at once";
+  ASSERT_EQ(reports_.size(), 4U) << "a failure must be reported immediately";
   EXPECT_EQ(reports_.back().failures.size(), 1U);
   slot_requester_.tick(now + milliseconds(1350));
   EXPECT_EQ(reports_.size(), 4U);
@@ -136,7 +136,7 @@
   context_.run();
   ASSERT_EQ(reports_.size(), before + 1);
   EXPECT_EQ(reports_.back().grants_seen, 1);
-  EXPECT_TRUE(reports_.back().loads.empty()) << "nothing was sent with it";
+  EXPECT_TRUE(reports_.back().loads.empty()) << "the slot was not used";
 }
 
 TEST_F(SlotRequesterTest, LeaseGateDelaysRequestsOnlyWhileLeaseIsExpected) {
@@ -152,7 +152,7 @@
   context_.restart();
   context_.run();
   second_wait.get();
-  EXPECT_LT(monotonic_now() - before, seconds(30)) << "long without a lease: nobody is held";
+  EXPECT_LT(monotonic_now() - before, seconds(30)) << "requests must not wait after a long time without a lease";
 }
 
 }  // namespace
