--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -239,8 +239,8 @@
   asio::steady_timer timer(executor_);
   while (*alive) {
     for (const auto& target : controller_->entry().watches()) {
-      if (!active_polls_[target.machine]) {
-        active_polls_[target.machine] = true;
+      if (!polls_in_flight_[target.machine]) {
+        polls_in_flight_[target.machine] = true;
         asio::co_spawn(executor_, poll_machine(target), asio::detached);
       }
     }
@@ -258,7 +258,7 @@
   if (!*alive) {
     co_return;
   }
-  active_polls_[target.machine] = false;
+  polls_in_flight_[target.machine] = false;
   ++stats_.polls;
   if (!result.response || result.response->status != 200) {
     ++stats_.poll_failures;
--- a/src/node/node_runtime.h
+++ b/src/node/node_runtime.h
@@ -101,7 +101,7 @@
   std::unique_ptr<StorageWorker> worker_;
   requests::EndpointSelector endpoints_;
   std::map<std::string, wire::Machine> listed_machines_;
-  std::map<std::string, bool> active_polls_;
+  std::map<std::string, bool> polls_in_flight_;
   std::string peer_address_;
   std::string replica_failure_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -71,12 +71,12 @@
 std::optional<Refusal> TargetFinder::refusal_if_all_backing_off(const RelayedRequest& request, TimePoint until) const {
   const TimePoint now = monotonic_now();
   const auto& service = *request.service;
-  const auto all_available_after =
+  const auto first_available_at =
       state_.dispatcher.all_rest_until(now, service.name, service.engine ? request.model : "");
-  if (!all_available_after || *all_available_after <= until) {
+  if (!first_available_at || *first_available_at <= until) {
     return std::nullopt;
   }
-  return Refusal{http_status::kServiceUnavailable, "all servers asked for rest", *all_available_after - now};
+  return Refusal{http_status::kServiceUnavailable, "all servers asked for rest", *first_available_at - now};
 }
 
 wire::SlotRequest TargetFinder::make_slot_request(const RelayedRequest& request, TimePoint now,
