--- a/src/node/idempotency_guard.h
+++ b/src/node/idempotency_guard.h
@@ -15,6 +15,7 @@
  public:
   IdempotencyGuard(NodeRuntime& runtime, RequestStats& stats) : runtime_(runtime), stats_(stats) {}
 
+  /// A request's claim to its idempotency key.
   struct KeyClaim {
     std::string tenant;
     std::string key;
--- a/src/node/model_request_handler.h
+++ b/src/node/model_request_handler.h
@@ -27,8 +27,10 @@
 
  private:
   struct RequestContext;
+  /// Result of one attempt at a group.
   struct AttemptStatus {
     requests::AttemptResult result = requests::AttemptResult::kNotSent;
+    /// The caller has its complete response or has disconnected; there is nothing to retry.
     bool is_finished = false;
     std::string reason;
   };
--- a/src/node/node_runtime.h
+++ b/src/node/node_runtime.h
@@ -16,10 +16,12 @@
 
 namespace larchlever::node {
 
+/// Counters of orders to engines and of polls of their state.
 struct RuntimeStats {
   uint64_t order_failures = 0;
   uint64_t polls = 0;
   uint64_t poll_failures = 0;
+  /// Polls answered by another machine, or by one that is not where the platform lists it.
   uint64_t poll_mismatches = 0;
 };
 
@@ -45,6 +47,7 @@
   static TimePoint now();
   static int64_t wall_clock_ms();
 
+  /// Result of waiting for admission.
   enum class AdmissionResult { kAdmitted, kQueueFull, kDeadlineExceeded, kCallerDisconnected };
   /// Waits for admission under the tenant's concurrency limit. `cancelled` is checked at each wake-up.
   boost::asio::awaitable<AdmissionResult> admit(std::string tenant, int priority, TimePoint deadline,
--- a/src/node/problem_responses.h
+++ b/src/node/problem_responses.h
@@ -20,6 +20,7 @@
   uint64_t retries = 0;
   uint64_t resumed_streams = 0;
   uint64_t truncated_streams = 0;
+  /// Engine responses that belong to another request or whose events are out of order.
   uint64_t wrong_or_misordered_responses = 0;
   uint64_t claims_granted = 0;
   uint64_t claims_refused = 0;
@@ -38,6 +39,7 @@
   int retry_after_seconds = 0;
 };
 
+/// Retry-After of problems that are expected to pass soon.
 constexpr int kRetryAfterSeconds = 1;
 
 /// Returns the JSON body for the problem, including the outcome.
--- a/src/node/relayed_request.h
+++ b/src/node/relayed_request.h
@@ -77,7 +77,7 @@
 constexpr Duration kRetryAfterBusy = milliseconds(300);
 constexpr Duration kRetryAfterUnavailable = milliseconds(500);
 
-/// Why a request is refused, and when its caller should retry; zero means not at all.
+/// Why a request is refused, and when its caller may retry (Retry-After; zero for none).
 struct Refusal {
   int status = 503;
   std::string title;
--- a/src/node/replica_storage.h
+++ b/src/node/replica_storage.h
@@ -71,6 +71,7 @@
   bool replace_file(const std::string& name, const std::string& text, std::string& error) const;
   std::optional<std::string> read_formation_file() const;
   void remove_formation_file() const;
+  /// Syncs the folder's entries, so that a rename in it is durable.
   bool sync_folder() const;
   void start_worker(std::unique_ptr<storage::DataFolder> folder);
   /// Stops the worker after it has written all submitted batches, and discards its pending callbacks. Returns null if
--- a/src/node/request_relay.h
+++ b/src/node/request_relay.h
@@ -23,8 +23,8 @@
 /// within the route's rules and the shared retry budget, and relays the response.
 ///
 /// Guarantees: a request that may not be repeated is sent again only if no byte was sent or the server proved that it
-/// did not run; the relay itself sends 429, 503, 408 and 421 only if the request did not run; a truncated response
-/// never looks complete. Runs on one executor; not thread-safe.
+/// did not run; 429, 503, 408 and 421 are sent only for requests that did not run; a truncated response never looks
+/// complete. Runs on one executor; not thread-safe.
 class RequestRelay : public net::HttpHandler {
  public:
   /// `response_buffer_bytes` limits how many bytes of responses are buffered for callers that have not read them yet.
--- a/src/node/slot_requester.h
+++ b/src/node/slot_requester.h
@@ -89,6 +89,7 @@
   std::string last_report_leader_;
   std::vector<wire::GroupFailure> reported_failures_;
   std::vector<std::string> reported_quiet_groups_;
+  /// Term of the last slot received, and its highest sequence number; reported to the leader.
   int64_t grants_term_ = 0;
   int64_t grants_seen_ = 0;
   bool is_report_scheduled_ = false;
--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -209,7 +209,7 @@
       if (permitted_target) {
         co_return std::move(*permitted_target);
       }
-      // Use this entry's share of the rate limits, unless another server takes the request.
+      // Without a permit, use this entry's own share of the rate limits in the next rounds.
       authority = fleet::RateAuthority::kShares;
     }
     if (choice.target && state_.dispatcher.may_send(monotonic_now(), *choice.target)) {
