--- a/src/node/fleet_change_logger.cc
+++ b/src/node/fleet_change_logger.cc
@@ -99,15 +99,15 @@
   next_summary_ = now + kSummaryInterval;
   size_t instances_in_groups = 0;
   size_t serving_instances = 0;
-  std::map<std::string, int> groups;
-  std::map<std::string, int> loads;
+  std::map<std::string, int> group_counts;
+  std::map<std::string, int> in_flight_by_model;
   for (const auto& group : leader_view.groups()) {
     instances_in_groups += group.members.size();
     const bool is_open = group.phase == wire::GroupPhase::OPEN;
     serving_instances += is_open ? group.members.size() : 0;
-    ++groups[group.model + (is_open ? "" : "/" + wire::to_string(group.phase))];
+    ++group_counts[group.model + (is_open ? "" : "/" + wire::to_string(group.phase))];
     const auto load = leader_view.loads().find(group.name);
-    loads[group.model] += load == leader_view.loads().end() ? 0 : load->second.in_flight;
+    in_flight_by_model[group.model] += load == leader_view.loads().end() ? 0 : load->second.in_flight;
   }
   size_t ready = 0;
   size_t silent = 0;
@@ -127,11 +127,11 @@
     }
   }
   std::string group_text;
-  for (const auto& [model, count] : groups) {
+  for (const auto& [model, count] : group_counts) {
     group_text += (group_text.empty() ? "" : ",") + model + ":" + std::to_string(count);
   }
   std::string load_text;
-  for (const auto& [model, count] : loads) {
+  for (const auto& [model, count] : in_flight_by_model) {
     load_text += (load_text.empty() ? "" : ",") + model + ":" + std::to_string(count);
   }
   log_event(node_name_, "fleet_summary",
--- a/src/node/model_request_handler.cc
+++ b/src/node/model_request_handler.cc
@@ -25,7 +25,7 @@
 constexpr std::string_view kEventStream = "text/event-stream";
 
 /// Extracts the text of the response from the verified events of a complete stream.
-std::string text_of_events(std::string_view events) {
+std::string extract_text(std::string_view events) {
   std::string text;
   while (!events.empty()) {
     const size_t end = events.find("\n\n");
@@ -68,7 +68,7 @@
   std::string stored_body;  ///< The complete response, stored under the idempotency key.
   std::string stored_type;
   Outcome outcome = Outcome::kNotRun;
-  net::ClientStream* upstream = nullptr;
+  net::ClientStream* upstream_stream = nullptr;
 
   bool needs_claim() const { return !model_request.is_repeatable && !model_request.idempotency_key.empty(); }
   /// The outcome to report to the caller. The key of a request that is safe to repeat is never looked up.
@@ -105,8 +105,8 @@
   exchange.watch_caller([weak_context] {
     if (const auto locked_context = weak_context.lock()) {
       locked_context->caller_disconnected = true;
-      if (locked_context->upstream != nullptr) {
-        locked_context->upstream->close();
+      if (locked_context->upstream_stream != nullptr) {
+        locked_context->upstream_stream->close();
       }
     }
   });
@@ -190,12 +190,12 @@
     const bool may_become_available = decision.verdict == routing::RouteVerdict::kNoGroupAvailable ||
                                       decision.verdict == routing::RouteVerdict::kNoConfigurationLease;
     if (!may_become_available) {
-      const bool adapter = decision.verdict == routing::RouteVerdict::kAdapterNotPermitted;
+      const bool is_adapter_refused = decision.verdict == routing::RouteVerdict::kAdapterNotPermitted;
       context.outcome = retries.outcome();
       const ProblemDetails problem{
-          adapter ? 403 : 404,
-          adapter ? "adapter '" + context.model_request.adapter + "' is not permitted for this tenant"
-                  : "model '" + context.model_request.model + "' is not available to this tenant",
+          is_adapter_refused ? 403 : 404,
+          is_adapter_refused ? "adapter '" + context.model_request.adapter + "' is not permitted for this tenant"
+                             : "model '" + context.model_request.model + "' is not available to this tenant",
           "choose a model from /v1/models, or ask your operator to permit it", 0};
       co_await send_problem(context.exchange, problem, context.reported_outcome());
       co_return;
@@ -266,9 +266,9 @@
   }
   // The engine has accepted the request under our id; from here on it counts as run, at least in part.
   context.outcome = Outcome::kRan;
-  context.upstream = opened.stream.get();
+  context.upstream_stream = opened.stream.get();
   result = co_await relay_stream(context, *opened.stream);
-  context.upstream = nullptr;
+  context.upstream_stream = nullptr;
   router.finished(group.id);
   co_return result;
 }
@@ -340,7 +340,7 @@
     co_await context.exchange.end_stream();
     co_return;
   }
-  const std::string text = text_of_events(context.verified_events);
+  const std::string text = extract_text(context.verified_events);
   json::object choice;
   choice["index"] = 0;
   choice["finish_reason"] = "stop";
--- a/src/node/service_request_handler.cc
+++ b/src/node/service_request_handler.cc
@@ -100,9 +100,9 @@
     problem = {not_run ? 503 : 502, context.reason,
                not_run ? "retry later; the request did not run" : "check whether it ran before retrying",
                not_run ? kRetryAfterSeconds : 0};
-    const Outcome known =
+    const Outcome reported_outcome =
         context.has_claim ? context.outcome : outcome_without_claim(exchange.request(), context.outcome);
-    co_await send_problem(exchange, problem, known);
+    co_await send_problem(exchange, problem, reported_outcome);
   }
 }
 
--- a/src/node/slot_requester.cc
+++ b/src/node/slot_requester.cc
@@ -72,7 +72,7 @@
   if (now < leader_backoff_until_) {
     co_return undecided;
   }
-  request.id = next_id_++;
+  request.id = next_request_id_++;
   const int64_t id = request.id;
   const milliseconds queue_timeout(request.patience_ms);
   auto pending_request = std::make_shared<PendingRequest>(executor_);
--- a/src/node/slot_requester.h
+++ b/src/node/slot_requester.h
@@ -77,7 +77,7 @@
   boost::asio::any_io_executor executor_;
   EntryState& state_;
   Sender send_;
-  int64_t next_id_ = 1;
+  int64_t next_request_id_ = 1;
   std::map<int64_t, std::shared_ptr<PendingRequest>> pending_requests_;
   /// Requested but not yet sent.
   std::vector<wire::SlotRequest> unsent_requests_;
--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -96,8 +96,8 @@
                                                           objective / kMaxExcessDivisor);
     // A request that waited for a lease is late already. Its objective is counted from the end of that wait, as for a
     // request that its caller retries.
-    const Duration left = request.admitted_at + objective - now - allowance;
-    slot_request.first_event_ms = std::max(1, to_milliseconds(left));
+    const Duration remaining_time = request.admitted_at + objective - now - allowance;
+    slot_request.first_event_ms = std::max(1, to_milliseconds(remaining_time));
   }
   slot_request.gap_ms = to_milliseconds(request.route->target_gap);
   const bool has_tenant_priority = request.tenant != nullptr && request.tenant->priority >= 0;
