--- a/src/core/fleet/dispatcher.cc
+++ b/src/core/fleet/dispatcher.cc
@@ -298,7 +298,7 @@
       continue;
     }
     const std::string incarnation = incarnation_name(*head);
-    const double rate_per_second = rate_limit_of(service, *head, incarnation);
+    const double rate_per_second = request_rate_limit(service, *head, incarnation);
     const TimePoint allowed_at = rate_shares_.next_allowed_at(now, incarnation, rate_per_second, serving_nodes_);
     if (allowed_at > now) {
       next_allowed_at = std::min(allowed_at, next_allowed_at.value_or(allowed_at));
--- a/src/core/fleet/dispatcher.h
+++ b/src/core/fleet/dispatcher.h
@@ -208,8 +208,8 @@
   /// published.
   std::optional<double> known_limit(const std::string& incarnation) const;
   /// Requests per second that the instance accepts from all entries; 0 means no limit.
-  double rate_limit_of(const document::ServiceSpec& service, const wire::Instance& instance,
-                       const std::string& incarnation) const;
+  double request_rate_limit(const document::ServiceSpec& service, const wire::Instance& instance,
+                            const std::string& incarnation) const;
   void note_rate_limited_attempt(TimePoint now, const document::ServiceSpec& service, const wire::Instance& instance);
   /// Available servers of a service; heads of open groups if a model is given.
   std::vector<const wire::Instance*> available_servers(const std::string& service, const std::string& model) const;
--- a/src/core/fleet/dispatcher_rates.cc
+++ b/src/core/fleet/dispatcher_rates.cc
@@ -29,7 +29,7 @@
     if (excluded.contains(candidate.incarnation) || !notices_.may_send(now, candidate.incarnation)) {
       continue;
     }
-    candidate.rate_per_second = rate_limit_of(service, instance, candidate.incarnation);
+    candidate.rate_per_second = request_rate_limit(service, instance, candidate.incarnation);
     // Suspect instances are better than none: they may only be unable to reach the control replicas.
     candidate.is_suspect = instance.silent || health_[candidate.incarnation].is_avoided(now);
     candidate.cost = instance_cost(candidate.incarnation, instance.zone);
@@ -123,15 +123,15 @@
   return own ? std::min(*own, reported->second) : reported->second;
 }
 
-double Dispatcher::rate_limit_of(const document::ServiceSpec& service, const wire::Instance& instance,
-                                 const std::string& incarnation) const {
+double Dispatcher::request_rate_limit(const document::ServiceSpec& service, const wire::Instance& instance,
+                                      const std::string& incarnation) const {
   return effective_rate_limit(service, {incarnation, instance.cold, known_limit(incarnation)});
 }
 
 void Dispatcher::note_rate_limited_attempt(TimePoint now, const document::ServiceSpec& service,
                                            const wire::Instance& instance) {
   const std::string incarnation = incarnation_name(instance);
-  rate_shares_.note_sent(now, incarnation, rate_limit_of(service, instance, incarnation), serving_nodes_);
+  rate_shares_.note_sent(now, incarnation, request_rate_limit(service, instance, incarnation), serving_nodes_);
 }
 
 bool Dispatcher::note_limit(const LimitObservation& observation) {
