--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -247,11 +247,11 @@
                            .get();
     const auto deadline = Clock::now() + std::chrono::seconds(20);
     while (reply.in_force && Clock::now() < deadline) {
-      const size_t leased =
-          asio::post(node_context_, asio::use_future([this] {
-                       return node_->runtime().controller().entry().router().leased_groups(node::NodeRuntime::now());
-                     }))
-              .get();
+      const size_t leased = asio::post(node_context_, asio::use_future([this] {
+                                         return node_->runtime().controller().entry().router().count_leased_groups(
+                                             node::NodeRuntime::now());
+                                       }))
+                                .get();
       if (leased > 0) {
         return true;
       }
--- a/src/cli/demo_command.cc
+++ b/src/cli/demo_command.cc
@@ -200,7 +200,7 @@
  private:
   asio::awaitable<void> wait_for_groups() {
     asio::steady_timer timer(context_);
-    while (nodes_.back()->runtime().controller().entry().router().leased_groups(node::NodeRuntime::now()) < 3) {
+    while (nodes_.back()->runtime().controller().entry().router().count_leased_groups(node::NodeRuntime::now()) < 3) {
       timer.expires_after(std::chrono::milliseconds(50));
       co_await timer.async_wait(kAwait);
     }
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -494,8 +494,8 @@
     return false;
   }
   // Counted from the send time of what a quorum answered, and shorter than the voters' silence by the drift bound.
-  const auto lease =
-      static_cast<int64_t>(static_cast<double>(options_.election_timeout_min.count()) * (1.0 - 2 * kMaximumClockDrift));
+  const auto lease = static_cast<int64_t>(static_cast<double>(options_.election_timeout_min.count()) *
+                                          (1.0 - 2 * kMaxClockDriftRatio));
   return now < contact + Duration(lease);
 }
 
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -78,7 +78,7 @@
 /// A member of the replicated log, as a deterministic state machine: Raft with pre-vote, check-quorum, a leader
 /// lease, learners and single-replica membership changes.
 ///
-/// Guarantees, given that the owner keeps RaftOutput's order and that clocks drift by at most kMaximumClockDrift:
+/// Guarantees, given that the owner keeps RaftOutput's order and that clocks drift by at most kMaxClockDriftRatio:
 /// - an entry handed out by `take_committed` is never lost nor replaced;
 /// - `has_lease` is true on at most one replica at any moment;
 /// - a replica acknowledges only what is synced, and votes only under the identity of its data folder.
--- a/src/core/base/compression.cc
+++ b/src/core/base/compression.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// Larger sizes are taken for damage rather than allocated.
-constexpr size_t kLargestSize = 64U << 20U;
+constexpr size_t kMaxDecompressedBytes = 64U << 20U;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
 }
 
 std::optional<std::string> decompress(std::string_view compressed, size_t size) {
-  if (size > kLargestSize) {
+  if (size > kMaxDecompressedBytes) {
     return std::nullopt;
   }
   std::string result(size, '\0');
--- a/src/core/base/json_fields.h
+++ b/src/core/base/json_fields.h
@@ -16,7 +16,7 @@
   return !error && value.is_object() ? std::move(value.as_object()) : boost::json::object();
 }
 
-inline std::string text_field(const boost::json::object& object, const char* key) {
+inline std::string string_field(const boost::json::object& object, const char* key) {
   const auto* value = object.if_contains(key);
   return value != nullptr && value->is_string() ? std::string(value->as_string()) : std::string();
 }
@@ -26,9 +26,9 @@
   if (value == nullptr || !value->is_number()) {
     return fallback;
   }
-  boost::system::error_code inexact;
-  const auto number = value->to_number<int64_t>(inexact);
-  return inexact ? fallback : number;
+  boost::system::error_code conversion_error;
+  const auto number = value->to_number<int64_t>(conversion_error);
+  return conversion_error ? fallback : number;
 }
 
 }  // namespace larchlever
--- a/src/core/base/time.h
+++ b/src/core/base/time.h
@@ -28,16 +28,16 @@
 
 /// When somebody counts as last heard after this process stood still for `pause` until `now`: the pause is no silence
 /// of theirs. Whoever was heard since keeps that moment.
-inline TimePoint heard_after_pause(TimePoint now, TimePoint last_heard, Duration pause) {
-  return last_heard + pause < now ? last_heard + pause : now;
+inline TimePoint last_contact_after_pause(TimePoint now, TimePoint last_contact, Duration pause) {
+  return last_contact + pause < now ? last_contact + pause : now;
 }
 
 /// Greatest relative difference of two machines' monotonic clocks that every lease allows for.
-constexpr double kMaximumClockDrift = 0.01;
+constexpr double kMaxClockDriftRatio = 0.01;
 
 /// A lease as its granter must count it: longer than the holder counts it, by the drift bound.
 inline Duration with_drift_margin(Duration lease) {
-  return Duration(static_cast<int64_t>(static_cast<double>(lease.count()) * (1.0 + kMaximumClockDrift))) +
+  return Duration(static_cast<int64_t>(static_cast<double>(lease.count()) * (1.0 + kMaxClockDriftRatio))) +
          milliseconds(1);
 }
 
--- a/src/core/document/home_regions.h
+++ b/src/core/document/allowed_regions.h
@@ -20,7 +20,7 @@
                                                    const TenantSpec* tenant);
 
 /// True when every one of the servers' zones, of which there must be one, is allowed. `allowed` may be null: any is.
-bool are_allowed(const std::set<std::string>* allowed, const std::vector<std::string>& zones);
+bool all_zones_allowed(const std::set<std::string>* allowed, const std::vector<std::string>& zones);
 
 /// What is wrong with the first home that the settings do not know, with the place and the regions that there are.
 /// Nothing where the settings name no regions.
--- a/src/core/document/configuration_document.cc
+++ b/src/core/document/configuration_document.cc
@@ -18,23 +18,23 @@
 };
 
 /// Numbers from outside are brought into ranges that every later computation bears.
-constexpr double kLargestInteger = 2e9;
-constexpr double kLongestMicroseconds = 1e13;
-constexpr double kLargestBytes = 1e12;
+constexpr double kMaxInteger = 2e9;
+constexpr double kMaxMicroseconds = 1e13;
+constexpr double kMaxByteCount = 1e12;
 
 Duration from_microseconds_clamped(double value) {
-  return Duration(static_cast<int64_t>(std::clamp(value, -kLongestMicroseconds, kLongestMicroseconds)));
+  return Duration(static_cast<int64_t>(std::clamp(value, -kMaxMicroseconds, kMaxMicroseconds)));
 }
 Duration from_milliseconds(double value) { return from_microseconds_clamped(value * 1000.0); }
 Duration from_seconds(double value) { return from_microseconds_clamped(value * 1e6); }
-size_t to_bytes(double value) { return static_cast<size_t>(std::clamp(value, 0.0, kLargestBytes)); }
+size_t to_bytes(double value) { return static_cast<size_t>(std::clamp(value, 0.0, kMaxByteCount)); }
 
 /// Typed access to the fields of one JSON object. `place` names the object in messages.
 class FieldReader {
  public:
-  FieldReader(const json::value& value, std::string place) : place_(std::move(place)) {
+  FieldReader(const json::value& value, std::string json_path) : json_path_(std::move(json_path)) {
     if (!value.is_object()) {
-      throw InvalidDocument(place_ + " is not an object; send an object with named fields");
+      throw InvalidDocument(json_path_ + " is not an object; send an object with named fields");
     }
     object_ = &value.as_object();
   }
@@ -50,7 +50,7 @@
       return "";
     }
     if (!value->is_string()) {
-      refuse(key, "a text");
+      throw_wrong_type(key, "a text");
     }
     return std::string(value->as_string());
   }
@@ -61,19 +61,19 @@
       return fallback;
     }
     if (!value->is_number()) {
-      refuse(key, "a number");
+      throw_wrong_type(key, "a number");
     }
     return value->to_number<double>();
   }
 
   int integer(const char* key, int fallback) const {
-    return static_cast<int>(std::clamp(number(key, fallback), -kLargestInteger, kLargestInteger));
+    return static_cast<int>(std::clamp(number(key, fallback), -kMaxInteger, kMaxInteger));
   }
 
   bool flag(const char* key) const {
     const auto* value = find(key);
     if (value != nullptr && !value->is_bool()) {
-      refuse(key, "true or false");
+      throw_wrong_type(key, "true or false");
     }
     return value != nullptr && value->as_bool();
   }
@@ -86,44 +86,45 @@
       return empty;
     }
     if (!value->is_array()) {
-      refuse(key, "a list");
+      throw_wrong_type(key, "a list");
     }
     return value->as_array();
   }
 
-  const std::string& place() const { return place_; }
+  const std::string& json_path() const { return json_path_; }
 
  private:
-  [[noreturn]] void refuse(const char* key, const char* expected) const {
-    throw InvalidDocument(place_ + "." + key + " must be " + expected + "; correct its type");
+  [[noreturn]] void throw_wrong_type(const char* key, const char* expected) const {
+    throw InvalidDocument(json_path_ + "." + key + " must be " + expected + "; correct its type");
   }
 
-  std::string place_;
+  std::string json_path_;
   const json::object* object_ = nullptr;
 };
 
-Repeatability read_repeatability(const FieldReader& route) {
+RouteType read_route_type(const FieldReader& route) {
   const auto type = route.text("type");
   if (type == "idempotent") {
-    return Repeatability::kIdempotent;
+    return RouteType::kIdempotent;
   }
   if (type == "streaming") {
-    return Repeatability::kStreaming;
+    return RouteType::kStreaming;
   }
   if (type == "non_idempotent" || type.empty()) {
-    return Repeatability::kNonIdempotent;
+    return RouteType::kNonIdempotent;
   }
-  throw InvalidDocument(route.place() + ".type '" + type + "' is unknown; use idempotent, non_idempotent or streaming");
+  throw InvalidDocument(route.json_path() + ".type '" + type +
+                        "' is unknown; use idempotent, non_idempotent or streaming");
 }
 
 std::vector<WeightedService> read_route_services(const FieldReader& route) {
   std::vector<WeightedService> services;
   double total = 0;
   for (const auto& item : route.list("backends")) {
-    const FieldReader backend(item, route.place() + ".backends");
+    const FieldReader backend(item, route.json_path() + ".backends");
     services.push_back({backend.text("service"), backend.number("weight", 0)});
     if (services.back().weight < 0) {
-      throw InvalidDocument(route.place() + " has a negative weight; weights are 0 or more");
+      throw InvalidDocument(route.json_path() + " has a negative weight; weights are 0 or more");
     }
     total += services.back().weight;
   }
@@ -132,92 +133,92 @@
     total = 1;
   }
   if (total <= 0) {
-    throw InvalidDocument(route.place() + ": the weights add up to 0; give one service a weight above 0");
+    throw InvalidDocument(route.json_path() + ": the weights add up to 0; give one service a weight above 0");
   }
   return services;
 }
 
-std::vector<std::string> read_texts(const FieldReader& reader, const char* key) {
+std::vector<std::string> read_strings(const FieldReader& reader, const char* key) {
   std::vector<std::string> result;
   for (const auto& item : reader.list(key)) {
     if (!item.is_string()) {
-      throw InvalidDocument(reader.place() + "." + key + " holds something that is no text; send texts");
+      throw InvalidDocument(reader.json_path() + "." + key + " holds something that is no text; send texts");
     }
     result.emplace_back(item.as_string());
   }
   return result;
 }
 
-Route read_route(const json::value& value, size_t position) {
-  const FieldReader reader(value, "routes[" + std::to_string(position) + "]");
+Route read_route(const json::value& value, size_t index) {
+  const FieldReader reader(value, "routes[" + std::to_string(index) + "]");
   Route route;
   route.name = reader.text("name");
   route.host = reader.text("host");
   route.path_prefix = reader.text("path_prefix");
-  route.repeatability = read_repeatability(reader);
+  route.route_type = read_route_type(reader);
   route.timeout = from_milliseconds(reader.number("timeout_ms", 0));
   route.target_latency = from_milliseconds(reader.number("target_latency_ms", 0));
-  route.target_gap = from_milliseconds(reader.number("target_gap_ms", 0));
+  route.target_event_gap = from_milliseconds(reader.number("target_gap_ms", 0));
   route.priority = reader.integer("priority", 0);
   route.max_attempts = std::max(1, reader.integer("max_attempts", 1));
   route.is_public = reader.flag("public");
   route.resumable = reader.flag("resumable");
   route.services = read_route_services(reader);
-  route.home_regions = read_texts(reader, "allowed_regions");
+  route.allowed_regions = read_strings(reader, "allowed_regions");
   if (route.timeout <= Duration::zero()) {
-    throw InvalidDocument(reader.place() + ".timeout_ms must be above 0; say how long a request may be held");
+    throw InvalidDocument(reader.json_path() + ".timeout_ms must be above 0; say how long a request may be held");
   }
   return route;
 }
 
-ModelSpec read_model(const json::value& value, const std::string& place) {
-  const FieldReader reader(value, place + ".models");
+ModelSpec read_model(const json::value& value, const std::string& json_path) {
+  const FieldReader reader(value, json_path + ".models");
   ModelSpec model;
   model.name = reader.text("name");
   model.size = std::max(1, reader.integer("size", 1));
-  model.fraction = reader.number("fraction", 0);
-  model.pace = reader.number("pace", 1);
+  model.initial_server_share = reader.number("fraction", 0);
+  model.time_factor = reader.number("pace", 1);
   model.load_time = from_seconds(reader.number("load_s", 0));
-  model.warm_time = from_seconds(reader.number("warm_s", 0));
+  model.warmup_time = from_seconds(reader.number("warm_s", 0));
   return model;
 }
 
-EngineSpec read_engine(const json::value& value, const std::string& place) {
-  const FieldReader reader(value, place);
+EngineSpec read_engine(const json::value& value, const std::string& json_path) {
+  const FieldReader reader(value, json_path);
   EngineSpec engine;
   engine.slots = std::max(1, reader.integer("slots", 1));
   engine.kv_capacity = static_cast<int64_t>(to_bytes(reader.number("kv_capacity", 0)));
   engine.step_ms = reader.number("step_ms", 1);
   engine.per_sequence_ms = reader.number("per_seq_ms", 0);
-  engine.context_per_thousand_ms = reader.number("context_per_k", 0);
-  engine.read_tokens_per_second = std::max(1.0, reader.number("read_per_s", 1e6));
+  engine.per_thousand_context_tokens_ms = reader.number("context_per_k", 0);
+  engine.prefill_tokens_per_second = std::max(1.0, reader.number("read_per_s", 1e6));
   engine.steps_per_pass = std::max(1, reader.integer("stride", 1));
-  engine.chunk_tokens = std::max(1, reader.integer("chunk", 1 << 30));
-  engine.loads_per_second = reader.number("loads_per_s", 1e6);
-  engine.loads_at_once = std::max(1, reader.integer("loads_at_once", 1 << 20));
-  engine.staged_per_host = reader.integer("cached_prefixes", 0);
-  engine.form_time = from_milliseconds(reader.number("form_ms", 0));
-  if (const auto* usual = reader.find("usual")) {
-    const FieldReader usual_reader(*usual, place + ".usual");
-    engine.usual_prompt = usual_reader.number("prompt", 0);
-    engine.usual_answer = usual_reader.number("answer", 0);
+  engine.prefill_chunk_tokens = std::max(1, reader.integer("chunk", 1 << 30));
+  engine.max_weight_loads_per_second = reader.number("loads_per_s", 1e6);
+  engine.max_concurrent_weight_loads = std::max(1, reader.integer("loads_at_once", 1 << 20));
+  engine.max_staged_models_per_host = reader.integer("cached_prefixes", 0);
+  engine.group_formation_time = from_milliseconds(reader.number("form_ms", 0));
+  if (const auto* typical = reader.find("usual")) {
+    const FieldReader typical_reader(*typical, json_path + ".usual");
+    engine.typical_prompt_tokens = typical_reader.number("prompt", 0);
+    engine.typical_answer_tokens = typical_reader.number("answer", 0);
   }
   for (const auto& model : reader.list("models")) {
-    engine.models.push_back(read_model(model, place));
+    engine.models.push_back(read_model(model, json_path));
   }
   return engine;
 }
 
-ServiceSpec read_service(const json::value& value, size_t position) {
-  const std::string place = "services[" + std::to_string(position) + "]";
-  const FieldReader reader(value, place);
+ServiceSpec read_service(const json::value& value, size_t index) {
+  const std::string json_path = "services[" + std::to_string(index) + "]";
+  const FieldReader reader(value, json_path);
   ServiceSpec service;
   service.name = reader.text("name");
   service.health_path = reader.text("health_path");
   service.max_connections = reader.integer("max_connections", 0);
-  service.cold_requests_per_second = std::max(0.0, reader.number("cold_per_s", 0));
+  service.cold_server_requests_per_second = std::max(0.0, reader.number("cold_per_s", 0));
   if (const auto* engine = reader.find("engine")) {
-    service.engine = read_engine(*engine, place + ".engine");
+    service.engine = read_engine(*engine, json_path + ".engine");
   }
   return service;
 }
@@ -234,18 +235,18 @@
 
 std::vector<TenantSpec> read_tenants(const json::array& list) {
   std::vector<TenantSpec> tenants;
-  std::map<std::string, std::string> holders;
+  std::map<std::string, std::string> tenant_by_key;
   for (const auto& item : list) {
     const FieldReader reader(item, "tenants[" + std::to_string(tenants.size()) + "]");
     TenantSpec tenant;
     tenant.name = reader.text("name");
     tenant.priority = reader.integer("priority", -1);
-    tenant.home_regions = read_texts(reader, "allowed_regions");
-    tenant.api_keys = read_texts(reader, "api_keys");
+    tenant.allowed_regions = read_strings(reader, "allowed_regions");
+    tenant.api_keys = read_strings(reader, "api_keys");
     for (const auto& key : tenant.api_keys) {
-      const auto [holder, is_new] = holders.emplace(key, tenant.name);
-      if (!is_new && holder->second != tenant.name) {
-        throw InvalidDocument("tenants '" + holder->second + "' and '" + tenant.name +
+      const auto [key_owner, is_new] = tenant_by_key.emplace(key, tenant.name);
+      if (!is_new && key_owner->second != tenant.name) {
+        throw InvalidDocument("tenants '" + key_owner->second + "' and '" + tenant.name +
                               "' share a key; give each tenant keys of its own");
       }
     }
@@ -255,9 +256,9 @@
 }
 
 void check_routes(const ConfigurationDocument& document) {
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> seen_hosts_and_prefixes;
   for (const auto& route : document.routes) {
-    if (!places.emplace(route.host, route.path_prefix).second) {
+    if (!seen_hosts_and_prefixes.emplace(route.host, route.path_prefix).second) {
       throw InvalidDocument("two routes share host '" + route.host + "' and prefix '" + route.path_prefix +
                             "'; remove one of them");
     }
@@ -281,9 +282,9 @@
   for (const auto& route : reader.list("routes")) {
     document->routes.push_back(read_route(route, document->routes.size()));
   }
-  size_t position = 0;
+  size_t index = 0;
   for (const auto& item : reader.list("services")) {
-    auto service = read_service(item, position++);
+    auto service = read_service(item, index++);
     const std::string name = service.name;
     document->services[name] = std::move(service);
   }
--- a/src/core/document/configuration_document.h
+++ b/src/core/document/configuration_document.h
@@ -14,7 +14,7 @@
 namespace larchlever::document {
 
 /// How often a request of a route may run.
-enum class Repeatability { kIdempotent, kNonIdempotent, kStreaming };
+enum class RouteType { kIdempotent, kNonIdempotent, kStreaming };
 
 struct WeightedService {
   std::string service;
@@ -26,13 +26,13 @@
   std::string host;
   /// Begins and ends with a slash.
   std::string path_prefix;
-  Repeatability repeatability = Repeatability::kNonIdempotent;
+  RouteType route_type = RouteType::kNonIdempotent;
   /// Longest time that a request is held.
   Duration timeout{};
   /// Time to the answer, or to a stream's first event, that the operator aims at.
   Duration target_latency{};
   /// Longest pause between a stream's events that the operator aims at; zero when not given.
-  Duration target_gap{};
+  Duration target_event_gap{};
   /// 0 is the most urgent.
   int priority = 0;
   /// Most servers that one request may run on.
@@ -41,11 +41,11 @@
   bool resumable = false;
   std::vector<WeightedService> services;
   /// Regions in which requests may run; any when empty.
-  std::vector<std::string> home_regions;
+  std::vector<std::string> allowed_regions;
 
   /// A request of this route may run more than once.
-  bool may_repeat() const {
-    return repeatability == Repeatability::kIdempotent || (repeatability == Repeatability::kStreaming && resumable);
+  bool is_retry_safe() const {
+    return route_type == RouteType::kIdempotent || (route_type == RouteType::kStreaming && resumable);
   }
 };
 
@@ -54,11 +54,11 @@
   std::string name;
   int size = 1;
   /// Share of the servers that the model should have before demand is known.
-  double fraction = 0;
+  double initial_server_share = 0;
   /// Factor on all times of the cost model.
-  double pace = 1;
+  double time_factor = 1;
   Duration load_time{};
-  Duration warm_time{};
+  Duration warmup_time{};
 };
 
 /// Cost model of an engine service: how long a pass takes, and what limits loads of weights.
@@ -67,19 +67,19 @@
   int64_t kv_capacity = 0;
   double step_ms = 1;
   double per_sequence_ms = 0;
-  double context_per_thousand_ms = 0;
-  double read_tokens_per_second = 1;
+  double per_thousand_context_tokens_ms = 0;
+  double prefill_tokens_per_second = 1;
   int steps_per_pass = 1;
-  int chunk_tokens = 1;
-  double loads_per_second = 1;
-  int loads_at_once = 1;
+  int prefill_chunk_tokens = 1;
+  double max_weight_loads_per_second = 1;
+  int max_concurrent_weight_loads = 1;
   /// Models whose weights a host keeps besides those in the accelerators; 0 when hosts keep none.
-  int staged_per_host = 0;
+  int max_staged_models_per_host = 0;
   /// How long an opened head takes until it serves.
-  Duration form_time{};
+  Duration group_formation_time{};
   /// Mean tokens of prompt and answer.
-  double usual_prompt = 0;
-  double usual_answer = 0;
+  double typical_prompt_tokens = 0;
+  double typical_answer_tokens = 0;
   std::vector<ModelSpec> models;
 
   const ModelSpec* find_model(std::string_view name) const;
@@ -90,7 +90,7 @@
   std::string health_path;
   int max_connections = 0;
   /// Requests a second that a cold server bears; 0 when cold servers bear as many as others.
-  double cold_requests_per_second = 0;
+  double cold_server_requests_per_second = 0;
   /// Present when the service's servers are model engines that work in groups.
   std::optional<EngineSpec> engine;
 };
@@ -108,7 +108,7 @@
   int priority = -1;  ///< -1 when the route's priority holds.
   std::vector<std::string> api_keys;
   /// Regions in which the tenant's requests may run; any when empty.
-  std::vector<std::string> home_regions;
+  std::vector<std::string> allowed_regions;
 };
 
 struct ConfigurationDocument {
--- a/src/core/engine/cost_model.h
+++ b/src/core/engine/cost_model.h
@@ -7,7 +7,7 @@
 namespace larchlever::engine {
 
 /// Mean sizes of the requests that a model gets, in tokens.
-struct RequestSizes {
+struct RequestTokenCounts {
   double prompt = 0;
   double answer = 0;
 };
@@ -19,46 +19,46 @@
   /// From the arrival of a request to its first event.
   Duration first_event{};
   /// Prompt tokens that arrive in a pass, as a share of what a pass reads; at 1 and above the queue grows.
-  double reading_load = 0;
+  double prefill_load = 0;
 };
 
-GroupForecast forecast(const document::EngineSpec& engine, const document::ModelSpec& model, const RequestSizes& sizes,
-                       int running);
+GroupForecast forecast_steady_state(const document::EngineSpec& engine, const document::ModelSpec& model,
+                                    const RequestTokenCounts& sizes, int running);
 
 /// The most requests that a group may hold so that the next one's first event is expected within `target`; between 1
 /// and the engine's slots.
-int most_running(const document::EngineSpec& engine, const document::ModelSpec& model, const RequestSizes& sizes,
-                 Duration target);
+int max_running_requests(const document::EngineSpec& engine, const document::ModelSpec& model,
+                         const RequestTokenCounts& sizes, Duration target);
 
 /// The longest that a group with all its slots taken lets its streams pause: a pass that reads a whole chunk each step.
-Duration longest_pass(const document::EngineSpec& engine, const document::ModelSpec& model);
+Duration max_pass_duration(const document::EngineSpec& engine, const document::ModelSpec& model);
 
-/// A pass of a group that writes for `running` requests and reads `read_tokens` of prompts beside.
-Duration pass_length(const document::EngineSpec& engine, const document::ModelSpec& model, int running,
-                     double read_tokens);
+/// A pass of a group that writes for `running` requests and reads `prefill_tokens` of prompts beside.
+Duration pass_duration(const document::EngineSpec& engine, const document::ModelSpec& model, int running,
+                       double prefill_tokens);
 
 /// The most prompt tokens that one pass reads beside its writing.
-double tokens_per_pass(const document::EngineSpec& engine);
+double max_prefill_tokens_per_pass(const document::EngineSpec& engine);
 
 /// Time to the first event of a request of `prompt_tokens` that arrives at a group that has `running` requests, of
 /// whose prompts `waiting_tokens` are still to be read.
-Duration expected_first_event(const document::EngineSpec& engine, const document::ModelSpec& model, int running,
-                              double waiting_tokens, double prompt_tokens);
+Duration expected_time_to_first_event(const document::EngineSpec& engine, const document::ModelSpec& model, int running,
+                                      double waiting_tokens, double prompt_tokens);
 
-/// Requests a second that a group serves when it holds `most_running` of them all the time.
-double sustainable_rate(const document::EngineSpec& engine, const document::ModelSpec& model, const RequestSizes& sizes,
-                        Duration target);
+/// Requests a second that a group serves when it holds `max_running_requests` of them all the time.
+double sustainable_requests_per_second(const document::EngineSpec& engine, const document::ModelSpec& model,
+                                       const RequestTokenCounts& sizes, Duration target);
 
 /// Running means of the sizes, as the requests' own statements give them.
-class SizeEstimate {
+class RequestSizeEstimator {
  public:
-  void note(double prompt_tokens, double answer_tokens);
+  void add_sample(double prompt_tokens, double answer_tokens);
   /// `usual` counts for what was not seen yet.
-  RequestSizes sizes(const RequestSizes& usual) const;
+  RequestTokenCounts sizes(const RequestTokenCounts& typical) const;
 
  private:
-  RequestSizes mean_;
-  double weight_ = 0;
+  RequestTokenCounts mean_;
+  double sample_count_ = 0;
 };
 
 }  // namespace larchlever::engine
--- /dev/null
+++ b/src/core/engine/pass_simulator.cc
@@ -0,0 +1,75 @@
+#include "core/engine/pass_simulator.h"
+
+#include <algorithm>
+
+#include "core/engine/cost_model.h"
+
+namespace larchlever::engine {
+
+namespace {
+
+/// Passes further back than this are not played: a group with nothing to do has none, whatever the clock missed.
+constexpr Duration kMaxCatchUp = seconds(2);
+
+/// Passes that ended within this time are recent: longer than what first events take beyond the cost model's forecast.
+constexpr Duration kRecentPassWindow = milliseconds(500);
+
+/// A stated size, as far as an engine can take it.
+double clamp_prompt_tokens(const document::EngineSpec& engine, double prompt_tokens) {
+  const auto kv_capacity_tokens = static_cast<double>(engine.kv_capacity);
+  return std::clamp(prompt_tokens, 0.0,
+                    kv_capacity_tokens > 0 ? kv_capacity_tokens
+                    : prompt_tokens > 0    ? prompt_tokens
+                                           : 0.0);
+}
+
+}  // namespace
+
+void PassSimulator::advance(TimePoint now, const document::EngineSpec& engine, const document::ModelSpec& model,
+                            int running) {
+  if (running == 0) {
+    waiting_tokens_ = 0;
+    current_pass_ends_at_ = std::max(current_pass_ends_at_, now);
+    longest_recent_pass_ = Duration::zero();
+    return;
+  }
+  if (current_pass_ends_at_ == TimePoint::min() || now - current_pass_ends_at_ > kMaxCatchUp) {
+    current_pass_ends_at_ = now;
+  }
+  while (current_pass_ends_at_ <= now) {
+    const double prefill_tokens = std::min(waiting_tokens_, max_prefill_tokens_per_pass(engine));
+    waiting_tokens_ -= prefill_tokens;
+    const Duration pass = std::max<Duration>(milliseconds(1), pass_duration(engine, model, running, prefill_tokens));
+    const bool has_expired = longest_recent_pass_ended_at_ == TimePoint::min() ||
+                             current_pass_ends_at_ - longest_recent_pass_ended_at_ > kRecentPassWindow;
+    current_pass_ends_at_ += pass;
+    if (has_expired || pass >= longest_recent_pass_) {
+      longest_recent_pass_ = pass;
+      longest_recent_pass_ended_at_ = current_pass_ends_at_;
+    }
+  }
+}
+
+void PassSimulator::add(TimePoint now, const document::EngineSpec& engine, const document::ModelSpec& model,
+                        int running, double prompt_tokens) {
+  advance(now, engine, model, running);
+  waiting_tokens_ += clamp_prompt_tokens(engine, prompt_tokens);
+}
+
+RequestForecast PassSimulator::forecast(TimePoint now, const document::EngineSpec& engine,
+                                        const document::ModelSpec& model, int running, double prompt_tokens) {
+  advance(now, engine, model, running);
+  RequestForecast result;
+  result.first_event = std::max(Duration::zero(), current_pass_ends_at_ - now);
+  double remaining_tokens = waiting_tokens_ + clamp_prompt_tokens(engine, prompt_tokens);
+  do {
+    const double prefill_tokens = std::min(remaining_tokens, max_prefill_tokens_per_pass(engine));
+    remaining_tokens -= prefill_tokens;
+    const Duration pass = pass_duration(engine, model, running + 1, prefill_tokens);
+    result.longest_pass = std::max(result.longest_pass, pass);
+    result.first_event += pass;
+  } while (remaining_tokens > 0);
+  return result;
+}
+
+}  // namespace larchlever::engine
--- a/src/core/fleet/blocked_requests.cc
+++ b/src/core/fleet/blocked_requests.cc
@@ -94,7 +94,7 @@
 }
 
 void BlockedRequests::note_answered(TimePoint now, requests::RequestFingerprint request) {
-  recently_answered_.note(now, request);
+  recently_answered_.add(now, request);
   if (server_ends_.is_suspect(request) || rows_.contains(request)) {
     report_answered(request);
   }
--- a/src/core/fleet/blocked_requests.h
+++ b/src/core/fleet/blocked_requests.h
@@ -59,7 +59,7 @@
   void report_answered(requests::RequestFingerprint request);
 
   ServerCrashHistory server_ends_;
-  requests::RecentlyAnswered recently_answered_;
+  requests::RecentlyAnsweredRequests recently_answered_;
   std::map<requests::RequestFingerprint, ReceivedRow> rows_;
   std::vector<ServerCrash> unreported_ends_;
   /// Fingerprints.
--- a/src/core/fleet/demand_tracker.h
+++ b/src/core/fleet/demand_tracker.h
@@ -15,7 +15,7 @@
 /// Recent request rate of one model, over all nodes.
 struct ModelDemandRate {
   double requests_per_second = 0;
-  engine::RequestSizes sizes;
+  engine::RequestTokenCounts sizes;
   /// Target latency of the first event, from the requests' routes; the shortest one reported.
   Duration target_latency{};
 };
--- a/src/core/fleet/dispatcher.cc
+++ b/src/core/fleet/dispatcher.cc
@@ -92,7 +92,7 @@
     }
     for (const auto& model : service.engine->models) {
       longest_pauses_[{name, model.name}] =
-          engine::longest_pass(*service.engine, model) * kPauseTolerancePercent / 100 + kNetworkPauseAllowance;
+          engine::max_pass_duration(*service.engine, model) * kPauseTolerancePercent / 100 + kNetworkPauseAllowance;
     }
   }
 }
@@ -179,8 +179,8 @@
 }
 
 void Dispatcher::record_demand(const std::string& service, const RequestRequirements& requirements,
-                               const engine::RequestSizes& sizes) {
-  size_estimates_[{service, requirements.model}].note(sizes.prompt, sizes.answer);
+                               const engine::RequestTokenCounts& sizes) {
+  size_estimates_[{service, requirements.model}].add_sample(sizes.prompt, sizes.answer);
   wire::ModelDemand& total = demand_by_model_[{service, requirements.model}];
   total.service_name = service;
   total.model = requirements.model;
@@ -206,10 +206,10 @@
   if (model == nullptr || requirements.target_latency <= Duration::zero()) {
     return filled;
   }
-  const engine::RequestSizes usual{engine.usual_prompt, engine.usual_answer};
+  const engine::RequestTokenCounts usual{engine.typical_prompt_tokens, engine.typical_answer_tokens};
   const auto estimate = size_estimates_.find({service.name, requirements.model});
   const auto sizes = estimate == size_estimates_.end() ? usual : estimate->second.sizes(usual);
-  return std::min(filled, engine::most_running(engine, *model, sizes, requirements.target_latency));
+  return std::min(filled, engine::max_running_requests(engine, *model, sizes, requirements.target_latency));
 }
 
 double Dispatcher::group_cost_ms(const document::ServiceSpec& service, const RequestRequirements& requirements,
@@ -221,8 +221,8 @@
     return 0;
   }
   const auto first_event =
-      engine::expected_first_event(*service.engine, *model, found->second.total_in_flight(),
-                                   found->second.total_waiting_tokens(), requirements.prompt_tokens);
+      engine::expected_time_to_first_event(*service.engine, *model, found->second.total_in_flight(),
+                                           found->second.total_waiting_tokens(), requirements.prompt_tokens);
   return std::chrono::duration<double, std::milli>(first_event).count() +
          (head->zone == zone_ ? 0.0 : kOtherZonePenaltyMs);
 }
@@ -356,7 +356,7 @@
 bool Dispatcher::is_in_allowed_zones(const RequestRequirements& requirements, const wire::EngineGroup& group,
                                      const wire::Instance& head) {
   return requirements.allowed_zones == nullptr ||
-         document::are_allowed(requirements.allowed_zones, group_zones(group, head));
+         document::all_zones_allowed(requirements.allowed_zones, group_zones(group, head));
 }
 
 std::vector<std::string> Dispatcher::group_zones(const wire::EngineGroup& group, const wire::Instance& head) {
@@ -369,7 +369,7 @@
     return false;
   }
   const auto is_in_allowed_zones = [allowed_zones](const std::string& zone) {
-    return document::are_allowed(allowed_zones, {zone});
+    return document::all_zones_allowed(allowed_zones, {zone});
   };
   const auto servers = available_servers(service, model);
   const bool has_server = std::any_of(servers.begin(), servers.end(),
--- a/src/core/fleet/dispatcher.h
+++ b/src/core/fleet/dispatcher.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "core/base/time.h"
+#include "core/document/allowed_regions.h"
 #include "core/document/configuration_document.h"
-#include "core/document/home_regions.h"
 #include "core/engine/cost_model.h"
 #include "core/fleet/fleet_options.h"
 #include "core/fleet/rate_shares.h"
@@ -108,7 +108,7 @@
   std::vector<std::string> groups_to_avoid(TimePoint now, const std::string& service, const std::string& model);
   /// Records a request for a model, with the prompt and answer sizes that it states, in tokens.
   void record_demand(const std::string& service, const RequestRequirements& requirements,
-                     const engine::RequestSizes& sizes);
+                     const engine::RequestTokenCounts& sizes);
   /// Records the objective of a request that pauses between events do not exceed `gap`. Groups of the model are
   /// expected to keep the smallest objective.
   void record_gap_objective(const std::string& service, const std::string& model, Duration gap);
@@ -283,7 +283,7 @@
   /// When the loads of other entries were last reported; `TimePoint::min()` if there are none.
   TimePoint loads_reported_at_ = TimePoint::min();
   /// Estimated request sizes, by service and model.
-  std::map<std::pair<std::string, std::string>, engine::SizeEstimate> size_estimates_;
+  std::map<std::pair<std::string, std::string>, engine::RequestSizeEstimator> size_estimates_;
   std::map<std::pair<std::string, std::string>, wire::ModelDemand> demand_by_model_;
 };
 
--- a/src/core/fleet/entry_reports.cc
+++ b/src/core/fleet/entry_reports.cc
@@ -52,7 +52,7 @@
 
 void EntryReports::note_own_pause(TimePoint now, Duration pause) {
   for (auto& [node, entry] : entries_) {
-    entry.last_report = heard_after_pause(now, entry.last_report, pause);
+    entry.last_report = last_contact_after_pause(now, entry.last_report, pause);
   }
 }
 
--- a/src/core/fleet/fleet_options.h
+++ b/src/core/fleet/fleet_options.h
@@ -7,7 +7,7 @@
 #include "consensus/raft_node.h"
 #include "core/base/time.h"
 #include "core/control/control_options.h"
-#include "core/document/home_regions.h"
+#include "core/document/allowed_regions.h"
 
 namespace larchlever::fleet {
 
--- a/src/core/fleet/group_supervisor_planning.cc
+++ b/src/core/fleet/group_supervisor_planning.cc
@@ -62,17 +62,17 @@
                                                     const document::EngineSpec& engine, size_t servers) {
   std::vector<ModelNeed> needs;
   const bool known = demand_.has_enough_data(now, service);
-  const engine::RequestSizes usual{engine.usual_prompt, engine.usual_answer};
+  const engine::RequestTokenCounts usual{engine.typical_prompt_tokens, engine.typical_answer_tokens};
   for (const auto& model : engine.models) {
     ModelNeed need;
     need.model = &model;
     if (known) {
       const auto rate = demand_.rate(now, service, model.name);
       const auto& sizes = rate.requests_per_second > 0 ? rate.sizes : usual;
-      const double capacity = engine::sustainable_rate(engine, model, sizes, rate.target_latency);
+      const double capacity = engine::sustainable_requests_per_second(engine, model, sizes, rate.target_latency);
       need.groups_needed = std::max(kIdleModelGroups, rate.requests_per_second / capacity);
     } else {
-      need.groups_needed = model.fraction * static_cast<double>(servers) / model.size;
+      need.groups_needed = model.initial_server_share * static_cast<double>(servers) / model.size;
     }
     needs.push_back(need);
   }
@@ -124,7 +124,7 @@
   for (const auto& [domain, reservation] : reservations_) {
     input.reserved_domains[domain] = reservation.model;
   }
-  input.cold_groups_allowed = !limiter_.traffic_seen() || engine.staged_per_host == 0;
+  input.cold_groups_allowed = !limiter_.traffic_seen() || engine.max_staged_models_per_host == 0;
   return input;
 }
 
@@ -173,7 +173,7 @@
     return true;
   }
   const int divisor = plan.priority == LoadPriority::kStandby ? kStandbyLoadDivisor : kPrecautionLoadDivisor;
-  return counts.in_progress < static_cast<size_t>(engine.loads_at_once / divisor);
+  return counts.in_progress < static_cast<size_t>(engine.max_concurrent_weight_loads / divisor);
 }
 
 void GroupSupervisor::stage_weights(TimePoint now, const document::EngineSpec& engine,
@@ -261,7 +261,7 @@
     return item.second.group.phase == wire::GroupPhase::JOINING;
   });
   // Form all groups before staging weights that they may need later.
-  if (engine.staged_per_host > 0 && (limiter_.traffic_seen() || !is_forming_groups)) {
+  if (engine.max_staged_models_per_host > 0 && (limiter_.traffic_seen() || !is_forming_groups)) {
     stage_weights(now, engine, planner.staging_plans(), directory);
   }
   return changed;
--- a/src/core/fleet/instance_directory.cc
+++ b/src/core/fleet/instance_directory.cc
@@ -310,7 +310,7 @@
 
 void InstanceDirectory::note_own_pause(TimePoint now, Duration pause) {
   for (auto& [id, row] : rows_) {
-    row.last_report_at = heard_after_pause(now, row.last_report_at, pause);
+    row.last_report_at = last_contact_after_pause(now, row.last_report_at, pause);
   }
 }
 
--- a/src/core/fleet/server_rate_limiter.cc
+++ b/src/core/fleet/server_rate_limiter.cc
@@ -8,7 +8,7 @@
 namespace larchlever::fleet {
 
 double effective_rate_limit(const document::ServiceSpec& service, const RateLimitedServer& server) {
-  const double cold = server.is_cold ? service.cold_requests_per_second : 0;
+  const double cold = server.is_cold ? service.cold_server_requests_per_second : 0;
   if (!server.limit_per_second) {
     return cold;
   }
@@ -34,7 +34,8 @@
   }
   ServerLimiters& limiters = found->second;
   const TimePoint cold_allowed_at =
-      limiters.server.is_cold ? limiters.cold_window.next_allowed_at(now, service.cold_requests_per_second) : now;
+      limiters.server.is_cold ? limiters.cold_window.next_allowed_at(now, service.cold_server_requests_per_second)
+                              : now;
   const auto& limit = limiters.server.limit_per_second;
   return limit ? std::max(cold_allowed_at, limiters.limit_pacer.next_allowed_at(now, *limit)) : cold_allowed_at;
 }
@@ -46,7 +47,7 @@
     return;
   }
   ServerLimiters& limiters = found->second;
-  if (limiters.server.is_cold && service.cold_requests_per_second > 0) {
+  if (limiters.server.is_cold && service.cold_server_requests_per_second > 0) {
     limiters.cold_window.note_request(now);
   }
   if (const auto& limit = limiters.server.limit_per_second) {
--- a/src/core/fleet/slot_scheduler.cc
+++ b/src/core/fleet/slot_scheduler.cc
@@ -289,7 +289,7 @@
                                              const WaitingRequest& waiting) {
   const auto& request = waiting.request;
   const Duration idle_first_event =
-      engine::PassClock().forecast(waiting.arrived_at, engine, model, 0, request.prompt_tokens).first_event;
+      engine::PassSimulator().forecast(waiting.arrived_at, engine, model, 0, request.prompt_tokens).first_event;
   return request.first_event_ms > 0 && idle_first_event > milliseconds(request.first_event_ms);
 }
 
--- a/src/core/fleet/slot_scheduler.h
+++ b/src/core/fleet/slot_scheduler.h
@@ -10,7 +10,7 @@
 
 #include "core/base/time.h"
 #include "core/document/configuration_document.h"
-#include "core/engine/pass_clock.h"
+#include "core/engine/pass_simulator.h"
 #include "core/fleet/group_stall_detector.h"
 #include "core/fleet/server_rate_limiter.h"
 #include "larchlever_types.h"
@@ -84,7 +84,7 @@
     std::string rate_limited_head;
     /// Zones of the members, sorted.
     std::vector<std::string> zones;
-    engine::PassClock pass_clock;
+    engine::PassSimulator pass_clock;
   };
   struct NodeLoads {
     std::map<std::string, int> in_flight;
--- a/src/core/fleet/subscriber_table.cc
+++ b/src/core/fleet/subscriber_table.cc
@@ -66,7 +66,7 @@
 
 void SubscriberTable::note_own_pause(TimePoint now, Duration pause) {
   for (auto& [node, subscriber] : subscribers_) {
-    subscriber.last_heartbeat = heard_after_pause(now, subscriber.last_heartbeat, pause);
+    subscriber.last_heartbeat = last_contact_after_pause(now, subscriber.last_heartbeat, pause);
   }
 }
 
--- a/src/core/fleet/target_health.cc
+++ b/src/core/fleet/target_health.cc
@@ -58,7 +58,7 @@
   const TimePoint previous = std::max(streaming_since_, last_progress_);
   last_progress_ = now;
   if (streaming_ > 0 && now - previous > kSamePassWindow) {
-    pause_estimate_.note(now - previous);
+    pause_estimate_.add_sample(now - previous);
   }
 }
 
@@ -78,8 +78,8 @@
   if (streaming_ == 0) {
     return false;
   }
-  const Duration usual = std::max<Duration>(pause_estimate_.upper(kOverdueDeviations), kMinOverduePause);
-  const Duration allowed = pause_estimate_.is_measured() ? std::min(usual, longest_pause) : longest_pause;
+  const Duration usual = std::max<Duration>(pause_estimate_.upper_bound(kOverdueDeviations), kMinOverduePause);
+  const Duration allowed = pause_estimate_.has_samples() ? std::min(usual, longest_pause) : longest_pause;
   return now - std::max(streaming_since_, last_progress_) > allowed;
 }
 
--- a/src/core/fleet/weight_load_limiter.cc
+++ b/src/core/fleet/weight_load_limiter.cc
@@ -24,7 +24,7 @@
   if (now < no_loads_before_) {
     return false;
   }
-  const auto max_concurrent = static_cast<size_t>(engine.loads_at_once);
+  const auto max_concurrent = static_cast<size_t>(engine.max_concurrent_weight_loads);
   if (!traffic_seen_) {
     // The limit grows with the number of loaded servers: the throughput of the store stays the same, and fewer loads
     // are left for the time when they are expensive.
@@ -37,7 +37,7 @@
     load_starts_.pop_front();
   }
   const double window_seconds = std::chrono::duration<double>(window_).count();
-  const auto max_in_window = static_cast<size_t>(std::max(1.0, engine.loads_per_second * window_seconds));
+  const auto max_in_window = static_cast<size_t>(std::max(1.0, engine.max_weight_loads_per_second * window_seconds));
   return load_starts_.size() + new_loads <= std::max(max_in_window, new_loads);
 }
 
--- a/src/core/membership/node_directory.cc
+++ b/src/core/membership/node_directory.cc
@@ -36,7 +36,7 @@
 
 void NodeDirectory::exclude_own_pause(TimePoint now, Duration pause) {
   for (auto& [node, node_record] : nodes_) {
-    node_record.last_heartbeat_at = heard_after_pause(now, node_record.last_heartbeat_at, pause);
+    node_record.last_heartbeat_at = last_contact_after_pause(now, node_record.last_heartbeat_at, pause);
   }
 }
 
--- a/src/core/requests/buffer_budget.h
+++ b/src/core/requests/buffer_budget.h
@@ -10,42 +10,42 @@
 /// takes all memory. Nobody's share is fixed: one large answer may take what many small ones leave. Not thread-safe.
 class BufferBudget {
  public:
-  explicit BufferBudget(size_t limit) : limit_(limit) {}
+  explicit BufferBudget(size_t limit_bytes) : limit_bytes_(limit_bytes) {}
   BufferBudget(const BufferBudget&) = delete;
   BufferBudget& operator=(const BufferBudget&) = delete;
 
-  size_t held() const { return held_; }
+  size_t reserved_bytes() const { return reserved_bytes_; }
 
  private:
-  friend class BufferShare;
+  friend class BufferReservation;
 
-  size_t limit_;
-  size_t held_ = 0;
+  size_t limit_bytes_;
+  size_t reserved_bytes_ = 0;
 };
 
 /// What one answer holds of a budget; given back when it ends.
-class BufferShare {
+class BufferReservation {
  public:
-  explicit BufferShare(BufferBudget& budget) : budget_(budget) {}
-  ~BufferShare() { release(); }
-  BufferShare(const BufferShare&) = delete;
-  BufferShare& operator=(const BufferShare&) = delete;
+  explicit BufferReservation(BufferBudget& budget) : budget_(budget) {}
+  ~BufferReservation() { release(); }
+  BufferReservation(const BufferReservation&) = delete;
+  BufferReservation& operator=(const BufferReservation&) = delete;
 
   /// Takes `bytes` more, also beyond the limit: they have arrived already. False when the limit is reached, and the
   /// answer must not grow any more.
   bool grow(size_t bytes) {
-    held_ += bytes;
-    budget_.held_ += bytes;
-    return budget_.held_ <= budget_.limit_;
+    reserved_bytes_ += bytes;
+    budget_.reserved_bytes_ += bytes;
+    return budget_.reserved_bytes_ <= budget_.limit_bytes_;
   }
   void release() {
-    budget_.held_ -= held_;
-    held_ = 0;
+    budget_.reserved_bytes_ -= reserved_bytes_;
+    reserved_bytes_ = 0;
   }
 
  private:
   BufferBudget& budget_;
-  size_t held_ = 0;
+  size_t reserved_bytes_ = 0;
 };
 
 }  // namespace larchlever::requests
--- a/src/core/requests/decimal.cc
+++ b/src/core/requests/decimal.cc
@@ -17,12 +17,12 @@
 std::optional<double> parse_decimal(std::string_view text) {
   double value = 0;
   const char* const end = text.data() + text.size();
-  const auto [rest, error] = std::from_chars(text.data(), end, value, std::chars_format::fixed);
-  const bool has_no_double = error == std::errc::result_out_of_range && rest == end && !text.starts_with('-');
-  if (has_no_double) {
+  const auto [parse_end, error] = std::from_chars(text.data(), end, value, std::chars_format::fixed);
+  const bool is_out_of_range = error == std::errc::result_out_of_range && parse_end == end && !text.starts_with('-');
+  if (is_out_of_range) {
     return is_below_one(text) ? 0 : std::numeric_limits<double>::infinity();
   }
-  if (error != std::errc() || rest != end || !std::isfinite(value) || std::signbit(value)) {
+  if (error != std::errc() || parse_end != end || !std::isfinite(value) || std::signbit(value)) {
     return std::nullopt;
   }
   return value;
--- a/src/core/requests/endpoint_selector.cc
+++ b/src/core/requests/endpoint_selector.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kFailuresToEject = 3;
+constexpr int kConsecutiveFailuresToEject = 3;
 constexpr Duration kEjectionTime = seconds(5);
 
 }  // namespace
@@ -31,17 +31,17 @@
   const bool too_many_ejected = healthy.size() * 2 < usable.size();
   auto& pool = too_many_ejected ? usable : healthy;
   std::erase_if(pool, [&excluded](const auto* endpoint) { return excluded.contains(*endpoint); });
-  return pool.empty() ? std::string() : *pool[next_[service]++ % pool.size()];
+  return pool.empty() ? std::string() : *pool[next_index_by_service_[service]++ % pool.size()];
 }
 
 void EndpointSelector::report(TimePoint now, const std::string& endpoint, bool success) {
   Health& health = health_[endpoint];
   if (success) {
-    health.failures_in_a_row = 0;
+    health.consecutive_failures = 0;
     return;
   }
-  if (++health.failures_in_a_row >= kFailuresToEject) {
-    health.failures_in_a_row = 0;
+  if (++health.consecutive_failures >= kConsecutiveFailuresToEject) {
+    health.consecutive_failures = 0;
     health.ejected_until = now + kEjectionTime;
     ++ejections_;
   }
--- a/src/core/requests/endpoint_selector.h
+++ b/src/core/requests/endpoint_selector.h
@@ -24,14 +24,14 @@
 
  private:
   struct Health {
-    int failures_in_a_row = 0;
+    int consecutive_failures = 0;
     TimePoint ejected_until = TimePoint::min();
   };
 
   bool is_ejected(TimePoint now, const std::string& endpoint) const;
 
   std::map<std::string, Health> health_;
-  std::map<std::string, size_t> next_;
+  std::map<std::string, size_t> next_index_by_service_;
   std::set<std::string> leaving_;
   uint64_t ejections_ = 0;
 };
--- a/src/core/requests/event_stream.cc
+++ b/src/core/requests/event_stream.cc
@@ -10,7 +10,7 @@
 constexpr std::string_view kIdField = "id:";
 
 /// The id of one event; nothing when it has none or it is no number.
-std::optional<int64_t> id_of(std::string_view event) {
+std::optional<int64_t> parse_event_id(std::string_view event) {
   while (!event.empty()) {
     std::string_view line = event.substr(0, event.find('\n'));
     event.remove_prefix(std::min(event.size(), line.size() + 1));
@@ -30,14 +30,14 @@
 
 }  // namespace
 
-std::string EventStream::take(std::string_view bytes) {
+std::string EventStreamSplitter::feed(std::string_view bytes) {
   pending_.append(bytes);
-  std::string whole;
+  std::string complete_events;
   size_t begin = 0;
   for (size_t end = pending_.find(kEventEnd); end != std::string::npos; end = pending_.find(kEventEnd, begin)) {
     const auto event = std::string_view(pending_).substr(begin, end + kEventEnd.size() - begin);
     begin = end + kEventEnd.size();
-    const auto id = id_of(event);
+    const auto id = parse_event_id(event);
     if (id && last_id_ && *id <= *last_id_) {
       continue;
     }
@@ -45,10 +45,10 @@
       has_gap_ = has_gap_ || (last_id_ && *id != *last_id_ + 1);
       last_id_ = id;
     }
-    whole.append(event);
+    complete_events.append(event);
   }
   pending_.erase(0, begin);
-  return whole;
+  return complete_events;
 }
 
 }  // namespace larchlever::requests
--- a/src/core/requests/event_stream.h
+++ b/src/core/requests/event_stream.h
@@ -9,11 +9,11 @@
 
 /// Cuts a `text/event-stream` body into whole events, so that an answer can be continued by another server exactly
 /// behind the last event that reached the caller. Events are opaque but for their ids.
-class EventStream {
+class EventStreamSplitter {
  public:
   /// Takes the next bytes of the body. Returns the events that are whole now, unchanged. Events whose id is not above
   /// the last one passed on are dropped: a server that continues may repeat them.
-  std::string take(std::string_view bytes);
+  std::string feed(std::string_view bytes);
   /// A new server continues behind `last_id`: what was left of an unfinished event is void.
   void restart() { pending_.clear(); }
   /// Id of the last event returned; nothing before the first.
--- a/src/core/requests/latency_estimate.cc
+++ b/src/core/requests/latency_estimate.cc
@@ -5,21 +5,21 @@
 namespace {
 
 /// Weights of one sample, as in RFC 6298.
-constexpr int kMeanPart = 8;
-constexpr int kDeviationPart = 4;
+constexpr int kMeanWeightDivisor = 8;
+constexpr int kDeviationWeightDivisor = 4;
 
 }  // namespace
 
-void LatencyEstimate::note(Duration measured) {
-  if (!is_measured_) {
-    is_measured_ = true;
+void LatencyEstimate::add_sample(Duration measured) {
+  if (!has_samples_) {
+    has_samples_ = true;
     mean_ = measured;
     deviation_ = measured / 2;
     return;
   }
   const Duration difference = measured - mean_;
-  mean_ += difference / kMeanPart;
-  deviation_ += (std::chrono::abs(difference) - deviation_) / kDeviationPart;
+  mean_ += difference / kMeanWeightDivisor;
+  deviation_ += (std::chrono::abs(difference) - deviation_) / kDeviationWeightDivisor;
 }
 
 }  // namespace larchlever::requests
--- a/src/core/requests/latency_estimate.h
+++ b/src/core/requests/latency_estimate.h
@@ -9,16 +9,16 @@
  public:
   explicit LatencyEstimate(Duration initial = Duration::zero()) : mean_(initial) {}
 
-  void note(Duration measured);
+  void add_sample(Duration measured);
   Duration mean() const { return mean_; }
   /// The mean and `deviations` times the mean deviation above it.
-  Duration upper(int deviations) const { return mean_ + deviations * deviation_; }
-  bool is_measured() const { return is_measured_; }
+  Duration upper_bound(int deviations) const { return mean_ + deviations * deviation_; }
+  bool has_samples() const { return has_samples_; }
 
  private:
   Duration mean_;
   Duration deviation_{};
-  bool is_measured_ = false;
+  bool has_samples_ = false;
 };
 
 }  // namespace larchlever::requests
--- a/src/core/requests/outcome.h
+++ b/src/core/requests/outcome.h
@@ -34,7 +34,7 @@
 }
 
 /// What is known of a request after an attempt, by what was known before it.
-constexpr Outcome combined(Outcome earlier, Outcome attempt) {
+constexpr Outcome combine_outcomes(Outcome earlier, Outcome attempt) {
   if (earlier == Outcome::kRan || attempt == Outcome::kRan) {
     return Outcome::kRan;
   }
--- a/src/core/requests/recent_quantile.cc
+++ b/src/core/requests/recent_quantile.cc
@@ -5,24 +5,24 @@
 
 namespace larchlever::requests {
 
-void RecentQuantile::note(TimePoint now, Duration measured) {
-  recent_.emplace_back(now, measured);
-  if (recent_.size() > kRemembered) {
-    recent_.pop_front();
+void RecentQuantile::add_sample(TimePoint now, Duration measured) {
+  samples_.emplace_back(now, measured);
+  if (samples_.size() > kMaxSamples) {
+    samples_.pop_front();
   }
 }
 
-Duration RecentQuantile::value(TimePoint now, double share) const {
+Duration RecentQuantile::value(TimePoint now, double quantile) const {
   std::vector<Duration> sorted;
-  for (const auto& [at, measured] : recent_) {
-    if (now - at <= kMemory) {
+  for (const auto& [at, measured] : samples_) {
+    if (now - at <= kMaxSampleAge) {
       sorted.push_back(measured);
     }
   }
   if (sorted.empty()) {
     return Duration::zero();
   }
-  const auto rank = static_cast<std::ptrdiff_t>(share * static_cast<double>(sorted.size() - 1));
+  const auto rank = static_cast<std::ptrdiff_t>(quantile * static_cast<double>(sorted.size() - 1));
   std::nth_element(sorted.begin(), sorted.begin() + rank, sorted.end());
   return sorted[static_cast<size_t>(rank)];
 }
--- a/src/core/requests/recent_quantile.h
+++ b/src/core/requests/recent_quantile.h
@@ -13,18 +13,18 @@
 /// it may keep new ones from being taken. Single-threaded, deterministic.
 class RecentQuantile {
  public:
-  void note(TimePoint now, Duration measured);
+  void add_sample(TimePoint now, Duration measured);
   /// The measurement that `share` (0 to 1) of the recent ones do not exceed, the lower of two where it lies between
   /// them; zero when there is none.
-  Duration value(TimePoint now, double share) const;
+  Duration value(TimePoint now, double quantile) const;
 
  private:
   /// Enough that a quarter of them may be outliers; at the least busy entry, what a few seconds bring.
-  static constexpr size_t kRemembered = 16;
+  static constexpr size_t kMaxSamples = 16;
   /// Longer than a burst, shorter than callers' patience.
-  static constexpr Duration kMemory = seconds(4);
+  static constexpr Duration kMaxSampleAge = seconds(4);
 
-  std::deque<std::pair<TimePoint, Duration>> recent_;
+  std::deque<std::pair<TimePoint, Duration>> samples_;
 };
 
 }  // namespace larchlever::requests
--- a/src/core/requests/recently_answered.h
+++ b/src/core/requests/recently_answered.h
@@ -9,44 +9,44 @@
 
 namespace larchlever::requests {
 
-/// Remembers which requests servers answered of late, for between `kGeneration` and twice that, in two generations of
-/// at most `kMostInGeneration` each: constant cost a request, a few hundred kilobytes in all.
+/// Remembers which requests servers answered of late, for between `kGenerationLifetime` and twice that, in two
+/// generations of at most `kMaxRequestsPerGeneration` each: constant cost a request, a few hundred kilobytes in all.
 /// Single-threaded, deterministic.
-class RecentlyAnswered {
+class RecentlyAnsweredRequests {
  public:
-  static constexpr Duration kGeneration = seconds(30);
-  static constexpr size_t kMostInGeneration = 4096;
+  static constexpr Duration kGenerationLifetime = seconds(30);
+  static constexpr size_t kMaxRequestsPerGeneration = 4096;
 
-  void note(TimePoint now, RequestFingerprint request) {
-    advance(now);
-    if (newer_.size() >= kMostInGeneration) {
-      turn(now);
+  void add(TimePoint now, RequestFingerprint request) {
+    drop_expired(now);
+    if (current_generation_.size() >= kMaxRequestsPerGeneration) {
+      rotate(now);
     }
-    newer_.insert(request);
+    current_generation_.insert(request);
   }
   bool contains(TimePoint now, RequestFingerprint request) {
-    advance(now);
-    return newer_.contains(request) || older_.contains(request);
+    drop_expired(now);
+    return current_generation_.contains(request) || previous_generation_.contains(request);
   }
 
  private:
-  void advance(TimePoint now) {
-    if (now - turned_at_ >= 2 * kGeneration) {
-      newer_.clear();
+  void drop_expired(TimePoint now) {
+    if (now - rotated_at_ >= 2 * kGenerationLifetime) {
+      current_generation_.clear();
     }
-    if (now - turned_at_ >= kGeneration) {
-      turn(now);
+    if (now - rotated_at_ >= kGenerationLifetime) {
+      rotate(now);
     }
   }
-  void turn(TimePoint now) {
-    turned_at_ = now;
-    older_ = std::move(newer_);
-    newer_.clear();
+  void rotate(TimePoint now) {
+    rotated_at_ = now;
+    previous_generation_ = std::move(current_generation_);
+    current_generation_.clear();
   }
 
-  TimePoint turned_at_{};
-  std::unordered_set<RequestFingerprint> newer_;
-  std::unordered_set<RequestFingerprint> older_;
+  TimePoint rotated_at_{};
+  std::unordered_set<RequestFingerprint> current_generation_;
+  std::unordered_set<RequestFingerprint> previous_generation_;
 };
 
 }  // namespace larchlever::requests
--- a/src/core/requests/request_fingerprint.cc
+++ b/src/core/requests/request_fingerprint.cc
@@ -7,7 +7,7 @@
 
 namespace larchlever::requests {
 
-RequestFingerprint fingerprint_of(const RequestIdentity& identity) {
+RequestFingerprint compute_fingerprint(const RequestIdentity& identity) {
   const std::array parts{identity.caller, identity.host, identity.method, identity.target, identity.body};
   XXH64_hash_t hash = 0;
   for (const auto part : parts) {
--- a/src/core/requests/request_fingerprint.h
+++ b/src/core/requests/request_fingerprint.h
@@ -23,7 +23,7 @@
   std::string_view body;
 };
 
-RequestFingerprint fingerprint_of(const RequestIdentity& identity);
+RequestFingerprint compute_fingerprint(const RequestIdentity& identity);
 
 /// As it stands in logs: sixteen hexadecimal digits.
 std::string to_string(RequestFingerprint fingerprint);
--- a/src/core/requests/retry_after.cc
+++ b/src/core/requests/retry_after.cc
@@ -18,16 +18,16 @@
 RetryAfter parse_retry_after(std::string_view text) {
   const auto value = parse_decimal(text);
   if (!value) {
-    return {kUnreadableRest, RetryAfterReading::kUnreadable};
+    return {kDefaultRetryAfterDelay, RetryAfterParseStatus::kUnreadable};
   }
-  constexpr double kLongest = std::chrono::duration<double>(kLongestRest).count();
-  if (*value > kLongest) {
-    return {kLongestRest, RetryAfterReading::kCut};
+  constexpr double kMaxSeconds = std::chrono::duration<double>(kMaxRetryAfterDelay).count();
+  if (*value > kMaxSeconds) {
+    return {kMaxRetryAfterDelay, RetryAfterParseStatus::kClampedToMax};
   }
-  return {Duration(static_cast<int64_t>(std::ceil(*value * kMicrosecondsPerSecond))), RetryAfterReading::kExact};
+  return {Duration(static_cast<int64_t>(std::ceil(*value * kMicrosecondsPerSecond))), RetryAfterParseStatus::kExact};
 }
 
-std::string retry_after_text(Duration wait) {
+std::string format_retry_after(Duration wait) {
   const auto hundredths = std::max<int64_t>(1, std::chrono::ceil<Hundredths>(wait).count());
   std::string text = std::to_string(hundredths / kHundredthsPerSecond);
   const int64_t fraction = hundredths % kHundredthsPerSecond;
--- a/src/core/requests/retry_state.cc
+++ b/src/core/requests/retry_state.cc
@@ -8,18 +8,18 @@
 
 constexpr int kHundredthsPerRetry = 100;
 /// Ten retries: what a tenant may spend at once, and what it starts with.
-constexpr int kReserve = 10 * kHundredthsPerRetry;
+constexpr int kMaxBalanceHundredths = 10 * kHundredthsPerRetry;
 
 }  // namespace
 
-void RetryBudget::request_started(const std::string& tenant) {
-  auto& balance = hundredths_.try_emplace(tenant, kReserve).first->second;
-  balance = std::min(balance + percent_, kReserve);
+void RetryBudget::record_request(const std::string& tenant) {
+  auto& balance = balance_hundredths_.try_emplace(tenant, kMaxBalanceHundredths).first->second;
+  balance = std::min(balance + retry_percent_, kMaxBalanceHundredths);
 }
 
-bool RetryBudget::take(const std::string& tenant) {
-  auto& balance = hundredths_.try_emplace(tenant, kReserve).first->second;
-  if (percent_ == 0 || balance < kHundredthsPerRetry) {
+bool RetryBudget::try_spend(const std::string& tenant) {
+  auto& balance = balance_hundredths_.try_emplace(tenant, kMaxBalanceHundredths).first->second;
+  if (retry_percent_ == 0 || balance < kHundredthsPerRetry) {
     return false;
   }
   balance -= kHundredthsPerRetry;
@@ -32,10 +32,10 @@
   attempts_ += result == AttemptResult::kNotSent ? 0 : 1;
   const bool may_have_run = result == AttemptResult::kLostAfterSend || result == AttemptResult::kCutInStream;
   may_have_run_ = may_have_run_ || may_have_run;
-  if (may_have_run && !safe_) {
+  if (may_have_run && !is_retry_safe_) {
     return false;
   }
-  return attempts_ < most_attempts_ && now < deadline_ && budget.take(tenant);
+  return attempts_ < max_attempts_ && now < deadline_ && budget.try_spend(tenant);
 }
 
 }  // namespace larchlever::requests
--- a/src/core/requests/retry_state.h
+++ b/src/core/requests/retry_state.h
@@ -13,14 +13,14 @@
 /// Retries a tenant may spend: a fraction of its requests, with a small reserve so that a quiet tenant can retry too.
 class RetryBudget {
  public:
-  explicit RetryBudget(int percent) : percent_(percent) {}
-  void request_started(const std::string& tenant);
+  explicit RetryBudget(int retry_percent) : retry_percent_(retry_percent) {}
+  void record_request(const std::string& tenant);
   /// Takes one retry; false when the budget is spent.
-  bool take(const std::string& tenant);
+  bool try_spend(const std::string& tenant);
 
  private:
-  int percent_;
-  std::map<std::string, int> hundredths_;
+  int retry_percent_;
+  std::map<std::string, int> balance_hundredths_;
 };
 
 /// How one attempt at a back end ended, seen from the entry.
@@ -53,8 +53,8 @@
 /// Pure.
 class RetryState {
  public:
-  RetryState(bool safe, int most_attempts, TimePoint deadline)
-      : safe_(safe), most_attempts_(most_attempts), deadline_(deadline) {}
+  RetryState(bool is_retry_safe, int max_attempts, TimePoint deadline)
+      : is_retry_safe_(is_retry_safe), max_attempts_(max_attempts), deadline_(deadline) {}
 
   /// Notes a failed attempt; true when another may start now.
   bool may_retry(TimePoint now, AttemptResult result, const std::string& tenant, RetryBudget& budget);
@@ -63,8 +63,8 @@
   int attempts() const { return attempts_; }
 
  private:
-  bool safe_;
-  int most_attempts_;
+  bool is_retry_safe_;
+  int max_attempts_;
   TimePoint deadline_;
   int attempts_ = 0;
   bool may_have_run_ = false;
--- a/src/core/requests/server_limit.cc
+++ b/src/core/requests/server_limit.cc
@@ -7,15 +7,15 @@
 ServerLimit parse_server_limit(const std::vector<std::string_view>& values) {
   const auto value = values.size() == 1 ? parse_decimal(values.front()) : std::nullopt;
   if (!value) {
-    return {std::nullopt, ServerLimitReading::kUnreadable};
+    return {std::nullopt, ServerLimitParseStatus::kUnreadable};
   }
-  if (*value < kLowestLimit) {
-    return {kLowestLimit, ServerLimitReading::kRaised};
+  if (*value < kMinRequestsPerSecond) {
+    return {kMinRequestsPerSecond, ServerLimitParseStatus::kClampedToMin};
   }
-  if (*value > kHighestLimit) {
-    return {kHighestLimit, ServerLimitReading::kCut};
+  if (*value > kMaxRequestsPerSecond) {
+    return {kMaxRequestsPerSecond, ServerLimitParseStatus::kClampedToMax};
   }
-  return {*value, ServerLimitReading::kExact};
+  return {*value, ServerLimitParseStatus::kExact};
 }
 
 }  // namespace larchlever::requests
--- a/src/core/requests/stream_verifier.cc
+++ b/src/core/requests/stream_verifier.cc
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr size_t kLargestEvent = 1U << 20U;
-constexpr std::string_view kTerminal = "[DONE]";
+constexpr size_t kMaxEventBytes = 1U << 20U;
+constexpr std::string_view kTerminalData = "[DONE]";
 
 /// Value of the first line that starts with `field`; empty when there is none.
-std::string_view line_value(std::string_view event, std::string_view field) {
+std::string_view field_value(std::string_view event, std::string_view field) {
   while (!event.empty()) {
     const size_t end = event.find('\n');
     const std::string_view line = event.substr(0, end);
@@ -29,17 +29,17 @@
 
 }  // namespace
 
-std::string_view event_data(std::string_view event) { return line_value(event, "data:"); }
+std::string_view event_data(std::string_view event) { return field_value(event, "data:"); }
 
 StreamVerifier::StreamVerifier(std::string request_id, int64_t first_offset)
     : expected_prefix_(std::move(request_id) + ":"), next_offset_(first_offset) {}
 
-bool StreamVerifier::accept(std::string_view event) {
-  if (event_data(event) == kTerminal) {
+bool StreamVerifier::verify_event(std::string_view event) {
+  if (event_data(event) == kTerminalData) {
     status_ = StreamStatus::kDone;
     return true;
   }
-  const std::string_view id = line_value(event, "id:");
+  const std::string_view id = field_value(event, "id:");
   if (id.empty()) {
     status_ = StreamStatus::kMalformed;
     return false;
@@ -68,20 +68,20 @@
     return {};
   }
   pending_.append(bytes);
-  size_t verified = 0;
+  size_t verified_bytes = 0;
   while (status_ == StreamStatus::kOpen) {
-    const size_t end = pending_.find("\n\n", verified);
+    const size_t end = pending_.find("\n\n", verified_bytes);
     if (end == std::string::npos) {
       break;
     }
-    if (!accept(std::string_view(pending_).substr(verified, end - verified))) {
+    if (!verify_event(std::string_view(pending_).substr(verified_bytes, end - verified_bytes))) {
       break;
     }
-    verified = end + 2;
+    verified_bytes = end + 2;
   }
-  std::string events = pending_.substr(0, verified);
-  pending_.erase(0, verified);
-  if (status_ == StreamStatus::kOpen && pending_.size() > kLargestEvent) {
+  std::string events = pending_.substr(0, verified_bytes);
+  pending_.erase(0, verified_bytes);
+  if (status_ == StreamStatus::kOpen && pending_.size() > kMaxEventBytes) {
     status_ = StreamStatus::kMalformed;
   }
   if (status_ == StreamStatus::kDone && !pending_.empty()) {
--- a/src/core/requests/stream_verifier.h
+++ b/src/core/requests/stream_verifier.h
@@ -29,7 +29,7 @@
   int64_t next_offset() const { return next_offset_; }
 
  private:
-  bool accept(std::string_view event);
+  bool verify_event(std::string_view event);
 
   std::string expected_prefix_;
   int64_t next_offset_;
--- a/src/core/routing/router.cc
+++ b/src/core/routing/router.cc
@@ -10,8 +10,8 @@
 namespace {
 
 /// A group may hold this multiple of the mean load before affinity gives way to the next choice.
-constexpr double kLoadBound = 1.25;
-constexpr size_t kPrefixBytes = 512;
+constexpr double kMaxLoadToMeanRatio = 1.25;
+constexpr size_t kMaxPrefixBytes = 512;
 
 }  // namespace
 
@@ -28,7 +28,7 @@
 
 uint64_t hash_prefix(std::string_view tenant, std::string_view prompt) {
   const uint64_t salt = XXH3_64bits(tenant.data(), tenant.size());
-  const std::string_view head = prompt.substr(0, kPrefixBytes);
+  const std::string_view head = prompt.substr(0, kMaxPrefixBytes);
   return XXH3_64bits_withSeed(head.data(), head.size(), salt) | 1U;
 }
 
@@ -39,17 +39,17 @@
     lease.epoch = granted.epoch;
     lease.until = until;
     lease.reported_load = granted.load;
-    const auto own = outstanding_.find(granted.group_id);
-    lease.own_at_report = own == outstanding_.end() ? 0 : own->second;
+    const auto own_in_flight = in_flight_by_group_.find(granted.group_id);
+    lease.own_in_flight_at_report = own_in_flight == in_flight_by_group_.end() ? 0 : own_in_flight->second;
     renewed[granted.group_id] = lease;
   }
   leases_ = std::move(renewed);
 }
 
-void Router::finished(int64_t group_id) {
-  const auto found = outstanding_.find(group_id);
-  if (found != outstanding_.end() && --found->second <= 0) {
-    outstanding_.erase(found);
+void Router::record_completion(int64_t group_id) {
+  const auto found = in_flight_by_group_.find(group_id);
+  if (found != in_flight_by_group_.end() && --found->second <= 0) {
+    in_flight_by_group_.erase(found);
   }
 }
 
@@ -59,34 +59,34 @@
          now < lease->second.until;
 }
 
-size_t Router::leased_groups(TimePoint now) const {
+size_t Router::count_leased_groups(TimePoint now) const {
   return static_cast<size_t>(
       std::count_if(leases_.begin(), leases_.end(), [now](const auto& item) { return now < item.second.until; }));
 }
 
 int Router::estimated_load(int64_t group_id, const Lease& lease) const {
-  const auto own = outstanding_.find(group_id);
-  const int own_now = own == outstanding_.end() ? 0 : own->second;
+  const auto own_in_flight = in_flight_by_group_.find(group_id);
+  const int own_in_flight_now = own_in_flight == in_flight_by_group_.end() ? 0 : own_in_flight->second;
   // The report lags. What we had in flight when it came is in it (or soon will be); count our own part afresh.
-  return std::max(lease.reported_load - lease.own_at_report, 0) + own_now;
+  return std::max(lease.reported_load - lease.own_in_flight_at_report, 0) + own_in_flight_now;
 }
 
 RouteDecision Router::route(TimePoint now, const RouteQuery& query) {
   if (now >= configuration_lease_until_) {
     return {RouteVerdict::kNoConfigurationLease, nullptr};
   }
-  const TenantView* tenant = table_.find_tenant(query.tenant);
+  const TenantWithTemplate* tenant = table_.find_tenant(query.tenant);
   if (tenant == nullptr) {
     return {RouteVerdict::kUnknownTenant, nullptr};
   }
-  if (!tenant->has_template || tenant->shape.model != query.model) {
+  if (!tenant->has_template || tenant->tenant_template.model != query.model) {
     return {RouteVerdict::kUnknownModel, nullptr};
   }
   if (!tenant->permits_adapter(query.adapter)) {
     return {RouteVerdict::kAdapterNotPermitted, nullptr};
   }
   candidates_.clear();
-  for (const auto& group : table_.groups_of(tenant->tenant.template_name)) {
+  for (const auto& group : table_.serving_groups(tenant->tenant.template_name)) {
     const auto lease = leases_.find(group.id);
     const bool leased = lease != leases_.end() && lease->second.epoch == group.epoch && now < lease->second.until;
     const bool has_adapter = query.adapter.empty() || std::find(group.adapters.begin(), group.adapters.end(),
@@ -104,44 +104,46 @@
 const wire::Group* Router::choose(const std::vector<Candidate>& candidates, uint64_t prefix_hash) {
   switch (policy_) {
     case RoutingPolicy::kRoundRobin:
-      return candidates[next_++ % candidates.size()].group;
+      return candidates[next_round_robin_index_++ % candidates.size()].group;
     case RoutingPolicy::kLeastLoad:
       return std::min_element(candidates.begin(), candidates.end(),
                               [](const auto& left, const auto& right) { return left.load < right.load; })
           ->group;
     case RoutingPolicy::kPowerOfTwo:
-      return choose_of_two(candidates);
+      return choose_less_loaded_of_two(candidates);
     case RoutingPolicy::kPrefixAffinity:
-      return prefix_hash == 0 ? choose_of_two(candidates) : choose_by_affinity(candidates, prefix_hash);
+      return prefix_hash == 0 ? choose_less_loaded_of_two(candidates)
+                              : choose_by_prefix_affinity(candidates, prefix_hash);
   }
   return candidates.front().group;
 }
 
-const wire::Group* Router::choose_of_two(const std::vector<Candidate>& candidates) {
+const wire::Group* Router::choose_less_loaded_of_two(const std::vector<Candidate>& candidates) {
   std::uniform_int_distribution<size_t> pick(0, candidates.size() - 1);
   const auto& first = candidates[pick(random_)];
   const auto& second = candidates[pick(random_)];
   return second.load < first.load ? second.group : first.group;
 }
 
-const wire::Group* Router::choose_by_affinity(const std::vector<Candidate>& candidates, uint64_t prefix_hash) {
+const wire::Group* Router::choose_by_prefix_affinity(const std::vector<Candidate>& candidates, uint64_t prefix_hash) {
   // Rendezvous hashing: every entry ranks the groups alike for a prefix without sharing any state; the load bound
   // sends what is too much for the first choice to the second, and so on.
   int total = 0;
   for (const auto& candidate : candidates) {
     total += candidate.load;
   }
-  const int bound = static_cast<int>(std::ceil(kLoadBound * (total + 1) / static_cast<double>(candidates.size())));
+  const int max_load =
+      static_cast<int>(std::ceil(kMaxLoadToMeanRatio * (total + 1) / static_cast<double>(candidates.size())));
   const wire::Group* best = candidates.front().group;
-  uint64_t best_weight = 0;
+  uint64_t best_rank = 0;
   for (const auto& candidate : candidates) {
-    if (candidate.load >= bound) {
+    if (candidate.load >= max_load) {
       continue;
     }
-    const uint64_t weight = XXH3_64bits_withSeed(&candidate.group->id, sizeof(candidate.group->id), prefix_hash);
-    if (weight >= best_weight) {
+    const uint64_t rank = XXH3_64bits_withSeed(&candidate.group->id, sizeof(candidate.group->id), prefix_hash);
+    if (rank >= best_rank) {
       best = candidate.group;
-      best_weight = weight;
+      best_rank = rank;
     }
   }
   return best;
--- a/src/core/routing/router.h
+++ b/src/core/routing/router.h
@@ -66,17 +66,17 @@
   /// Whether the lease for this epoch still holds; asked again right before bytes leave.
   bool may_dispatch(TimePoint now, int64_t group_id, int32_t epoch) const;
   /// A request went to the group, or came back from it: feeds the load estimate.
-  void dispatched(int64_t group_id) { ++outstanding_[group_id]; }
-  void finished(int64_t group_id);
+  void record_dispatch(int64_t group_id) { ++in_flight_by_group_[group_id]; }
+  void record_completion(int64_t group_id);
 
-  size_t leased_groups(TimePoint now) const;
+  size_t count_leased_groups(TimePoint now) const;
 
  private:
   struct Lease {
     int32_t epoch = 0;
     TimePoint until{};
     int reported_load = 0;
-    int own_at_report = 0;
+    int own_in_flight_at_report = 0;
   };
 
   struct Candidate {
@@ -86,16 +86,16 @@
 
   int estimated_load(int64_t group_id, const Lease& lease) const;
   const wire::Group* choose(const std::vector<Candidate>& candidates, uint64_t prefix_hash);
-  static const wire::Group* choose_by_affinity(const std::vector<Candidate>& candidates, uint64_t prefix_hash);
-  const wire::Group* choose_of_two(const std::vector<Candidate>& candidates);
+  static const wire::Group* choose_by_prefix_affinity(const std::vector<Candidate>& candidates, uint64_t prefix_hash);
+  const wire::Group* choose_less_loaded_of_two(const std::vector<Candidate>& candidates);
 
   RoutingPolicy policy_;
   std::mt19937_64 random_;
   RoutingTable table_;
   TimePoint configuration_lease_until_ = TimePoint::min();
   std::unordered_map<int64_t, Lease> leases_;
-  std::unordered_map<int64_t, int> outstanding_;
-  size_t next_ = 0;
+  std::unordered_map<int64_t, int> in_flight_by_group_;
+  size_t next_round_robin_index_ = 0;
   std::vector<Candidate> candidates_;  ///< Kept between calls for its memory only.
 };
 
--- a/src/core/routing/routing_table.cc
+++ b/src/core/routing/routing_table.cc
@@ -5,23 +5,24 @@
 
 namespace larchlever::routing {
 
-bool TenantView::permits_zone(const std::string& zone) const {
+bool TenantWithTemplate::permits_zone(const std::string& zone) const {
   return std::find(tenant.zones.begin(), tenant.zones.end(), zone) != tenant.zones.end();
 }
 
-bool TenantView::permits_adapter(const std::string& adapter) const {
+bool TenantWithTemplate::permits_adapter(const std::string& adapter) const {
   return adapter.empty() || std::find(tenant.adapters.begin(), tenant.adapters.end(), adapter) != tenant.adapters.end();
 }
 
-wire::RepeatPolicy::type TenantView::repeat_policy() const {
-  return tenant.__isset.repeat ? tenant.repeat : shape.repeat;
+wire::RepeatPolicy::type TenantWithTemplate::repeat_policy() const {
+  return tenant.__isset.repeat ? tenant.repeat : tenant_template.repeat;
 }
 
 RoutingTable::RoutingTable(const config::RecordTable& records) {
   for (auto& tenant : config::read_all<wire::Tenant>(records, config::kTenantPrefix)) {
-    TenantView view;
-    if (auto shape = config::read_value<wire::Template>(records, config::template_key(tenant.template_name))) {
-      view.shape = std::move(*shape);
+    TenantWithTemplate view;
+    if (auto tenant_template =
+            config::read_value<wire::Template>(records, config::template_key(tenant.template_name))) {
+      view.tenant_template = std::move(*tenant_template);
       view.has_template = true;
     }
     view.tenant = tenant;
@@ -29,7 +30,7 @@
   }
   for (auto& group : config::read_all<wire::Group>(records, config::kGroupPrefix)) {
     if (group.state == wire::GroupState::SERVING) {
-      groups_[group.template_name].push_back(std::move(group));
+      serving_groups_by_template_[group.template_name].push_back(std::move(group));
     }
   }
   services_ = config::read_all<wire::Service>(records, config::kServicePrefix);
@@ -38,15 +39,15 @@
   });
 }
 
-const TenantView* RoutingTable::find_tenant(const std::string& name) const {
+const TenantWithTemplate* RoutingTable::find_tenant(const std::string& name) const {
   const auto found = tenants_.find(name);
   return found == tenants_.end() ? nullptr : &found->second;
 }
 
-const std::vector<wire::Group>& RoutingTable::groups_of(const std::string& template_name) const {
+const std::vector<wire::Group>& RoutingTable::serving_groups(const std::string& template_name) const {
   static const std::vector<wire::Group> none;
-  const auto found = groups_.find(template_name);
-  return found == groups_.end() ? none : found->second;
+  const auto found = serving_groups_by_template_.find(template_name);
+  return found == serving_groups_by_template_.end() ? none : found->second;
 }
 
 const wire::Service* RoutingTable::find_service(std::string_view path) const {
@@ -65,7 +66,7 @@
   std::set<std::string> models;
   for (const auto& [name, view] : tenants_) {
     if (view.has_template) {
-      models.insert(view.shape.model);
+      models.insert(view.tenant_template.model);
     }
   }
   return {models.begin(), models.end()};
--- a/src/core/routing/routing_table.h
+++ b/src/core/routing/routing_table.h
@@ -11,9 +11,9 @@
 namespace larchlever::routing {
 
 /// A tenant together with the template it uses.
-struct TenantView {
+struct TenantWithTemplate {
   wire::Tenant tenant;
-  wire::Template shape;
+  wire::Template tenant_template;
   bool has_template = false;
 
   bool permits_zone(const std::string& zone) const;
@@ -28,16 +28,16 @@
   RoutingTable() = default;
   explicit RoutingTable(const config::RecordTable& records);
 
-  const TenantView* find_tenant(const std::string& name) const;
-  const std::vector<wire::Group>& groups_of(const std::string& template_name) const;
+  const TenantWithTemplate* find_tenant(const std::string& name) const;
+  const std::vector<wire::Group>& serving_groups(const std::string& template_name) const;
   /// The service with the longest path prefix of `path`, or null.
   const wire::Service* find_service(std::string_view path) const;
-  const std::map<std::string, TenantView>& tenants() const { return tenants_; }
+  const std::map<std::string, TenantWithTemplate>& tenants() const { return tenants_; }
   std::vector<std::string> models() const;
 
  private:
-  std::map<std::string, TenantView> tenants_;
-  std::map<std::string, std::vector<wire::Group>> groups_;
+  std::map<std::string, TenantWithTemplate> tenants_;
+  std::map<std::string, std::vector<wire::Group>> serving_groups_by_template_;
   std::vector<wire::Service> services_;
 };
 
--- a/src/emulator/emulated_machine.cc
+++ b/src/emulator/emulated_machine.cc
@@ -53,11 +53,11 @@
 
 /// Everything that the model reads, as one text.
 std::string prompt_of(const json::object& body) {
-  std::string prompt = text_field(body, "prompt");
+  std::string prompt = string_field(body, "prompt");
   if (const auto* messages = body.if_contains("messages"); messages != nullptr && messages->is_array()) {
     for (const auto& message : messages->as_array()) {
       if (message.is_object()) {
-        prompt += text_field(message.as_object(), "role") + ":" + text_field(message.as_object(), "content") + "\n";
+        prompt += string_field(message.as_object(), "role") + ":" + string_field(message.as_object(), "content") + "\n";
       }
     }
   }
@@ -245,7 +245,7 @@
   }
   newest_epoch_ = epoch;
   newest_term_ = term;
-  const std::string kind = text_field(order, "kind");
+  const std::string kind = string_field(order, "kind");
   if (kind == "release") {
     if (epoch_ == epoch || options_.kind != "fenced") {
       fail_streams();
@@ -263,7 +263,7 @@
       group_id_ = integer_field(order, "group", 0);
       epoch_ = epoch;
       rank_ = static_cast<int>(integer_field(order, "rank", 0));
-      wanted_weights_ = text_field(order, "model") + "@" + text_field(order, "version");
+      wanted_weights_ = string_field(order, "model") + "@" + string_field(order, "version");
       members_.clear();
       if (const auto* members = order.if_contains("members"); members != nullptr && members->is_array()) {
         for (const auto& member : members->as_array()) {
@@ -386,7 +386,7 @@
   execution.machine = options_.id;
   execution.zone = options_.zone;
   execution.tenant = std::string(request.headers.find("x-tenant"));
-  execution.tag = text_field(body, "user");
+  execution.tag = string_field(body, "user");
   const size_t position = log_.start(std::move(execution));
 
   auto stream = std::make_shared<Stream>(executor_);
--- a/src/load/load_generator.cc
+++ b/src/load/load_generator.cc
@@ -205,7 +205,7 @@
     report_.not_run += record.outcome == "not-run" ? 1 : 0;
     report_.unknown += record.outcome == "unknown" ? 1 : 0;
     report_.refused_after_loss += work.earlier_outcome != requests::Outcome::kNotRun && record.status >= 400 ? 1 : 0;
-    work.earlier_outcome = requests::combined(work.earlier_outcome, outcome_of(record));
+    work.earlier_outcome = requests::combine_outcomes(work.earlier_outcome, outcome_of(record));
     // With a key the node must know by itself.
     if (work.key.empty() && work.earlier_outcome != requests::Outcome::kNotRun) {
       work.request.headers.set("Larchlever-Earlier-Outcome", std::string(requests::to_string(work.earlier_outcome)));
--- a/src/node/metrics.cc
+++ b/src/node/metrics.cc
@@ -85,7 +85,7 @@
   metrics.add_gauge("configuration_revision", "Configuration revision in use",
                     static_cast<double>(entry.revision().value()));
   metrics.add_gauge("leased_groups", "Groups this node may dispatch to",
-                    static_cast<double>(entry.router().leased_groups(now)));
+                    static_cast<double>(entry.router().count_leased_groups(now)));
   metrics.add_counter("heartbeats_sent_total", "Heartbeats sent to the leader", entry.stats().heartbeats_sent);
   metrics.add_counter("heartbeat_replies_total", "Heartbeat replies accepted from the leader", entry.stats().replies);
   metrics.add_counter("leader_changes_total", "Leader changes observed", entry.stats().leader_changes);
--- a/src/node/model_request.cc
+++ b/src/node/model_request.cc
@@ -23,10 +23,10 @@
     return false;
   }
   for (const auto& message : messages->as_array()) {
-    if (!message.is_object() || text_field(message.as_object(), "role").empty()) {
+    if (!message.is_object() || string_field(message.as_object(), "role").empty()) {
       return false;
     }
-    prompt += text_field(message.as_object(), "role") + ":" + text_field(message.as_object(), "content") + "\n";
+    prompt += string_field(message.as_object(), "role") + ":" + string_field(message.as_object(), "content") + "\n";
   }
   return true;
 }
@@ -74,14 +74,14 @@
     return reject_request(problem, 403, "unknown tenant '" + model_request.tenant + "'",
                           "set the Larchlever-Tenant header to a tenant that your operator has configured");
   }
-  const std::string model = text_field(body, "model");
+  const std::string model = string_field(body, "model");
   const size_t colon = model.find(':');
   model_request.model = model.substr(0, colon);
   model_request.adapter = colon == std::string::npos ? "" : model.substr(colon + 1);
   if (model_request.model.empty()) {
     return reject_request(problem, 400, "the model is missing", "set \"model\" to MODEL or MODEL:ADAPTER");
   }
-  model_request.prompt = text_field(body, "prompt");
+  model_request.prompt = string_field(body, "prompt");
   const bool has_prompt =
       model_request.is_chat ? append_messages(body, model_request.prompt) : !model_request.prompt.empty();
   if (!has_prompt) {
--- a/src/node/model_request_handler.cc
+++ b/src/node/model_request_handler.cc
@@ -100,7 +100,7 @@
   context->queue_deadline = context->started + limits.queue_timeout;
   context->request_id = runtime_.settings().name + "-" + std::to_string(entry.identity().incarnation.value()) + "-" +
                         std::to_string(next_request_number_++);
-  retry_budget_.request_started(context->model_request.tenant);
+  retry_budget_.record_request(context->model_request.tenant);
   const std::weak_ptr<RequestContext> weak_context = context;
   exchange.watch_caller([weak_context] {
     if (const auto locked_context = weak_context.lock()) {
@@ -245,11 +245,11 @@
     return router.may_dispatch(NodeRuntime::now(), id, epoch) && tenant != nullptr && tenant->permits_zone(zone) &&
            !context.caller_disconnected;
   };
-  router.dispatched(group.id);
+  router.record_dispatch(group.id);
   auto opened = co_await runtime_.client().open(group.endpoint, request, options);
   AttemptStatus result;
   if (opened.stream == nullptr) {
-    router.finished(group.id);
+    router.record_completion(group.id);
     result.result = opened.state == net::SendState::kNotSent ? AttemptResult::kNotSent : AttemptResult::kLostAfterSend;
     result.reason = opened.error;
     co_return result;
@@ -257,7 +257,7 @@
   const auto& head = opened.stream->head();
   const bool is_same_request = head.headers.find("x-request-id") == context.request_id;
   if (head.status != 200 || !is_same_request) {
-    router.finished(group.id);
+    router.record_completion(group.id);
     const bool was_not_started = head.status != 200 && head.headers.find("x-engine-started") == "no";
     stats_.wrong_or_misordered_responses += head.status == 200 ? 1 : 0;
     result.result = was_not_started ? AttemptResult::kRefusedUnstarted : AttemptResult::kLostAfterSend;
@@ -269,7 +269,7 @@
   context.upstream_stream = opened.stream.get();
   result = co_await relay_stream(context, *opened.stream);
   context.upstream_stream = nullptr;
-  router.finished(group.id);
+  router.record_completion(group.id);
   co_return result;
 }
 
--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -268,8 +268,8 @@
   const auto listed = listed_machines_.find(target.machine);
   const bool location_mismatch =
       listed != listed_machines_.end() &&
-      (text_field(state, "zone") != listed->second.zone || text_field(state, "domain") != listed->second.domain);
-  if (text_field(state, "machine") != target.machine || location_mismatch) {
+      (string_field(state, "zone") != listed->second.zone || string_field(state, "domain") != listed->second.domain);
+  if (string_field(state, "machine") != target.machine || location_mismatch) {
     // Another machine answers at this address, or the machine is not where the platform lists it. It does not count as
     // seen.
     ++stats_.poll_mismatches;
@@ -306,13 +306,13 @@
         }
         const auto& member = item.as_object();
         wire::Machine machine;
-        machine.id = text_field(member, "id");
-        machine.endpoint = text_field(member, "address");
-        machine.zone = text_field(member, "zone");
-        machine.domain = text_field(member, "domain");
+        machine.id = string_field(member, "id");
+        machine.endpoint = string_field(member, "address");
+        machine.zone = string_field(member, "zone");
+        machine.domain = string_field(member, "domain");
         machine.accelerators = static_cast<int32_t>(integer_field(member, "accelerators"));
-        machine.checks_fences = !settings_.kinds_without_fences.contains(text_field(member, "kind"));
-        machine.leaving = text_field(member, "state") == "leaving";
+        machine.checks_fences = !settings_.kinds_without_fences.contains(string_field(member, "kind"));
+        machine.leaving = string_field(member, "state") == "leaving";
         if (machine.leaving) {
           leaving.insert(machine.endpoint);
         }
--- a/src/node/outcome_header.h
+++ b/src/node/outcome_header.h
@@ -15,7 +15,7 @@
 /// header links attempts. "not-run" refers to the request as a whole, so a refused attempt must not hide that an
 /// earlier one ran.
 inline requests::Outcome outcome_for_caller(const net::HttpRequest& request, requests::Outcome attempt) {
-  return requests::combined(requests::parse_outcome(request.headers.find(kEarlierOutcomeHeader)), attempt);
+  return requests::combine_outcomes(requests::parse_outcome(request.headers.find(kEarlierOutcomeHeader)), attempt);
 }
 
 }  // namespace larchlever::node
--- a/src/node/problem_responses.cc
+++ b/src/node/problem_responses.cc
@@ -54,7 +54,7 @@
   response.headers.add("Content-Type", "application/problem+json");
   response.headers.add("Larchlever-Outcome", std::string(requests::to_string(outcome)));
   if (problem.retry_after_seconds > 0) {
-    response.headers.add("Retry-After", requests::retry_after_text(seconds(problem.retry_after_seconds)));
+    response.headers.add("Retry-After", requests::format_retry_after(seconds(problem.retry_after_seconds)));
   }
   response.body = json::serialize(to_problem_json(problem, outcome));
   co_await exchange.respond(std::move(response));
--- a/src/node/relayed_request.h
+++ b/src/node/relayed_request.h
@@ -59,7 +59,7 @@
   /// Time from sending to the first event, as predicted by the leader that granted the slot; zero if this entry chose
   /// the target itself.
   Duration expected_first_event_delay{};
-  requests::EventStream event_stream;
+  requests::EventStreamSplitter event_stream;
   bool response_started = false;
   /// When the first event or the complete response arrived.
   TimePoint first_event_at{};
--- a/src/node/request_completion.cc
+++ b/src/node/request_completion.cc
@@ -32,7 +32,8 @@
        {"route", request.route == nullptr ? "" : request.route->name},
        {"model", request.model},
        {"aim_ms", request.route == nullptr ? "" : std::to_string(request.route->target_latency / milliseconds(1))},
-       {"aim_pause_ms", request.route == nullptr ? "" : std::to_string(request.route->target_gap / milliseconds(1))},
+       {"aim_pause_ms",
+        request.route == nullptr ? "" : std::to_string(request.route->target_event_gap / milliseconds(1))},
        {"status", std::to_string(status)},
        {"held_ms", std::to_string(elapsed_ms)},
        {"first_ms", std::to_string(first_event_ms)},
@@ -53,7 +54,7 @@
   const auto outcome = outcome_for_caller(request.exchange->request(), requests::Outcome::kNotRun);
   response.headers.add("Larchlever-Outcome", std::string(requests::to_string(outcome)));
   if (refusal.retry_after > Duration::zero()) {
-    response.headers.add("Retry-After", requests::retry_after_text(refusal.retry_after));
+    response.headers.add("Retry-After", requests::format_retry_after(refusal.retry_after));
   }
   response.body = "{\"status\":" + std::to_string(refusal.status) + ",\"title\":\"" + refusal.title + "\"}";
   const bool is_retryable =
--- a/src/node/request_relay.cc
+++ b/src/node/request_relay.cc
@@ -111,8 +111,8 @@
         http_status::kForbidden, "route and tenant have no region in common; correct their allowed_regions", {}};
   }
   request.fingerprint =
-      requests::fingerprint_of({request.tenant == nullptr ? "" : request.tenant->name, incoming.headers.find("host"),
-                                incoming.method, incoming.target, incoming.body});
+      requests::compute_fingerprint({request.tenant == nullptr ? "" : request.tenant->name,
+                                     incoming.headers.find("host"), incoming.method, incoming.target, incoming.body});
   const auto& services = request.routes->document().services;
   request.service = &services.at(state_.dispatcher.choose_service(*request.route));
   Duration allowed_time = request.route->timeout;
@@ -138,8 +138,9 @@
   const auto hint = parse_number(headers.find(dialect_.length_hint_header));
   request.prompt_tokens = static_cast<double>(prompt.value_or(0));
   if (prompt && (hint || max_output)) {
-    const engine::RequestSizes sizes{static_cast<double>(*prompt), static_cast<double>(hint ? *hint : *max_output)};
-    state_.dispatcher.record_gap_objective(request.service->name, request.model, request.route->target_gap);
+    const engine::RequestTokenCounts sizes{static_cast<double>(*prompt),
+                                           static_cast<double>(hint ? *hint : *max_output)};
+    state_.dispatcher.record_gap_objective(request.service->name, request.model, request.route->target_event_gap);
     state_.dispatcher.record_demand(request.service->name, {request.model, request.route->target_latency, sizes.prompt},
                                     sizes);
   }
@@ -190,7 +191,7 @@
       // A server may run a request to the end after its connection was lost. Unless it is proved otherwise, the attempt
       // therefore counts against the route's maximum.
       ++request.possible_runs;
-      const bool may_run_again = request.route->may_repeat() && request.possible_runs < request.route->max_attempts;
+      const bool may_run_again = request.route->is_retry_safe() && request.possible_runs < request.route->max_attempts;
       if (!may_run_again) {
         co_await completion_.send_failure(request);
         co_return;
@@ -279,7 +280,7 @@
 
 std::chrono::milliseconds RequestRelay::read_timeout(const RelayedRequest& request, TimePoint now) const {
   const Duration left = request.deadline - now;
-  if (request.route->repeatability != document::Repeatability::kStreaming || !request.route->may_repeat()) {
+  if (request.route->route_type != document::RouteType::kStreaming || !request.route->is_retry_safe()) {
     return to_milliseconds(left);
   }
   return to_milliseconds(request.event_stream.last_id() ? std::min(left, kMaxStreamGap) : left);
@@ -345,7 +346,7 @@
   }
   request.cancellation->set_action([stream = opened.stream.get()] { stream->close(); });
   const ScopeExit clear_cancellation([cancellation = request.cancellation] { cancellation->set_action(nullptr); });
-  const bool is_stream = request.route->repeatability == document::Repeatability::kStreaming && is_success(head.status);
+  const bool is_stream = request.route->route_type == document::RouteType::kStreaming && is_success(head.status);
   if (is_stream) {
     co_return co_await relay_events(request, target, *opened.stream);
   }
@@ -362,7 +363,7 @@
   // be told from a truncation.
   const bool may_stream_early = is_success(response.status) && response.headers.contains(dialect_.signature_header) &&
                                 !request.response_started && !stream.delimited_by_close();
-  requests::BufferShare buffer_share(response_buffers_);
+  requests::BufferReservation buffer_share(response_buffers_);
   while (true) {
     const TimePoint now = monotonic_now();
     if (now >= request.deadline) {
@@ -401,7 +402,7 @@
   if (unsigned_success) {
     co_return DispatchResult::kMayHaveRun;
   }
-  const bool should_retry = response.status >= 500 && request.route->may_repeat() && !request.response_started &&
+  const bool should_retry = response.status >= 500 && request.route->is_retry_safe() && !request.response_started &&
                             request.possible_runs + 1 < request.route->max_attempts &&
                             may_retry(request, monotonic_now());
   if (should_retry) {
@@ -470,7 +471,8 @@
   if (!request.load_mark.is_streaming) {
     state_.dispatcher.note_first_event(now, target, request.load_mark);
     if (request.expected_first_event_delay > Duration::zero()) {
-      state_.first_event_excess[request.model].note(now, now - request.sent_at - request.expected_first_event_delay);
+      state_.first_event_excess[request.model].add_sample(now,
+                                                          now - request.sent_at - request.expected_first_event_delay);
     }
   }
   if (request.response_started) {
@@ -497,7 +499,7 @@
       break;
     }
     note_chunk(request, target, monotonic_now());
-    const std::string events = request.event_stream.take(chunk);
+    const std::string events = request.event_stream.feed(chunk);
     if (events.empty()) {
       continue;
     }
--- a/src/node/server_notices.cc
+++ b/src/node/server_notices.cc
@@ -14,12 +14,12 @@
 
 void record_retry_after(EntryState& state, const fleet::DispatchTarget& target, std::string_view value) {
   const auto retry_after = requests::parse_retry_after(value);
-  state.dispatcher.note_retry_after(monotonic_now(), target, retry_after.rest);
+  state.dispatcher.note_retry_after(monotonic_now(), target, retry_after.delay);
   log_event("", "server_asked_for_rest",
             {{"instance", target.incarnation},
-             {"rest_ms", std::to_string(retry_after.rest / milliseconds(1))},
+             {"rest_ms", std::to_string(retry_after.delay / milliseconds(1))},
              {"value", std::string(value)},
-             {"is_exact", retry_after.reading == requests::RetryAfterReading::kExact ? "yes" : "no"}});
+             {"is_exact", retry_after.parse_status == requests::RetryAfterParseStatus::kExact ? "yes" : "no"}});
 }
 
 void record_leaving(EntryState& state, const fleet::DispatchTarget& target, std::string_view value) {
@@ -70,7 +70,7 @@
               {{"instance", target.incarnation},
                {"per_second", std::to_string(*limit.per_second)},
                {"value", std::string(values.front())},
-               {"is_exact", limit.reading == requests::ServerLimitReading::kExact ? "yes" : "no"}});
+               {"is_exact", limit.parse_status == requests::ServerLimitParseStatus::kExact ? "yes" : "no"}});
   }
 }
 
--- a/src/node/service_request_handler.cc
+++ b/src/node/service_request_handler.cc
@@ -87,7 +87,7 @@
       co_return;
     }
   }
-  retry_budget_.request_started(context.key_claim.tenant);
+  retry_budget_.record_request(context.key_claim.tenant);
   co_await run_attempts(context);
   stats_.count_outcome(context.outcome);
   if (context.has_claim) {
--- a/src/node/slot_requester.cc
+++ b/src/node/slot_requester.cc
@@ -51,10 +51,10 @@
     : executor_(std::move(executor)), state_(state), send_(std::move(send)), alive_(std::make_shared<bool>(true)) {}
 
 milliseconds SlotRequester::response_timeout() const {
-  if (!response_latency_.is_measured()) {
+  if (!response_latency_.has_samples()) {
     return kInitialResponseTimeout;
   }
-  const auto measured = duration_cast<milliseconds>(response_latency_.upper(kTimeoutDeviations));
+  const auto measured = duration_cast<milliseconds>(response_latency_.upper_bound(kTimeoutDeviations));
   return std::clamp(measured, kMinResponseTimeout, kMaxResponseTimeout);
 }
 
@@ -134,7 +134,7 @@
     }
     PendingRequest& pending_request = *found->second;
     if (pending_request.grant.verdict == wire::SlotVerdict::UNDECIDED) {
-      response_latency_.note(monotonic_now() - pending_request.asked_at);
+      response_latency_.add_sample(monotonic_now() - pending_request.asked_at);
     }
     pending_request.grant = grant;
     pending_request.is_answered = true;
--- a/src/node/target_finder.cc
+++ b/src/node/target_finder.cc
@@ -99,7 +99,7 @@
     const Duration remaining_time = request.admitted_at + objective - now - allowance;
     slot_request.first_event_ms = std::max(1, to_milliseconds(remaining_time));
   }
-  slot_request.gap_ms = to_milliseconds(request.route->target_gap);
+  slot_request.gap_ms = to_milliseconds(request.route->target_event_gap);
   const bool has_tenant_priority = request.tenant != nullptr && request.tenant->priority >= 0;
   slot_request.priority = has_tenant_priority ? request.tenant->priority : request.route->priority;
   slot_request.patience_ms = std::max(0, to_milliseconds(wait_until - now));
@@ -127,8 +127,8 @@
   const TimePoint now = monotonic_now();
   auto target = state_.dispatcher.target_of_group(now, grant.group);
   // A leader running an earlier version ignores home regions.
-  const bool is_usable =
-      target && state_.dispatcher.may_send(now, *target) && document::are_allowed(home_zones(request), target->zones);
+  const bool is_usable = target && state_.dispatcher.may_send(now, *target) &&
+                         document::all_zones_allowed(home_zones(request), target->zones);
   if (!is_usable) {
     slot_requester_.note_load_change();  // Report that the slot is unused.
     co_return std::nullopt;
--- a/src/simulation/routing_experiment.cc
+++ b/src/simulation/routing_experiment.cc
@@ -118,7 +118,7 @@
     query.prefix_hash = prefix * 0x9E3779B97F4A7C15ULL | 1U;
     const auto decision = routers_[static_cast<size_t>(entry)].route(queue_.now(), query);
     const auto group = static_cast<int>(decision.group->id) - 1;
-    routers_[static_cast<size_t>(entry)].dispatched(group + 1);
+    routers_[static_cast<size_t>(entry)].record_dispatch(group + 1);
     emulator::EngineRequest work;
     work.id = next_++;
     work.prompt_tokens = kPrefixBlocks * kTokensPerBlock + std::uniform_int_distribution<int>(20, 200)(random_);
@@ -159,7 +159,7 @@
     request.started = true;
     request.last = queue_.now();
     if (token.last) {
-      routers_[static_cast<size_t>(request.entry)].finished(request.group + 1);
+      routers_[static_cast<size_t>(request.entry)].record_completion(request.group + 1);
       requests_.erase(found);
     }
   }
--- a/src/simulation/workload.cc
+++ b/src/simulation/workload.cc
@@ -127,14 +127,14 @@
   resend_later(request);
 }
 
-void Workload::plant_dispatch_defects(const routing::Router& router, const routing::TenantView* tenant,
+void Workload::plant_dispatch_defects(const routing::Router& router, const routing::TenantWithTemplate* tenant,
                                       routing::RouteDecision& decision) {
   const auto& defects = fleet_.options().defects;
   const bool dispatches = decision.verdict == routing::RouteVerdict::kDispatch;
   if (tenant == nullptr || !(defects.entries_ignore_zones || (defects.entries_ignore_leases && !dispatches))) {
     return;
   }
-  const auto& groups = router.table().groups_of(tenant->tenant.template_name);
+  const auto& groups = router.table().serving_groups(tenant->tenant.template_name);
   const auto usable = std::find_if(groups.begin(), groups.end(), [&](const auto& group) {
     return defects.entries_ignore_zones || tenant->permits_zone(group.zone);
   });
@@ -148,7 +148,7 @@
   routing::RouteQuery query;
   query.tenant = request->tenant;
   const auto* view = router.table().find_tenant(request->tenant);
-  query.model = view == nullptr ? "" : view->shape.model;
+  query.model = view == nullptr ? "" : view->tenant_template.model;
   query.excluded = request->tried;
   auto decision = router.route(fleet_.local_now(node), query);
   plant_dispatch_defects(router, view, decision);
@@ -159,12 +159,12 @@
   const wire::Group group = *decision.group;
   request->tried.insert(group.id);
   --request->attempts_left;
-  router.dispatched(group.id);
+  router.record_dispatch(group.id);
   const std::string name = node.name;
   fleet_.run_request(node, group, request->tenant, request->id, request->key, options_.service_time,
                      [this, name, request, id = group.id](SimulatedFleet::RunResult result) {
                        SimulatedNode& entry = fleet_.nodes().at(name);
-                       entry.controller->entry().router().finished(id);
+                       entry.controller->entry().router().record_completion(id);
                        if (result == SimulatedFleet::RunResult::kRan) {
                          finish(entry, request, wire::ClaimState::RAN);
                        } else if (result == SimulatedFleet::RunResult::kRefused && request->attempts_left > 0) {
--- a/src/simulation/workload.h
+++ b/src/simulation/workload.h
@@ -67,7 +67,7 @@
   SimulatedNode* any_node();
   void send(SimulatedNode& node, const RequestPointer& request);
   void dispatch(SimulatedNode& node, const RequestPointer& request);
-  void plant_dispatch_defects(const routing::Router& router, const routing::TenantView* tenant,
+  void plant_dispatch_defects(const routing::Router& router, const routing::TenantWithTemplate* tenant,
                               routing::RouteDecision& decision);
   void finish(SimulatedNode& node, const RequestPointer& request, wire::ClaimState::type state);
   void resend_later(const RequestPointer& request);
--- a/tests/unit/home_regions_test.cc
+++ b/tests/unit/allowed_regions_test.cc
@@ -1,4 +1,4 @@
-#include "core/document/home_regions.h"
+#include "core/document/allowed_regions.h"
 
 #include <gtest/gtest.h>
 
@@ -11,54 +11,54 @@
 const TimePoint kStart = TimePoint(seconds(100));
 const ZoneRegions kRegions = {{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"c1", "c"}, {"x", ""}};
 
-Route route_at(std::vector<std::string> homes) {
+Route make_route(std::vector<std::string> regions) {
   Route route;
-  route.home_regions = std::move(homes);
+  route.allowed_regions = std::move(regions);
   return route;
 }
 
-TenantSpec tenant_at(std::vector<std::string> homes) {
+TenantSpec make_tenant(std::vector<std::string> regions) {
   TenantSpec tenant;
-  tenant.home_regions = std::move(homes);
+  tenant.allowed_regions = std::move(regions);
   return tenant;
 }
 
-TEST(HomeRegions, BindByRouteAndTenant) {
+TEST(AllowedRegions, RestrictZonesByRouteAndTenant) {
   using Zones = std::set<std::string>;
-  const auto nobody = tenant_at({});
-  const auto of_a_and_c = tenant_at({"a", "c"});
-  EXPECT_FALSE(allowed_zones(kRegions, route_at({}), &nobody));
-  EXPECT_FALSE(allowed_zones(kRegions, route_at({}), nullptr));
-  EXPECT_EQ(allowed_zones(kRegions, route_at({"a"}), nullptr), (Zones{"a1", "a2"}));
-  EXPECT_EQ(allowed_zones(kRegions, route_at({}), &of_a_and_c), (Zones{"a1", "a2", "c1"}));
-  EXPECT_EQ(allowed_zones(kRegions, route_at({"b", "c"}), &of_a_and_c), (Zones{"c1"}));
-  EXPECT_EQ(allowed_zones(kRegions, route_at({"b"}), &of_a_and_c), Zones{}) << "nowhere, not anywhere";
-  EXPECT_EQ(allowed_zones({}, route_at({"b"}), nullptr), Zones{}) << "no zone is known to be a home";
+  const auto unrestricted = make_tenant({});
+  const auto regions_a_and_c = make_tenant({"a", "c"});
+  EXPECT_FALSE(allowed_zones(kRegions, make_route({}), &unrestricted));
+  EXPECT_FALSE(allowed_zones(kRegions, make_route({}), nullptr));
+  EXPECT_EQ(allowed_zones(kRegions, make_route({"a"}), nullptr), (Zones{"a1", "a2"}));
+  EXPECT_EQ(allowed_zones(kRegions, make_route({}), &regions_a_and_c), (Zones{"a1", "a2", "c1"}));
+  EXPECT_EQ(allowed_zones(kRegions, make_route({"b", "c"}), &regions_a_and_c), (Zones{"c1"}));
+  EXPECT_EQ(allowed_zones(kRegions, make_route({"b"}), &regions_a_and_c), Zones{}) << "nowhere, not anywhere";
+  EXPECT_EQ(allowed_zones({}, make_route({"b"}), nullptr), Zones{}) << "no zone is known to be a home";
 }
 
-TEST(HomeRegions, NameThePlaceOfAnUnknownOne) {
+TEST(AllowedRegions, UnknownRegionErrorNamesTheField) {
   ConfigurationDocument document;
-  document.routes = {route_at({}), route_at({"a", "d"})};
+  document.routes = {make_route({}), make_route({"a", "d"})};
   const auto error = find_unknown_region(kRegions, document);
   ASSERT_TRUE(error);
   EXPECT_NE(error->message.find("routes[1].allowed_regions"), std::string::npos) << error->message;
   EXPECT_NE(error->message.find("a, b, c"), std::string::npos) << error->message;
   EXPECT_FALSE(find_unknown_region({{"a1", ""}}, document)) << "the settings name no regions";
   document.routes.clear();
-  document.tenants = {tenant_at({"b"}), tenant_at({"z"})};
+  document.tenants = {make_tenant({"b"}), make_tenant({"z"})};
   EXPECT_NE(find_unknown_region(kRegions, document)->message.find("tenants[1]"), std::string::npos);
 }
 
-TEST(HomeRegions, AreReadFromRoutesAndTenants) {
+TEST(AllowedRegions, ParsedFromRoutesAndTenants) {
   const auto parsed = parse_document(
       R"({"version":1,"services":[{"name":"s"}],"routes":[{"name":"r","host":"h","path_prefix":"/","timeout_ms":100,)"
       R"("service":"s","allowed_regions":["a"]}],"tenants":[{"name":"t","api_keys":["k"],"allowed_regions":["b"]}]})");
   ASSERT_NE(parsed.document, nullptr) << parsed.error.message;
-  EXPECT_EQ(parsed.document->routes[0].home_regions, std::vector<std::string>{"a"});
-  EXPECT_EQ(parsed.document->tenants->front().home_regions, std::vector<std::string>{"b"});
+  EXPECT_EQ(parsed.document->routes[0].allowed_regions, std::vector<std::string>{"a"});
+  EXPECT_EQ(parsed.document->tenants->front().allowed_regions, std::vector<std::string>{"b"});
 }
 
-wire::EngineGroup open_group(const std::string& name, const std::vector<std::string>& zones) {
+wire::EngineGroup make_open_group(const std::string& name, const std::vector<std::string>& zones) {
   wire::EngineGroup group;
   group.name = name;
   group.service_name = "s";
@@ -69,7 +69,7 @@
   return group;
 }
 
-ConfigurationDocument engine_document() {
+ConfigurationDocument make_engine_document() {
   ServiceSpec service;
   service.name = "s";
   auto& engine = service.engine.emplace();
@@ -81,19 +81,20 @@
 }
 
 // Requests bound to a full region wait; they hold up nobody who may run elsewhere.
-TEST(SlotScheduler, GrantsSlotsAtHomeAlone) {
+TEST(SlotScheduler, GrantsSlotsOnlyInAllowedZones) {
   fleet::SlotScheduler scheduler;
   scheduler.start(1);
-  scheduler.set_groups({open_group("home", {"a1"}), open_group("mixed", {"a1", "b1"}), open_group("away", {"b1"})});
-  const auto document = engine_document();
+  scheduler.set_groups(
+      {make_open_group("home", {"a1"}), make_open_group("mixed", {"a1", "b1"}), make_open_group("away", {"b1"})});
+  const auto document = make_engine_document();
   int64_t id = 0;
-  const auto ask = [&](bool is_bound) {
+  const auto request_slot = [&](bool is_restricted) {
     wire::SlotRequest request;
     request.id = ++id;
     request.service_name = "s";
     request.model = "m";
     request.patience_ms = 100;
-    if (is_bound) {
+    if (is_restricted) {
       request.__set_allowed_zones({"a1", "a2"});
     }
     scheduler.add_request(kStart, "n", request);
@@ -103,13 +104,13 @@
     }
     return grant;
   };
-  EXPECT_EQ(ask(true).group, "home");
-  EXPECT_EQ(ask(true).group, "home");
-  EXPECT_EQ(ask(true).verdict, wire::SlotVerdict::QUEUED) << "home is full";
-  EXPECT_EQ(ask(false).verdict, wire::SlotVerdict::GRANTED);
+  EXPECT_EQ(request_slot(true).group, "home");
+  EXPECT_EQ(request_slot(true).group, "home");
+  EXPECT_EQ(request_slot(true).verdict, wire::SlotVerdict::QUEUED) << "home is full";
+  EXPECT_EQ(request_slot(false).verdict, wire::SlotVerdict::GRANTED);
 }
 
-TEST(Dispatcher, ChoosesServersAtHomeAlone) {
+TEST(Dispatcher, ChoosesServersOnlyInAllowedZones) {
   fleet::Dispatcher dispatcher(fleet::FleetOptions(), "b1", 1);
   wire::FleetState state;
   for (const std::string zone : {"a1", "b1"}) {
@@ -120,16 +121,16 @@
     state.instances.push_back(instance);
   }
   dispatcher.update_state(state);
-  ServiceSpec plain;
-  plain.name = "plain";
-  const std::set<std::string> home = {"a1"};
-  const std::set<std::string> nowhere = {"c1"};
+  ServiceSpec plain_service;
+  plain_service.name = "plain";
+  const std::set<std::string> zone_a1 = {"a1"};
+  const std::set<std::string> zone_c1 = {"c1"};
   for (int number = 0; number < 20; ++number) {
-    const auto choice = dispatcher.choose_target(kStart, plain, {"", {}, 0, &home}, {});
+    const auto choice = dispatcher.choose_target(kStart, plain_service, {"", {}, 0, &zone_a1}, {});
     ASSERT_TRUE(choice.target);
     EXPECT_EQ(choice.target->instance_id, "p-a1");
   }
-  EXPECT_FALSE(dispatcher.choose_target(kStart, plain, {"", {}, 0, &nowhere}, {}).target);
+  EXPECT_FALSE(dispatcher.choose_target(kStart, plain_service, {"", {}, 0, &zone_c1}, {}).target);
 }
 
 }  // namespace
--- a/tests/unit/cold_start_test.cc
+++ b/tests/unit/cold_start_test.cc
@@ -107,11 +107,11 @@
 document::ConfigurationDocument engine_document() {
   document::ServiceSpec service;
   service.name = "s";
-  service.cold_requests_per_second = kColdRequestsPerSecond;
+  service.cold_server_requests_per_second = kColdRequestsPerSecond;
   auto& engine = service.engine.emplace();
   engine.slots = 1000;
   engine.step_ms = 10;
-  engine.read_tokens_per_second = 50'000;
+  engine.prefill_tokens_per_second = 50'000;
   engine.models.push_back({"m", 2, 1.0, 1.0, {}, {}});
   document::ConfigurationDocument document;
   document.services["s"] = service;
@@ -172,7 +172,7 @@
   dispatcher.update_state(state);
   document::ServiceSpec service;
   service.name = "s";
-  service.cold_requests_per_second = kColdRequestsPerSecond;
+  service.cold_server_requests_per_second = kColdRequestsPerSecond;
   int cold_requests = 0;
   for (TimePoint now = kStart; now < kStart + seconds(9); now += milliseconds(10)) {
     const auto choice = dispatcher.choose_target(now, service, {}, {});
--- a/tests/unit/document_test.cc
+++ b/tests/unit/document_test.cc
@@ -8,15 +8,15 @@
 namespace larchlever::document {
 namespace {
 
-TEST(FleetLog, StoresLargeDocumentsCompressedAndRestoresThem) {
+TEST(FleetLog, CompressesAndRestoresLargeDocuments) {
   std::string content = R"({"version":3,"routes":[],"services":[],"note":")";
   content += std::string(20'000, 'x') + "\"}";
   const auto packed = fleet::pack_document(3, content);
   EXPECT_LT(packed.compressed_content.size(), content.size() / 10);
   EXPECT_EQ(fleet::unpack_document(packed), content);
-  auto of_wrong_size = packed;
-  ++of_wrong_size.content_size;
-  EXPECT_FALSE(fleet::unpack_document(of_wrong_size));
+  auto wrong_size = packed;
+  ++wrong_size.content_size;
+  EXPECT_FALSE(fleet::unpack_document(wrong_size));
   auto damaged = packed;
   damaged.compressed_content.erase(0, 10);
   EXPECT_FALSE(fleet::unpack_document(damaged));
@@ -34,69 +34,71 @@
 
 constexpr const char* kServices = R"("services":[{"name":"s","health_path":"/h","max_connections":9}])";
 
-std::string document_with(const std::string& routes, const std::string& rest = "") {
-  return R"({"version":7,"unknown":{"x":1},"routes":[)" + routes + "]," + kServices + rest + "}";
+std::string document_json(const std::string& routes, const std::string& further_fields = "") {
+  return R"({"version":7,"unknown":{"x":1},"routes":[)" + routes + "]," + kServices + further_fields + "}";
 }
 
-std::string route(const std::string& prefix, const std::string& extra = R"("service":"s","timeout_ms":100)") {
-  return R"({"name":"r","host":"a.example","path_prefix":")" + prefix + R"(","type":"idempotent",)" + extra + "}";
+std::string route_json(const std::string& prefix, const std::string& fields = R"("service":"s","timeout_ms":100)") {
+  return R"({"name":"r","host":"a.example","path_prefix":")" + prefix + R"(","type":"idempotent",)" + fields + "}";
 }
 
-std::string fault_of(const std::string& text) {
+std::string error_of(const std::string& text) {
   const auto parsed = parse_document(text);
   return parsed.document == nullptr ? parsed.error.message : "";
 }
 
-TEST(Document, ReadsRoutesServicesLimitsAndTenants) {
-  const auto parsed = parse_document(document_with(
-      route("/a/", R"("backends":[{"service":"s","weight":3}],"timeout_ms":2500,"max_attempts":2,"priority":1)"),
+TEST(Document, ParsesRoutesServicesLimitsAndTenants) {
+  const auto parsed = parse_document(document_json(
+      route_json("/a/", R"("backends":[{"service":"s","weight":3}],"timeout_ms":2500,"max_attempts":2,"priority":1)"),
       R"(,"limits":{"max_body_bytes":100},"tenants":[{"name":"t","api_keys":["k1","k2"],"priority":0}])"));
   ASSERT_NE(parsed.document, nullptr) << parsed.error.message;
   EXPECT_EQ(parsed.document->version, 7);
   const auto& first = parsed.document->routes.front();
   EXPECT_EQ(first.timeout, milliseconds(2500));
-  EXPECT_TRUE(first.may_repeat());
+  EXPECT_TRUE(first.is_retry_safe());
   EXPECT_EQ(first.max_attempts, 2);
   EXPECT_EQ(parsed.document->limits.max_body_bytes, 100U);
   EXPECT_EQ(parsed.document->tenants->front().api_keys.size(), 2U);
 }
 
-TEST(Document, AStreamMayOnlyRepeatWhereItIsResumable) {
+TEST(Document, StreamIsRetrySafeOnlyIfResumable) {
   Route stream;
-  stream.repeatability = Repeatability::kStreaming;
-  EXPECT_FALSE(stream.may_repeat());
+  stream.route_type = RouteType::kStreaming;
+  EXPECT_FALSE(stream.is_retry_safe());
   stream.resumable = true;
-  EXPECT_TRUE(stream.may_repeat());
+  EXPECT_TRUE(stream.is_retry_safe());
 }
 
-TEST(Document, RefusesWhatIsInvalidAndNamesTheRemedy) {
-  EXPECT_NE(fault_of(document_with(route("/a/")).substr(0, 40)).find("send it whole"), std::string::npos);
-  EXPECT_NE(fault_of(document_with(route("/a/", R"("service":"x","timeout_ms":1)"))).find("unknown service 'x'"),
+TEST(Document, RejectsInvalidDocumentsWithARemedy) {
+  EXPECT_NE(error_of(document_json(route_json("/a/")).substr(0, 40)).find("send it whole"), std::string::npos);
+  EXPECT_NE(error_of(document_json(route_json("/a/", R"("service":"x","timeout_ms":1)"))).find("unknown service 'x'"),
             std::string::npos);
-  EXPECT_NE(fault_of(document_with(route("/a/") + "," + route("/a/"))).find("share host"), std::string::npos);
-  EXPECT_NE(fault_of(document_with(route("/a/", R"("backends":[{"service":"s","weight":0}],"timeout_ms":1)")))
+  EXPECT_NE(error_of(document_json(route_json("/a/") + "," + route_json("/a/"))).find("share host"), std::string::npos);
+  EXPECT_NE(error_of(document_json(route_json("/a/", R"("backends":[{"service":"s","weight":0}],"timeout_ms":1)")))
                 .find("add up to 0"),
             std::string::npos);
-  EXPECT_NE(fault_of(document_with(route("/a/", R"("service":"s","timeout_ms":0)"))).find("timeout_ms"),
+  EXPECT_NE(error_of(document_json(route_json("/a/", R"("service":"s","timeout_ms":0)"))).find("timeout_ms"),
             std::string::npos);
-  EXPECT_NE(fault_of(document_with(route("/a/"), R"(,"tenants":[{"name":"t","api_keys":["k"]},)"
-                                                 R"({"name":"u","api_keys":["k"]}])"))
+  EXPECT_NE(error_of(document_json(route_json("/a/"), R"(,"tenants":[{"name":"t","api_keys":["k"]},)"
+                                                      R"({"name":"u","api_keys":["k"]}])"))
                 .find("share a key"),
             std::string::npos);
-  EXPECT_NE(fault_of(R"({"routes":[]})").find("version"), std::string::npos);
-  EXPECT_NE(fault_of(R"({"version":1,"routes":7})").find("must be a list"), std::string::npos);
+  EXPECT_NE(error_of(R"({"routes":[]})").find("version"), std::string::npos);
+  EXPECT_NE(error_of(R"({"version":1,"routes":7})").find("must be a list"), std::string::npos);
 }
 
-TEST(Document, BringsNumbersIntoRange) {
-  const auto parsed = parse_document(document_with(
-      route("/a/", R"("service":"s","timeout_ms":1e300,"max_attempts":1e300)"), R"(,"limits":{"max_body_bytes":-5})"));
+TEST(Document, ClampsNumbersToTheSupportedRange) {
+  const auto parsed =
+      parse_document(document_json(route_json("/a/", R"("service":"s","timeout_ms":1e300,"max_attempts":1e300)"),
+                                   R"(,"limits":{"max_body_bytes":-5})"));
   ASSERT_NE(parsed.document, nullptr) << parsed.error.message;
   EXPECT_GT(parsed.document->routes.front().timeout, Duration::zero());
   EXPECT_EQ(parsed.document->limits.max_body_bytes, 0U);
 }
 
-TEST(RouteTable, FindsTheLongestPrefixOfTheHost) {
-  const auto parsed = parse_document(document_with(route("/") + "," + route("/a/") + "," + route("/a/b/")));
+TEST(RouteTable, FindsTheLongestMatchingPrefixOfAHost) {
+  const auto parsed =
+      parse_document(document_json(route_json("/") + "," + route_json("/a/") + "," + route_json("/a/b/")));
   ASSERT_NE(parsed.document, nullptr) << parsed.error.message;
   const RouteTable table(parsed.document);
   EXPECT_EQ(table.find_route("a.example", "/a/b/c")->path_prefix, "/a/b/");
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -557,28 +557,28 @@
   engine.slots = 26;
   engine.step_ms = 6;
   engine.per_sequence_ms = 0.24;
-  engine.read_tokens_per_second = 46'000;
+  engine.prefill_tokens_per_second = 46'000;
   engine.steps_per_pass = 5;
-  engine.chunk_tokens = 2048;
+  engine.prefill_chunk_tokens = 2048;
   const document::ModelSpec model{"m", 4, 1.0, 1.0, {}, {}};
-  const engine::RequestSizes sizes{1640, 87};
-  EXPECT_LT(engine::forecast(engine, model, sizes, 4).first_event,
-            engine::forecast(engine, model, sizes, 16).first_event);
+  const engine::RequestTokenCounts sizes{1640, 87};
+  EXPECT_LT(engine::forecast_steady_state(engine, model, sizes, 4).first_event,
+            engine::forecast_steady_state(engine, model, sizes, 16).first_event);
   // A pass reads one chunk per step: with 26 running requests, 2,450 of 10,240 tokens within 115 ms.
-  EXPECT_NEAR(engine::forecast(engine, model, sizes, 26).reading_load, 0.24, 0.01);
-  EXPECT_EQ(engine::most_running(engine, model, sizes, milliseconds(500)), 26);
-  engine.chunk_tokens = 2048 / 5;
-  const int max_running = engine::most_running(engine, model, sizes, milliseconds(500));
+  EXPECT_NEAR(engine::forecast_steady_state(engine, model, sizes, 26).prefill_load, 0.24, 0.01);
+  EXPECT_EQ(engine::max_running_requests(engine, model, sizes, milliseconds(500)), 26);
+  engine.prefill_chunk_tokens = 2048 / 5;
+  const int max_running = engine::max_running_requests(engine, model, sizes, milliseconds(500));
   EXPECT_GT(max_running, 8);
   EXPECT_LT(max_running, 20) << "reading prompts would not keep up";
-  EXPECT_EQ(engine::most_running(engine, model, sizes, milliseconds(1)), 1);
+  EXPECT_EQ(engine::max_running_requests(engine, model, sizes, milliseconds(1)), 1);
 }
 
 TEST(CostModel, SizeEstimateFollowsObservedRequests) {
-  engine::SizeEstimate estimate;
+  engine::RequestSizeEstimator estimate;
   EXPECT_EQ(estimate.sizes({10, 20}).prompt, 10);
   for (int count = 0; count < 500; ++count) {
-    estimate.note(1000, 100);
+    estimate.add_sample(1000, 100);
   }
   EXPECT_NEAR(estimate.sizes({10, 20}).prompt, 1000, 1);
 }
@@ -588,10 +588,10 @@
 TEST(EventStream, EmitsEachCompleteEventOnceForAnyChunkSize) {
   const std::string body = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
   for (size_t size = 1; size <= body.size(); ++size) {
-    requests::EventStream stream;
+    requests::EventStreamSplitter stream;
     std::string out;
     for (size_t begin = 0; begin < body.size(); begin += size) {
-      out += stream.take(std::string_view(body).substr(begin, size));
+      out += stream.feed(std::string_view(body).substr(begin, size));
     }
     EXPECT_EQ(out, body);
     EXPECT_EQ(stream.last_id(), 3);
@@ -600,11 +600,11 @@
 }
 
 TEST(EventStream, ContinuesAfterLastCompleteEvent) {
-  requests::EventStream stream;
-  EXPECT_EQ(stream.take("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
+  requests::EventStreamSplitter stream;
+  EXPECT_EQ(stream.feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
   stream.restart();
-  EXPECT_EQ(stream.take("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n") << "repeated events are dropped";
-  stream.take("id: 4\ndata: d\n\n");
+  EXPECT_EQ(stream.feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), "id: 2\ndata: b\n\n") << "repeated events are dropped";
+  stream.feed("id: 4\ndata: d\n\n");
   EXPECT_TRUE(stream.has_gap());
 }
 
--- a/tests/unit/group_crash_replay_test.cc
+++ b/tests/unit/group_crash_replay_test.cc
@@ -34,8 +34,8 @@
   engine.slots = 48;
   engine.step_ms = 8;
   engine.steps_per_pass = 5;
-  engine.chunk_tokens = 2000;
-  engine.read_tokens_per_second = 50'000;
+  engine.prefill_chunk_tokens = 2000;
+  engine.prefill_tokens_per_second = 50'000;
   engine.models.push_back({"m", 1, 1.0, 1.0, {}, {}});
   document::ConfigurationDocument document;
   document.services["s"] = service;
--- a/tests/unit/group_planner_test.cc
+++ b/tests/unit/group_planner_test.cc
@@ -211,8 +211,8 @@
 
 document::EngineSpec engine_with_load_limits() {
   document::EngineSpec engine;
-  engine.loads_per_second = 1;
-  engine.loads_at_once = 3;
+  engine.max_weight_loads_per_second = 1;
+  engine.max_concurrent_weight_loads = 3;
   return engine;
 }
 
--- a/tests/unit/group_supervisor_test.cc
+++ b/tests/unit/group_supervisor_test.cc
@@ -12,9 +12,9 @@
   service.name = "s";
   auto& engine = service.engine.emplace();
   engine.slots = 10;
-  engine.loads_at_once = 4;
-  engine.loads_per_second = 4;
-  engine.staged_per_host = 1;
+  engine.max_concurrent_weight_loads = 4;
+  engine.max_weight_loads_per_second = 4;
+  engine.max_staged_models_per_host = 1;
   engine.models.push_back({"large", 4, 1.0, 1.0, seconds(16), seconds(2)});
   document::ConfigurationDocument document;
   document.services["s"] = service;
@@ -74,7 +74,7 @@
     directory.handle_report(kStart, free);
   }
   auto document = document_with_engine();
-  document.services["s"].engine->loads_at_once = 8;
+  document.services["s"].engine->max_concurrent_weight_loads = 8;
   GroupSupervisor supervisor{FleetOptions()};
   supervisor.start(kStart, 3, {});
   for (int tick = 1; tick <= 20; ++tick) {
--- a/tests/unit/parser_fuzz_test.cc
+++ b/tests/unit/parser_fuzz_test.cc
@@ -19,29 +19,31 @@
 namespace {
 
 /// By hand for longer: LARCHLEVER_FUZZ_ROUNDS=N.
-int rounds() {
-  const char* given = std::getenv("LARCHLEVER_FUZZ_ROUNDS");
-  return given == nullptr ? 4000 : std::atoi(given);
+int fuzz_rounds() {
+  const char* rounds_text = std::getenv("LARCHLEVER_FUZZ_ROUNDS");
+  return rounds_text == nullptr ? 4000 : std::atoi(rounds_text);
 }
 
 /// A sample with some bytes changed, cut out, doubled or cut off.
 std::string mutate(std::string sample, std::mt19937_64& random) {
-  const auto below = [&random](size_t limit) { return std::uniform_int_distribution<size_t>(0, limit - 1)(random); };
-  const size_t changes = 1 + below(6);
+  const auto random_below = [&random](size_t limit) {
+    return std::uniform_int_distribution<size_t>(0, limit - 1)(random);
+  };
+  const size_t changes = 1 + random_below(6);
   for (size_t change = 0; change < changes && !sample.empty(); ++change) {
-    const size_t at = below(sample.size());
-    switch (below(4)) {
+    const size_t at = random_below(sample.size());
+    switch (random_below(4)) {
       case 0:
-        sample[at] = static_cast<char>(below(256));
+        sample[at] = static_cast<char>(random_below(256));
         break;
       case 1:
-        sample.erase(at, 1 + below(8));
+        sample.erase(at, 1 + random_below(8));
         break;
       case 2:
-        sample.insert(at, sample.substr(at, 1 + below(16)));
+        sample.insert(at, sample.substr(at, 1 + random_below(16)));
         break;
       default:
-        if (below(8) == 0) {
+        if (random_below(8) == 0) {
           sample.resize(at);
         }
         break;
@@ -52,7 +54,7 @@
 
 void fuzz(const std::string& sample, const std::function<void(const std::string&)>& parse) {
   std::mt19937_64 random(20261202);
-  const int count = rounds();
+  const int count = fuzz_rounds();
   for (int round = 0; round < count; ++round) {
     parse(mutate(sample, random));
   }
@@ -136,11 +138,11 @@
 }
 
 /// What another writer may send for a report: each field of a whole one missing, or of any other type or range.
-void expect_usable_or_named(const std::string& body) {
+void expect_valid_or_explained(const std::string& body) {
   const auto parsed = fleet::parse_registration("i1", body);
-  if (const auto* fault = std::get_if<fleet::MalformedReport>(&parsed)) {
-    EXPECT_FALSE(fault->field.empty()) << body;
-    EXPECT_FALSE(fault->message.empty()) << body;
+  if (const auto* malformed = std::get_if<fleet::MalformedReport>(&parsed)) {
+    EXPECT_FALSE(malformed->field.empty()) << body;
+    EXPECT_FALSE(malformed->message.empty()) << body;
     return;
   }
   const auto& report = std::get<wire::Instance>(parsed);
@@ -153,23 +155,23 @@
   EXPECT_NE(report.state, wire::InstanceState::GONE) << body;
 }
 
-TEST(ParserFuzz, RegistrationsOfAnotherWriter) {
-  const std::string whole =
+TEST(ParserFuzz, RegistrationsFromOtherImplementations) {
+  const std::string complete_report =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1","slots":8,"state":"ready","cold_left_ms":0,)"
       R"("call_seq":9,"born":1780000000000,"domain":"d1","staged":["m",{"name":"n"}],"models":[{"name":"m"}],)"
       R"("group":{"name":"g","epoch":12,"rank":1,"state":"open"}})";
-  fuzz(whole, expect_usable_or_named);
-  const boost::json::object report = boost::json::parse(whole).as_object();
-  const boost::json::array others = {
+  fuzz(complete_report, expect_valid_or_explained);
+  const boost::json::object report = boost::json::parse(complete_report).as_object();
+  const boost::json::array other_values = {
       nullptr, true, -1, 1.5, 1e300, "", "text", boost::json::array(), boost::json::object(), UINT64_MAX};
   for (const auto& field : report) {
-    auto lacking = report;
-    lacking.erase(field.key());
-    expect_usable_or_named(boost::json::serialize(lacking));
-    for (const auto& other : others) {
+    auto without_field = report;
+    without_field.erase(field.key());
+    expect_valid_or_explained(boost::json::serialize(without_field));
+    for (const auto& other_value : other_values) {
       auto changed = report;
-      changed[field.key()] = other;
-      expect_usable_or_named(boost::json::serialize(changed));
+      changed[field.key()] = other_value;
+      expect_valid_or_explained(boost::json::serialize(changed));
     }
   }
 }
--- a/tests/unit/request_fingerprint_test.cc
+++ b/tests/unit/request_fingerprint_test.cc
@@ -7,33 +7,35 @@
 
 const RequestIdentity kIdentity{"coast-office", "chat.example", "POST", "/chat/1?x=2", "body"};
 
-TEST(RequestFingerprint, IsTheSameForACopy) { EXPECT_EQ(fingerprint_of(kIdentity), fingerprint_of(kIdentity)); }
+TEST(RequestFingerprint, IsEqualForEqualRequests) {
+  EXPECT_EQ(compute_fingerprint(kIdentity), compute_fingerprint(kIdentity));
+}
 
-TEST(RequestFingerprint, DiffersInEachPart) {
+TEST(RequestFingerprint, DependsOnEachField) {
   auto other = kIdentity;
   other.caller = "hill-office";
-  EXPECT_NE(fingerprint_of(other), fingerprint_of(kIdentity));
+  EXPECT_NE(compute_fingerprint(other), compute_fingerprint(kIdentity));
   other = kIdentity;
   other.host = "forms.example";
-  EXPECT_NE(fingerprint_of(other), fingerprint_of(kIdentity));
+  EXPECT_NE(compute_fingerprint(other), compute_fingerprint(kIdentity));
   other = kIdentity;
   other.method = "PUT";
-  EXPECT_NE(fingerprint_of(other), fingerprint_of(kIdentity));
+  EXPECT_NE(compute_fingerprint(other), compute_fingerprint(kIdentity));
   other = kIdentity;
   other.target = "/chat/1?x=3";
-  EXPECT_NE(fingerprint_of(other), fingerprint_of(kIdentity));
+  EXPECT_NE(compute_fingerprint(other), compute_fingerprint(kIdentity));
   other = kIdentity;
   other.body = "Body";
-  EXPECT_NE(fingerprint_of(other), fingerprint_of(kIdentity));
+  EXPECT_NE(compute_fingerprint(other), compute_fingerprint(kIdentity));
 }
 
-TEST(RequestFingerprint, DiffersWhereBytesMoveFromOnePartToTheNext) {
+TEST(RequestFingerprint, DependsOnFieldBoundaries) {
   const RequestIdentity left{"ab", "c", "", "", ""};
   const RequestIdentity right{"a", "bc", "", "", ""};
-  EXPECT_NE(fingerprint_of(left), fingerprint_of(right));
+  EXPECT_NE(compute_fingerprint(left), compute_fingerprint(right));
 }
 
-TEST(RequestFingerprint, StandsInLogsWithSixteenDigits) {
+TEST(RequestFingerprint, FormatsAsSixteenHexDigits) {
   EXPECT_EQ(to_string(RequestFingerprint(255)), "00000000000000ff");
 }
 
--- a/tests/unit/requests_test.cc
+++ b/tests/unit/requests_test.cc
@@ -18,7 +18,7 @@
   return "id: " + id + ":" + std::to_string(offset) + "\ndata: {}\n\n";
 }
 
-TEST(StreamVerifier, PassesWholeEventsOnlyHoweverTheyAreCut) {
+TEST(StreamVerifier, EmitsOnlyCompleteEventsForAnyChunkSize) {
   rc::check([] {
     std::string stream;
     const int events = *rc::gen::inRange(0, 8);
@@ -41,7 +41,7 @@
   });
 }
 
-TEST(StreamVerifier, CatchesForeignMissingDoubledAndLateEvents) {
+TEST(StreamVerifier, DetectsForeignMissingDuplicateAndLateEvents) {
   using requests::StreamStatus;
   const auto status_after = [](const std::string& stream, int from = 0) {
     requests::StreamVerifier verifier("r", from);
@@ -58,7 +58,7 @@
   EXPECT_EQ(verifier.feed("data: [DONE]\n\n" + event("r", 0)), "data: [DONE]\n\n");
 }
 
-TEST(RetryState, RepeatsOnlyWhatDidNotRunOrIsSafe) {
+TEST(RetryState, RetriesOnlyUnstartedOrSafeRequests) {
   using requests::AttemptResult;
   using requests::Outcome;
   requests::RetryBudget budget(20);
@@ -74,7 +74,7 @@
   EXPECT_EQ(safe.outcome(), Outcome::kUnknown);
 }
 
-TEST(RetryState, WhatNeverLeftDoesNotUseUpTheAttempts) {
+TEST(RetryState, UnsentAttemptsDoNotCountAgainstTheLimit) {
   using requests::AttemptResult;
   requests::RetryBudget budget(20);
   requests::RetryState state(true, 2, kNow + seconds(1));
@@ -85,12 +85,12 @@
   EXPECT_FALSE(state.may_retry(kNow, AttemptResult::kCutInStream, "t", budget));
 }
 
-TEST(RetryState, ABudgetBoundsRetriesToAShareOfRequests) {
+TEST(RetryState, BudgetLimitsRetriesToAFractionOfRequests) {
   requests::RetryBudget budget(10);
   int retries = 0;
   for (int request = 0; request < 1000; ++request) {
-    budget.request_started("t");
-    while (budget.take("t")) {
+    budget.record_request("t");
+    while (budget.try_spend("t")) {
       ++retries;
     }
   }
@@ -98,7 +98,7 @@
   EXPECT_LE(retries, 111);
 }
 
-TEST(EndpointSelector, EjectsFailingEndpointsButNeverMostOfThem) {
+TEST(EndpointSelector, EjectsFailingEndpointsUpToHalf) {
   requests::EndpointSelector selector;
   const std::vector<std::string> all = {"a", "b", "c", "d"};
   for (const auto* endpoint : {"a", "b", "c"}) {
@@ -123,21 +123,23 @@
   EXPECT_EQ(other.pick(kNow + seconds(6), "s", {"b", "c", "d"}, {}), "");
 }
 
-TEST(AdmissionController, QueuesByPriorityAndRefusesEarly) {
-  admission::AdmissionController gate(2);
+TEST(AdmissionController, QueuesByPriorityAndRejectsEarly) {
+  admission::AdmissionController controller(2);
   using admission::AdmissionVerdict;
-  EXPECT_EQ(gate.request_admission(kNow, 1, "t", 5, kNow + seconds(5)), AdmissionVerdict::kQueued) << "no budget yet";
-  gate.set_budget("t", 1, kNow + seconds(10));
-  EXPECT_EQ(gate.take_admitted(kNow), std::vector<admission::AdmissionRequestId>{1});
-  EXPECT_EQ(gate.request_admission(kNow, 2, "t", 1, kNow + seconds(5)), AdmissionVerdict::kQueued);
-  EXPECT_EQ(gate.request_admission(kNow, 3, "t", 9, kNow + seconds(5)), AdmissionVerdict::kQueued);
-  EXPECT_EQ(gate.request_admission(kNow, 4, "t", 9, kNow + seconds(5)), AdmissionVerdict::kRefusedQueueFull);
-  gate.leave("t", seconds(2));
-  EXPECT_EQ(gate.take_admitted(kNow), std::vector<admission::AdmissionRequestId>{3}) << "the higher priority first";
-  EXPECT_EQ(gate.request_admission(kNow, 5, "t", 5, kNow + seconds(1)), AdmissionVerdict::kRefusedDeadline);
-  EXPECT_EQ(gate.take_expired(kNow + seconds(5)), std::vector<admission::AdmissionRequestId>{2});
-  gate.leave("t", seconds(2));
-  EXPECT_EQ(gate.request_admission(kNow + seconds(11), 6, "t", 5, kNow + seconds(20)), AdmissionVerdict::kQueued)
+  EXPECT_EQ(controller.request_admission(kNow, 1, "t", 5, kNow + seconds(5)), AdmissionVerdict::kQueued)
+      << "no budget yet";
+  controller.set_budget("t", 1, kNow + seconds(10));
+  EXPECT_EQ(controller.take_admitted(kNow), std::vector<admission::AdmissionRequestId>{1});
+  EXPECT_EQ(controller.request_admission(kNow, 2, "t", 1, kNow + seconds(5)), AdmissionVerdict::kQueued);
+  EXPECT_EQ(controller.request_admission(kNow, 3, "t", 9, kNow + seconds(5)), AdmissionVerdict::kQueued);
+  EXPECT_EQ(controller.request_admission(kNow, 4, "t", 9, kNow + seconds(5)), AdmissionVerdict::kRefusedQueueFull);
+  controller.leave("t", seconds(2));
+  EXPECT_EQ(controller.take_admitted(kNow), std::vector<admission::AdmissionRequestId>{3})
+      << "the higher priority first";
+  EXPECT_EQ(controller.request_admission(kNow, 5, "t", 5, kNow + seconds(1)), AdmissionVerdict::kRefusedDeadline);
+  EXPECT_EQ(controller.take_expired(kNow + seconds(5)), std::vector<admission::AdmissionRequestId>{2});
+  controller.leave("t", seconds(2));
+  EXPECT_EQ(controller.request_admission(kNow + seconds(11), 6, "t", 5, kNow + seconds(20)), AdmissionVerdict::kQueued)
       << "the budget's lease ran out";
 }
 
@@ -145,19 +147,19 @@
   rc::check([] {
     admission::BudgetAllocator allocator;
     const int limit = *rc::gen::inRange(1, 40);
-    std::map<std::string, std::pair<int, TimePoint>> held;
+    std::map<std::string, std::pair<int, TimePoint>> granted;
     TimePoint now = kNow;
     const int steps = *rc::gen::inRange(1, 80);
     for (int step = 0; step < steps; ++step) {
       now += milliseconds(*rc::gen::inRange(0, 700));
       const std::string node = "n" + std::to_string(*rc::gen::inRange(0, 5));
       const int running =
-          held.contains(node) && held[node].second > now ? *rc::gen::inRange(0, held[node].first + 1) : 0;
+          granted.contains(node) && granted[node].second > now ? *rc::gen::inRange(0, granted[node].first + 1) : 0;
       const admission::BudgetAllocator::Report report{running, *rc::gen::inRange(0, 50), 0};
       const TimePoint expires = now + milliseconds(1500);
-      held[node] = {allocator.grant(now, "t", limit, node, report, expires, true), expires};
+      granted[node] = {allocator.grant(now, "t", limit, node, report, expires, true), expires};
       int total = 0;
-      for (const auto& [name, grant] : held) {
+      for (const auto& [name, grant] : granted) {
         total += grant.second > now ? grant.first : 0;
       }
       RC_ASSERT(total <= limit);
@@ -169,12 +171,12 @@
  protected:
   void SetUp() override {
     config::RecordTable records;
-    wire::Template shape;
-    shape.name = "main";
-    shape.model = "model";
-    shape.version = "1";
-    shape.adapters = {"x"};
-    records.put("template/main", wire::encode(shape), Revision(1));
+    wire::Template model_template;
+    model_template.name = "main";
+    model_template.model = "model";
+    model_template.version = "1";
+    model_template.adapters = {"x"};
+    records.put("template/main", wire::encode(model_template), Revision(1));
     wire::Tenant tenant;
     tenant.name = "t";
     tenant.template_name = "main";
@@ -207,7 +209,7 @@
   routing::RouteQuery query_;
 };
 
-TEST_F(RouterTest, StaysInPermittedZonesAndWaitsRatherThanLeave) {
+TEST_F(RouterTest, NeverRoutesOutsidePermittedZones) {
   for (uint64_t prefix = 1; prefix < 200; ++prefix) {
     query_.prefix_hash = prefix;
     const auto decision = router_.route(kNow, query_);
@@ -231,14 +233,14 @@
   EXPECT_EQ(router_.route(kNow, query_).verdict, routing::RouteVerdict::kUnknownTenant);
 }
 
-TEST_F(RouterTest, KeepsAPrefixOnOneGroupUntilItsLoadIsTooHigh) {
+TEST_F(RouterTest, KeepsAPrefixOnOneGroupUpToTheLoadLimit) {
   query_.prefix_hash = 77;
-  const int64_t home = router_.route(kNow, query_).group->id;
-  EXPECT_EQ(router_.route(kNow, query_).group->id, home);
+  const int64_t first_group = router_.route(kNow, query_).group->id;
+  EXPECT_EQ(router_.route(kNow, query_).group->id, first_group);
   std::map<int64_t, int> sent;
   for (int request = 0; request < 40; ++request) {
     const int64_t id = router_.route(kNow, query_).group->id;
-    router_.dispatched(id);
+    router_.record_dispatch(id);
     ++sent[id];
   }
   EXPECT_EQ(sent.size(), 4U);
--- a/tests/unit/server_limits_test.cc
+++ b/tests/unit/server_limits_test.cc
@@ -12,7 +12,7 @@
 
 using requests::parse_decimal;
 using requests::parse_server_limit;
-using requests::ServerLimitReading;
+using requests::ServerLimitParseStatus;
 
 const TimePoint kStart = TimePoint(seconds(100));
 
@@ -29,18 +29,18 @@
 
 TEST(ServerLimit, ParsesRequestsPerSecond) {
   EXPECT_EQ(parse_server_limit({"2.4"}).per_second, 2.4);
-  EXPECT_EQ(parse_server_limit({"2.4"}).reading, ServerLimitReading::kExact);
+  EXPECT_EQ(parse_server_limit({"2.4"}).parse_status, ServerLimitParseStatus::kExact);
 }
 
 TEST(ServerLimit, ClampsLimitsToTheSupportedRange) {
-  EXPECT_EQ(parse_server_limit({"0"}).per_second, requests::kLowestLimit);
-  EXPECT_EQ(parse_server_limit({"0"}).reading, ServerLimitReading::kRaised);
-  EXPECT_EQ(parse_server_limit({std::string(400, '9')}).per_second, requests::kHighestLimit);
+  EXPECT_EQ(parse_server_limit({"0"}).per_second, requests::kMinRequestsPerSecond);
+  EXPECT_EQ(parse_server_limit({"0"}).parse_status, ServerLimitParseStatus::kClampedToMin);
+  EXPECT_EQ(parse_server_limit({std::string(400, '9')}).per_second, requests::kMaxRequestsPerSecond);
 }
 
 TEST(ServerLimit, ReturnsNoLimitForAnInvalidHeader) {
   for (const char* text : {"", "x", "-1", "nan", "1e999"}) {
-    EXPECT_EQ(parse_server_limit({text}).reading, ServerLimitReading::kUnreadable) << text;
+    EXPECT_EQ(parse_server_limit({text}).parse_status, ServerLimitParseStatus::kUnreadable) << text;
     EXPECT_FALSE(parse_server_limit({text}).per_second) << text;
   }
   EXPECT_FALSE(parse_server_limit({"2", "3"}).per_second) << "two headers";
--- a/tests/unit/server_notices_test.cc
+++ b/tests/unit/server_notices_test.cc
@@ -8,53 +8,53 @@
 namespace larchlever::fleet {
 namespace {
 
-using requests::kLongestRest;
-using requests::kUnreadableRest;
+using requests::format_retry_after;
+using requests::kDefaultRetryAfterDelay;
+using requests::kMaxRetryAfterDelay;
 using requests::parse_retry_after;
-using requests::retry_after_text;
-using requests::RetryAfterReading;
+using requests::RetryAfterParseStatus;
 
 TimePoint at(double seconds_from_start) {
   return TimePoint(Duration(static_cast<int64_t>(seconds_from_start * 1e6) + 1'000'000'000));
 }
 
 TEST(RetryAfter, ParsesSecondsAndFractions) {
-  EXPECT_EQ(parse_retry_after("3").rest, seconds(3));
-  EXPECT_EQ(parse_retry_after("0").rest, Duration::zero());
-  EXPECT_EQ(parse_retry_after("0.25").rest, milliseconds(250));
-  EXPECT_EQ(parse_retry_after("3").reading, RetryAfterReading::kExact);
+  EXPECT_EQ(parse_retry_after("3").delay, seconds(3));
+  EXPECT_EQ(parse_retry_after("0").delay, Duration::zero());
+  EXPECT_EQ(parse_retry_after("0.25").delay, milliseconds(250));
+  EXPECT_EQ(parse_retry_after("3").parse_status, RetryAfterParseStatus::kExact);
 }
 
 TEST(RetryAfter, UsesADefaultDelayForInvalidValues) {
   for (const char* text :
        {"", "soon", "-1", "-0", "3 s", "0x10", "nan", "inf", "1e3", "Wed, 21 Oct 2026 07:28:00 GMT"}) {
     const auto parsed = parse_retry_after(text);
-    EXPECT_EQ(parsed.reading, RetryAfterReading::kUnreadable) << text;
-    EXPECT_EQ(parsed.rest, kUnreadableRest) << text;
+    EXPECT_EQ(parsed.parse_status, RetryAfterParseStatus::kUnreadable) << text;
+    EXPECT_EQ(parsed.delay, kDefaultRetryAfterDelay) << text;
   }
 }
 
 TEST(RetryAfter, ClampsLongDelays) {
   for (const auto& text : {std::string("86400"), std::string("3601"), std::string(400, '9')}) {
     const auto parsed = parse_retry_after(text);
-    EXPECT_EQ(parsed.reading, RetryAfterReading::kCut) << text;
-    EXPECT_EQ(parsed.rest, kLongestRest) << text;
+    EXPECT_EQ(parsed.parse_status, RetryAfterParseStatus::kClampedToMax) << text;
+    EXPECT_EQ(parsed.delay, kMaxRetryAfterDelay) << text;
   }
 }
 
 // Guards against rounding a remaining delay of a few milliseconds down to "0.00", which makes callers retry too early.
 TEST(RetryAfter, RoundsDelaysForCallersUp) {
-  EXPECT_EQ(retry_after_text(milliseconds(3)), "0.01");
-  EXPECT_EQ(retry_after_text(microseconds(1)), "0.01");
-  EXPECT_EQ(retry_after_text(milliseconds(129)), "0.13");
-  EXPECT_EQ(retry_after_text(milliseconds(300)), "0.3");
-  EXPECT_EQ(retry_after_text(seconds(30)), "30");
-  EXPECT_EQ(retry_after_text(milliseconds(2050)), "2.05");
+  EXPECT_EQ(format_retry_after(milliseconds(3)), "0.01");
+  EXPECT_EQ(format_retry_after(microseconds(1)), "0.01");
+  EXPECT_EQ(format_retry_after(milliseconds(129)), "0.13");
+  EXPECT_EQ(format_retry_after(milliseconds(300)), "0.3");
+  EXPECT_EQ(format_retry_after(seconds(30)), "30");
+  EXPECT_EQ(format_retry_after(milliseconds(2050)), "2.05");
   for (int wait_ms = 1; wait_ms < 4000; ++wait_ms) {
-    const auto round_trip = parse_retry_after(retry_after_text(milliseconds(wait_ms)));
-    EXPECT_EQ(round_trip.reading, RetryAfterReading::kExact);
-    EXPECT_GE(round_trip.rest, milliseconds(wait_ms));
-    EXPECT_LE(round_trip.rest, milliseconds(wait_ms + 10));
+    const auto round_trip = parse_retry_after(format_retry_after(milliseconds(wait_ms)));
+    EXPECT_EQ(round_trip.parse_status, RetryAfterParseStatus::kExact);
+    EXPECT_GE(round_trip.delay, milliseconds(wait_ms));
+    EXPECT_LE(round_trip.delay, milliseconds(wait_ms + 10));
   }
 }
 
--- a/tests/unit/server_rate_limiter_test.cc
+++ b/tests/unit/server_rate_limiter_test.cc
@@ -146,7 +146,7 @@
   auto& engine = service.engine.emplace();
   engine.slots = 1000;
   engine.step_ms = 1;
-  engine.read_tokens_per_second = 1e6;
+  engine.prefill_tokens_per_second = 1e6;
   engine.models.push_back({"m", 2, 1.0, 1.0, {}, {}});
   return service;
 }
@@ -307,7 +307,7 @@
 }
 
 TEST_F(RateLimitedScheduler, ColdLimitedServerGetsTheLowerRate) {
-  document_.services["forms"].cold_requests_per_second = 2;
+  document_.services["forms"].cold_server_requests_per_second = 2;
   scheduler_.set_rate_limited_servers({{"i1", true, 10.0}, {"i2", true, 0.5}});
   submit_continuously(kStart, kStart + seconds(12), [this] { return plain_slot_request({"i1", "i2"}, 20); });
   EXPECT_LE(granted_["i1"].size(), 25U);
--- a/tests/unit/slot_scheduler_test.cc
+++ b/tests/unit/slot_scheduler_test.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "core/engine/cost_model.h"
-#include "core/engine/pass_clock.h"
+#include "core/engine/pass_simulator.h"
 #include "core/requests/latency_estimate.h"
 #include "core/requests/recent_quantile.h"
 
@@ -21,8 +21,8 @@
   engine.slots = 10;
   engine.step_ms = 10;
   engine.steps_per_pass = 5;
-  engine.chunk_tokens = 2000;
-  engine.read_tokens_per_second = 50'000;
+  engine.prefill_chunk_tokens = 2000;
+  engine.prefill_tokens_per_second = 50'000;
   engine.models.push_back({"m", 2, 1.0, 1.0, {}, {}});
   document::ConfigurationDocument document;
   document.services["s"] = service;
@@ -231,11 +231,11 @@
 
 // ---------------------------------------------------------------- forecasts
 
-TEST(PassClock, PromptsWaitForTheCurrentPassAndShareTheNext) {
+TEST(PassSimulator, PromptsWaitForTheCurrentPassAndShareTheNext) {
   const auto document = engine_document();
   const auto& engine = *document.services.at("s").engine;
   const auto& model = engine.models.front();
-  engine::PassClock clock;
+  engine::PassSimulator clock;
   EXPECT_EQ(clock.forecast(kStart, engine, model, 0, 500).first_event, milliseconds(60));
   clock.add(kStart, engine, model, 1, 500);
   // The current pass processes no prompt and ends at 50 ms; the next one processes both prompts.
@@ -246,22 +246,22 @@
       << "all prompts were processed";
 }
 
-TEST(PassClock, LimitsThePromptTokensOfAPass) {
+TEST(PassSimulator, LimitsThePromptTokensOfAPass) {
   const auto document = engine_document();
   const auto& engine = *document.services.at("s").engine;
   const auto& model = engine.models.front();
-  engine::PassClock clock;
+  engine::PassSimulator clock;
   const auto forecast = clock.forecast(kStart, engine, model, 0, 15'000);
   EXPECT_EQ(forecast.longest_pass, milliseconds(250)) << "10,000 tokens";
   EXPECT_EQ(forecast.first_event, milliseconds(250 + 150));
 }
 
-TEST(PassClock, CapsPromptSizesBeyondTheCapacity) {
+TEST(PassSimulator, CapsPromptSizesBeyondTheCapacity) {
   auto document = engine_document();
   auto& engine = *document.services.at("s").engine;
   engine.kv_capacity = 20'000;
   const auto& model = engine.models.front();
-  engine::PassClock clock;
+  engine::PassSimulator clock;
   EXPECT_EQ(clock.forecast(kStart, engine, model, 0, 2e9).first_event, milliseconds(2 * 250));
   clock.add(kStart, engine, model, 0, 2e9);
   EXPECT_LE(clock.forecast(kStart, engine, model, 1, 0).first_event, milliseconds(3 * 250));
@@ -272,16 +272,16 @@
 TEST(RecentQuantile, IgnoresOutliersAndFollowsChanges) {
   requests::RecentQuantile samples;
   EXPECT_EQ(samples.value(kStart, 0.75), Duration::zero());
-  samples.note(kStart, seconds(2));
-  samples.note(kStart, milliseconds(90));
+  samples.add_sample(kStart, seconds(2));
+  samples.add_sample(kStart, milliseconds(90));
   EXPECT_EQ(samples.value(kStart, 0.75), milliseconds(90)) << "the first sample is an outlier";
   for (int sample = 0; sample < 40; ++sample) {
     const bool is_outlier = sample % 5 == 0;
-    samples.note(kStart, is_outlier ? milliseconds(1200) : milliseconds(90 + sample % 3));
+    samples.add_sample(kStart, is_outlier ? milliseconds(1200) : milliseconds(90 + sample % 3));
   }
   EXPECT_LE(samples.value(kStart, 0.75), milliseconds(92));
   for (int sample = 0; sample < 16; ++sample) {
-    samples.note(kStart, milliseconds(150));
+    samples.add_sample(kStart, milliseconds(150));
   }
   EXPECT_EQ(samples.value(kStart, 0.75), milliseconds(150));
   EXPECT_EQ(samples.value(kStart + seconds(5), 0.75), Duration::zero()) << "old samples expire";
@@ -289,12 +289,12 @@
 
 TEST(LatencyEstimate, EstimatesMeanAndDeviation) {
   requests::LatencyEstimate estimate;
-  EXPECT_FALSE(estimate.is_measured());
+  EXPECT_FALSE(estimate.has_samples());
   for (int count = 0; count < 200; ++count) {
-    estimate.note(milliseconds(count % 2 == 0 ? 90 : 110));
+    estimate.add_sample(milliseconds(count % 2 == 0 ? 90 : 110));
   }
   EXPECT_NEAR(static_cast<double>(estimate.mean() / milliseconds(1)), 100, 3);
-  EXPECT_NEAR(static_cast<double>(estimate.upper(1) / milliseconds(1)), 110, 4);
+  EXPECT_NEAR(static_cast<double>(estimate.upper_bound(1) / milliseconds(1)), 110, 4);
 }
 
 }  // namespace
--- a/tests/unit/spare_servers_test.cc
+++ b/tests/unit/spare_servers_test.cc
@@ -23,9 +23,9 @@
     service.name = "engines";
     auto& engine = service.engine.emplace();
     engine.slots = 10;
-    engine.loads_at_once = 8;
-    engine.loads_per_second = 8;
-    engine.staged_per_host = 1;
+    engine.max_concurrent_weight_loads = 8;
+    engine.max_weight_loads_per_second = 8;
+    engine.max_staged_models_per_host = 1;
     engine.models.push_back({"large", kGroupSize, 1.0, 1.0, seconds(16), seconds(2)});
     document_.services["engines"] = service;
     for (int number = 0; number < count; ++number) {
--- a/tests/unit/target_health_test.cc
+++ b/tests/unit/target_health_test.cc
@@ -58,16 +58,18 @@
   engine.slots = 26;
   engine.step_ms = 6;
   engine.per_sequence_ms = 0.24;
-  engine.read_tokens_per_second = 46'000;
+  engine.prefill_tokens_per_second = 46'000;
   engine.steps_per_pass = 5;
-  engine.chunk_tokens = 2048;
+  engine.prefill_chunk_tokens = 2048;
   const document::ModelSpec model{"m", 4, 1.0, 1.0, {}, {}};
-  const auto first_event_when_idle = engine::expected_first_event(engine, model, 0, 0, 1000);
+  const auto first_event_when_idle = engine::expected_time_to_first_event(engine, model, 0, 0, 1000);
   EXPECT_GT(first_event_when_idle, milliseconds(50));
   EXPECT_LT(first_event_when_idle, milliseconds(100));
-  EXPECT_GT(engine::expected_first_event(engine, model, 0, 10'000, 1000), first_event_when_idle + milliseconds(200));
-  EXPECT_GT(engine::expected_first_event(engine, model, 10, 0, 1000), first_event_when_idle);
-  EXPECT_GT(engine::longest_pass(engine, model), milliseconds(250)) << "each step may process a whole prompt chunk";
+  EXPECT_GT(engine::expected_time_to_first_event(engine, model, 0, 10'000, 1000),
+            first_event_when_idle + milliseconds(200));
+  EXPECT_GT(engine::expected_time_to_first_event(engine, model, 10, 0, 1000), first_event_when_idle);
+  EXPECT_GT(engine::max_pass_duration(engine, model), milliseconds(250))
+      << "each step may process a whole prompt chunk";
 }
 
 }  // namespace
--- a/tests/unit/zone_evacuations_test.cc
+++ b/tests/unit/zone_evacuations_test.cc
@@ -204,8 +204,8 @@
  protected:
   GroupSupervisorEvacuationTest() : directory_(seconds(3)), supervisor_(FleetOptions()) {
     document_.services["s"] = engine_service(2);
-    document_.services["s"].engine->loads_at_once = 100;
-    document_.services["s"].engine->loads_per_second = 1000;
+    document_.services["s"].engine->max_concurrent_weight_loads = 100;
+    document_.services["s"].engine->max_weight_loads_per_second = 1000;
     for (int index = 0; index < 8; ++index) {
       const std::string id = "i" + std::to_string(index);
       servers_[id] = server(id, index < 4 ? "a" : "b", index < 4 ? "d1" : "d2");
