--- a/src/core/base/compression.cc
+++ b/src/core/base/compression.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Larger sizes are taken for damage rather than allocated.
+/// Larger sizes are treated as corruption, to avoid a huge allocation.
 constexpr size_t kMaxDecompressedBytes = 64U << 20U;
 
 }  // namespace
--- a/src/core/base/compression.h
+++ b/src/core/base/compression.h
@@ -7,10 +7,10 @@
 
 namespace larchlever {
 
-/// `bytes` in zlib's format, at a level that favours speed.
+/// Compresses `bytes` to the zlib format, at the fastest level.
 std::string compress(std::string_view bytes);
 
-/// The `size` bytes that `compress` was given. Nothing when `compressed` is damaged or holds another number of bytes.
+/// Restores the original `size` bytes. Returns nothing if `compressed` is corrupt or decompresses to another size.
 std::optional<std::string> decompress(std::string_view compressed, size_t size);
 
 }  // namespace larchlever
--- a/src/core/base/http_status.h
+++ b/src/core/base/http_status.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP status codes that this project gives or understands.
+/// HTTP status codes that this project sends or handles.
 namespace larchlever::http_status {
 
 constexpr int kOk = 200;
--- a/src/core/base/ids.h
+++ b/src/core/base/ids.h
@@ -7,7 +7,7 @@
 
 namespace larchlever {
 
-/// A typed identifier: values of different tags cannot be mixed up. Ordered and hashable.
+/// A typed identifier: identifiers with different tags are distinct types. Ordered and hashable.
 template <typename Tag, typename Value>
 class StrongId {
  public:
--- a/src/core/base/json_fields.h
+++ b/src/core/base/json_fields.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <string_view>
 
-/// Reading of JSON that comes from outside: whatever is missing, of another type or out of range gives the fallback,
-/// nothing throws.
+/// Helpers to read untrusted JSON without exceptions: a field that is missing, has the wrong type or is out of range
+/// yields the fallback.
 namespace larchlever {
 
-/// The object that `body` holds; an empty one when it is unreadable or no object.
+/// Parses `body` as a JSON object. Returns an empty object if it is not valid JSON or not an object.
 inline boost::json::object parse_json_object(std::string_view body) {
   boost::system::error_code error;
   auto value = boost::json::parse(boost::json::string_view(body.data(), body.size()), error);
--- a/src/core/base/scope_exit.h
+++ b/src/core/base/scope_exit.h
@@ -4,7 +4,7 @@
 
 namespace larchlever {
 
-/// Runs a function when the scope ends, however it ends.
+/// Runs a function at the end of the scope, also when it is left by an exception.
 template <typename Function>
 class ScopeExit {
  public:
--- a/src/core/document/configuration_document.cc
+++ b/src/core/document/configuration_document.cc
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Ends the reading of a document; its text becomes the DocumentError.
+/// Thrown when the document is invalid; its message becomes the DocumentError.
 class InvalidDocument : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// Numbers from outside are brought into ranges that every later computation bears.
+/// Numbers of the document are clamped to these ranges, so that later computations cannot overflow.
 constexpr double kMaxInteger = 2e9;
 constexpr double kMaxMicroseconds = 1e13;
 constexpr double kMaxByteCount = 1e12;
@@ -29,12 +29,12 @@
 Duration from_seconds(double value) { return from_microseconds_clamped(value * 1e6); }
 size_t to_bytes(double value) { return static_cast<size_t>(std::clamp(value, 0.0, kMaxByteCount)); }
 
-/// Typed access to the fields of one JSON object. `place` names the object in messages.
+/// Typed access to the fields of one JSON object. `json_path` identifies the object in error messages.
 class FieldReader {
  public:
   FieldReader(const json::value& value, std::string json_path) : json_path_(std::move(json_path)) {
     if (!value.is_object()) {
-      throw InvalidDocument(json_path_ + " is not an object; send an object with named fields");
+      throw InvalidDocument(json_path_ + " must be a JSON object; correct its type");
     }
     object_ = &value.as_object();
   }
@@ -50,7 +50,7 @@
       return "";
     }
     if (!value->is_string()) {
-      throw_wrong_type(key, "a text");
+      throw_wrong_type(key, "a string");
     }
     return std::string(value->as_string());
   }
@@ -78,7 +78,7 @@
     return value != nullptr && value->as_bool();
   }
 
-  /// The list under `key`; an empty one when it is absent.
+  /// The list under `key`; an empty list if it is absent.
   const json::array& list(const char* key) const {
     static const json::array empty;
     const auto* value = find(key);
@@ -133,7 +133,7 @@
     total = 1;
   }
   if (total <= 0) {
-    throw InvalidDocument(route.json_path() + ": the weights add up to 0; give one service a weight above 0");
+    throw InvalidDocument(route.json_path() + ": the weights add up to 0; set at least one weight above 0");
   }
   return services;
 }
@@ -142,7 +142,7 @@
   std::vector<std::string> result;
   for (const auto& item : reader.list(key)) {
     if (!item.is_string()) {
-      throw InvalidDocument(reader.json_path() + "." + key + " holds something that is no text; send texts");
+      throw InvalidDocument(reader.json_path() + "." + key + " must contain only strings; correct its items");
     }
     result.emplace_back(item.as_string());
   }
@@ -166,7 +166,7 @@
   route.services = read_route_services(reader);
   route.allowed_regions = read_strings(reader, "allowed_regions");
   if (route.timeout <= Duration::zero()) {
-    throw InvalidDocument(reader.json_path() + ".timeout_ms must be above 0; say how long a request may be held");
+    throw InvalidDocument(reader.json_path() + ".timeout_ms must be above 0; set the maximum time of a request");
   }
   return route;
 }
@@ -247,7 +247,7 @@
       const auto [key_owner, is_new] = tenant_by_key.emplace(key, tenant.name);
       if (!is_new && key_owner->second != tenant.name) {
         throw InvalidDocument("tenants '" + key_owner->second + "' and '" + tenant.name +
-                              "' share a key; give each tenant keys of its own");
+                              "' share a key; use each key for one tenant only");
       }
     }
     tenants.push_back(std::move(tenant));
@@ -264,7 +264,7 @@
     }
     for (const auto& target : route.services) {
       if (!document.services.contains(target.service)) {
-        throw InvalidDocument("route '" + route.name + "' names the unknown service '" + target.service +
+        throw InvalidDocument("route '" + route.name + "' refers to the unknown service '" + target.service +
                               "'; add the service or correct the name");
       }
     }
@@ -276,7 +276,7 @@
   auto document = std::make_shared<ConfigurationDocument>();
   const auto* version = reader.find("version");
   if (version == nullptr || !version->is_int64()) {
-    throw InvalidDocument("document.version must be a whole number; send the version that the document has");
+    throw InvalidDocument("document.version must be an integer; set the version of the document");
   }
   document->version = version->as_int64();
   for (const auto& route : reader.list("routes")) {
@@ -313,7 +313,7 @@
   boost::system::error_code error;
   const auto value = json::parse(json::string_view(json_text.data(), json_text.size()), error);
   if (error) {
-    return {nullptr, {"the document is not readable JSON (" + error.message() + "); send it whole"}};
+    return {nullptr, {"the document is not valid JSON (" + error.message() + "); send it whole"}};
   }
   try {
     return {read_document(value), {}};
--- a/src/core/document/configuration_document.h
+++ b/src/core/document/configuration_document.h
@@ -10,10 +10,10 @@
 
 #include "core/base/time.h"
 
-/// The configuration document: one text that an operator sends whole, under a version that only rises.
+/// The configuration document: a JSON text that an operator always submits as a whole. Its version only increases.
 namespace larchlever::document {
 
-/// How often a request of a route may run.
+/// Whether requests of a route may run more than once, and whether their responses are streams.
 enum class RouteType { kIdempotent, kNonIdempotent, kStreaming };
 
 struct WeightedService {
@@ -27,44 +27,50 @@
   /// Begins and ends with a slash.
   std::string path_prefix;
   RouteType route_type = RouteType::kNonIdempotent;
-  /// Longest time that a request is held.
+  /// Maximum total time of a request.
   Duration timeout{};
-  /// Time to the answer, or to a stream's first event, that the operator aims at.
+  /// Latency objective: time to the response or, for streams, to the first event.
   Duration target_latency{};
-  /// Longest pause between a stream's events that the operator aims at; zero when not given.
+  /// Objective for the longest pause between two events of a stream; zero if not configured.
   Duration target_event_gap{};
-  /// 0 is the most urgent.
+  /// Lower values are more urgent; 0 is the most urgent.
   int priority = 0;
-  /// Most servers that one request may run on.
+  /// Maximum number of servers that one request may run on.
   int max_attempts = 1;
   bool is_public = false;
   bool resumable = false;
   std::vector<WeightedService> services;
-  /// Regions in which requests may run; any when empty.
+  /// Regions in which requests may run; any region if empty.
   std::vector<std::string> allowed_regions;
 
-  /// A request of this route may run more than once.
+  /// Whether a request that may already have run can be sent again.
   bool is_retry_safe() const {
     return route_type == RouteType::kIdempotent || (route_type == RouteType::kStreaming && resumable);
   }
 };
 
-/// A model that an engine service runs as groups of `size` servers.
+/// A model of an engine service. Each group of `size` servers runs one copy of it.
 struct ModelSpec {
   std::string name;
   int size = 1;
-  /// Share of the servers that the model should have before demand is known.
+  /// Fraction (0 to 1) of the servers assigned to the model until demand has been measured.
   double initial_server_share = 0;
-  /// Factor on all times of the cost model.
+  /// Factor applied to all times of the cost model.
   double time_factor = 1;
   Duration load_time{};
   Duration warmup_time{};
 };
 
-/// Cost model of an engine service: how long a pass takes, and what limits loads of weights.
+/// Cost model of an engine service: the duration of an engine pass, and the limits on loading weights.
+///
+/// An engine works in passes. Each pass runs `steps_per_pass` decode steps for all running requests and the prefill of
+/// pending prompts.
 struct EngineSpec {
+  /// Maximum number of concurrent requests per group.
   int slots = 1;
+  /// Tokens that fit into the key-value cache; 0 if not configured.
   int64_t kv_capacity = 0;
+  /// Duration of a decode step, plus an amount per running request and per thousand tokens of their context.
   double step_ms = 1;
   double per_sequence_ms = 0;
   double per_thousand_context_tokens_ms = 0;
@@ -73,11 +79,11 @@
   int prefill_chunk_tokens = 1;
   double max_weight_loads_per_second = 1;
   int max_concurrent_weight_loads = 1;
-  /// Models whose weights a host keeps besides those in the accelerators; 0 when hosts keep none.
+  /// Number of models whose weights a host caches in addition to those on its accelerators; 0 if hosts cache none.
   int max_staged_models_per_host = 0;
-  /// How long an opened head takes until it serves.
+  /// Time from opening a group's head until it serves.
   Duration group_formation_time{};
-  /// Mean tokens of prompt and answer.
+  /// Mean request sizes in tokens, assumed until sizes have been measured.
   double typical_prompt_tokens = 0;
   double typical_answer_tokens = 0;
   std::vector<ModelSpec> models;
@@ -89,13 +95,13 @@
   std::string name;
   std::string health_path;
   int max_connections = 0;
-  /// Requests a second that a cold server bears; 0 when cold servers bear as many as others.
+  /// Requests per second that a cold server can handle; 0 if cold servers have no lower limit than others.
   double cold_server_requests_per_second = 0;
-  /// Present when the service's servers are model engines that work in groups.
+  /// Present if the service's servers are model engines that form groups.
   std::optional<EngineSpec> engine;
 };
 
-/// Bounds on what callers may send.
+/// Limits on requests and connections of callers.
 struct CallerLimits {
   size_t max_header_bytes = 16 * 1024;
   size_t max_body_bytes = 4 * 1024 * 1024;
@@ -105,9 +111,9 @@
 
 struct TenantSpec {
   std::string name;
-  int priority = -1;  ///< -1 when the route's priority holds.
+  int priority = -1;  ///< Overrides the route's priority; -1 if not set.
   std::vector<std::string> api_keys;
-  /// Regions in which the tenant's requests may run; any when empty.
+  /// Regions in which the tenant's requests may run; any region if empty.
   std::vector<std::string> allowed_regions;
 };
 
@@ -116,11 +122,11 @@
   std::vector<Route> routes;
   std::map<std::string, ServiceSpec> services;
   CallerLimits limits;
-  /// Absent: no request needs a key.
+  /// If absent, no request needs an API key.
   std::optional<std::vector<TenantSpec>> tenants;
 };
 
-/// Why a document is refused; the message names the place and the remedy.
+/// Why a document was rejected. The message names the faulty field and the remedy.
 struct DocumentError {
   std::string message;
 };
@@ -130,7 +136,8 @@
   DocumentError error;
 };
 
-/// Reads and validates a document in JSON. Unknown fields are skipped. `document` is null when `error` says why.
+/// Parses and validates a JSON document, ignoring unknown fields. If it is invalid, `document` is null and `error` is
+/// set.
 ParsedDocument parse_document(std::string_view json_text);
 
 }  // namespace larchlever::document
--- a/src/core/document/route_table.cc
+++ b/src/core/document/route_table.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Host names compare without case and without the port.
+/// Host names are compared without case and without the port.
 std::string normalised_host(std::string_view host) {
   std::string result(host.substr(0, host.find(':')));
   std::transform(result.begin(), result.end(), result.begin(),
@@ -36,7 +36,7 @@
   if (routes == routes_by_host_.end()) {
     return nullptr;
   }
-  // Prefixes end with a slash, so each candidate is the path cut behind one of its slashes: longest first.
+  // Prefixes end with a slash, so the candidates are the path truncated after each of its slashes, longest first.
   for (size_t slash = path.rfind('/'); slash != std::string_view::npos; slash = path.rfind('/', slash - 1)) {
     const auto found = routes->second.find(path.substr(0, slash + 1));
     if (found != routes->second.end()) {
--- a/src/core/document/route_table.h
+++ b/src/core/document/route_table.h
@@ -10,16 +10,16 @@
 
 namespace larchlever::document {
 
-/// Look-ups in one configuration document: the route of a request and the tenant of a key. Immutable once built, and
-/// keeps its document alive.
+/// Index of one configuration document: finds the route of a request and the tenant of an API key. Immutable; keeps the
+/// document alive.
 class RouteTable {
  public:
   explicit RouteTable(std::shared_ptr<const ConfigurationDocument> document);
 
   const ConfigurationDocument& document() const { return *document_; }
-  /// The route of `host` (a port behind it is ignored) with the longest prefix that begins `path`; null when none.
+  /// The route of `host` (its port is ignored) with the longest path prefix that matches `path`; null if there is none.
   const Route* find_route(std::string_view host, std::string_view path) const;
-  /// The tenant that holds `api_key`; null when none does.
+  /// The tenant that `api_key` belongs to; null if there is none.
   const TenantSpec* find_tenant(std::string_view api_key) const;
 
  private:
--- a/src/core/engine/cost_model.cc
+++ b/src/core/engine/cost_model.cc
@@ -6,15 +6,16 @@
 
 namespace {
 
-/// Part of the latency objective that the engine may use; the rest is for the network and for late knowledge of loads.
+/// Fraction of the latency objective that the engine may use; the rest is for the network and for outdated load
+/// reports.
 constexpr double kEngineShareOfTarget = 0.75;
-/// A request waits for half of the pass under way, on average, and then for its own.
+/// Mean time to the first event without queueing, in passes: half of the current pass, then the request's own pass.
 constexpr double kPassesWithoutQueueing = 1.5;
-/// What is left, on average, of the pass that a request meets.
+/// Mean remaining fraction of the current pass when a request arrives.
 constexpr double kMeanRemainingPassShare = 0.5;
-/// Reading loads from here on count as this, where the formula for queues has no meaning.
+/// Prefill loads are capped here, because the queueing formula has no solution for loads of 1 and above.
 constexpr double kMaxPrefillLoad = 0.97;
-/// How fast the means follow: the share of one request.
+/// Minimum weight of a new sample in the running means, so that they follow changes.
 constexpr double kMinSampleWeight = 0.02;
 
 Duration from_milliseconds(double value) { return Duration(static_cast<int64_t>(value * 1000.0)); }
@@ -43,7 +44,7 @@
   result.pass = from_milliseconds(pass_ms);
   result.prefill_load = arrivals_per_pass * sizes.prompt / max_prefill_tokens_per_pass(engine);
   const double load = std::min(result.prefill_load, kMaxPrefillLoad);
-  // Prompts differ much in size, so the wait of a queue with random service times is taken.
+  // Prompt sizes vary widely, hence the mean waiting time of a queue with random service times.
   result.first_event = from_milliseconds(pass_ms * (kPassesWithoutQueueing + load / (1.0 - load)));
   return result;
 }
@@ -75,7 +76,7 @@
   const double decode_ms = engine.steps_per_pass * step_ms;
   const double tokens = waiting_tokens + prompt_tokens;
   const double prefill_ms = tokens * 1000.0 / engine.prefill_tokens_per_second;
-  // While prompts are read, every pass also writes; then comes the pass that writes the first event.
+  // Every pass that processes prompts also decodes; one more pass then produces the first event.
   const double passes = 1.0 + tokens / (static_cast<double>(engine.prefill_chunk_tokens) * engine.steps_per_pass);
   return from_milliseconds(model.time_factor * (decode_ms * (kMeanRemainingPassShare + passes) + prefill_ms));
 }
--- a/src/core/engine/cost_model.h
+++ b/src/core/engine/cost_model.h
@@ -3,57 +3,60 @@
 #include "core/base/time.h"
 #include "core/document/configuration_document.h"
 
-/// Predictions of what an engine group does under load, from the cost model in the configuration document.
+/// Predicts latency and throughput of an engine group from the cost model in the configuration document.
+///
+/// An engine works in passes: each runs decode steps for all running requests and the prefill of pending prompts.
 namespace larchlever::engine {
 
-/// Mean sizes of the requests that a model gets, in tokens.
+/// Mean size of a model's requests in tokens.
 struct RequestTokenCounts {
   double prompt = 0;
   double answer = 0;
 };
 
-/// Steady state of a group that always has `running` requests.
+/// Steady state of a group with a constant number of running requests.
 struct GroupForecast {
-  /// One pass over all running requests; the pause between two events of a stream.
+  /// Duration of one pass, which is also the pause between two events of a stream.
   Duration pass{};
-  /// From the arrival of a request to its first event.
+  /// Time from the arrival of a request to its first event.
   Duration first_event{};
-  /// Prompt tokens that arrive in a pass, as a share of what a pass reads; at 1 and above the queue grows.
+  /// Ratio of prompt tokens that arrive during a pass to those that a pass can process; at 1 and above the queue grows.
   double prefill_load = 0;
 };
 
 GroupForecast forecast_steady_state(const document::EngineSpec& engine, const document::ModelSpec& model,
                                     const RequestTokenCounts& sizes, int running);
 
-/// The most requests that a group may hold so that the next one's first event is expected within `target`; between 1
+/// Maximum number of concurrent requests of a group for which the first event is expected within `target`; between 1
 /// and the engine's slots.
 int max_running_requests(const document::EngineSpec& engine, const document::ModelSpec& model,
                          const RequestTokenCounts& sizes, Duration target);
 
-/// The longest that a group with all its slots taken lets its streams pause: a pass that reads a whole chunk each step.
+/// Duration of the longest possible pass: all slots are in use and each step processes a full prefill chunk.
 Duration max_pass_duration(const document::EngineSpec& engine, const document::ModelSpec& model);
 
-/// A pass of a group that writes for `running` requests and reads `prefill_tokens` of prompts beside.
+/// Duration of a pass that decodes for `running` requests and also processes `prefill_tokens` prompt tokens.
 Duration pass_duration(const document::EngineSpec& engine, const document::ModelSpec& model, int running,
                        double prefill_tokens);
 
-/// The most prompt tokens that one pass reads beside its writing.
+/// Maximum number of prompt tokens that one pass processes.
 double max_prefill_tokens_per_pass(const document::EngineSpec& engine);
 
-/// Time to the first event of a request of `prompt_tokens` that arrives at a group that has `running` requests, of
-/// whose prompts `waiting_tokens` are still to be read.
+/// Time to the first event of a new request with `prompt_tokens`, in a group with `running` requests that still has to
+/// process `waiting_tokens` of their prompts.
 Duration expected_time_to_first_event(const document::EngineSpec& engine, const document::ModelSpec& model, int running,
                                       double waiting_tokens, double prompt_tokens);
 
-/// Requests a second that a group serves when it holds `max_running_requests` of them all the time.
+/// Requests per second that a group serves with `max_running_requests` at all times. All slots are used if `target` is
+/// zero.
 double sustainable_requests_per_second(const document::EngineSpec& engine, const document::ModelSpec& model,
                                        const RequestTokenCounts& sizes, Duration target);
 
-/// Running means of the sizes, as the requests' own statements give them.
+/// Running means of the request sizes that callers declare.
 class RequestSizeEstimator {
  public:
   void add_sample(double prompt_tokens, double answer_tokens);
-  /// `usual` counts for what was not seen yet.
+  /// The means, or `typical` as long as there are no samples.
   RequestTokenCounts sizes(const RequestTokenCounts& typical) const;
 
  private:
--- a/src/core/engine/pass_simulator.cc
+++ b/src/core/engine/pass_simulator.cc
@@ -8,13 +8,15 @@
 
 namespace {
 
-/// Passes further back than this are not played: a group with nothing to do has none, whatever the clock missed.
+/// After a longer interval without calls, the simulation restarts at the current time, because an idle group runs no
+/// passes.
 constexpr Duration kMaxCatchUp = seconds(2);
 
-/// Passes that ended within this time are recent: longer than what first events take beyond the cost model's forecast.
+/// Passes that ended within this time count as recent. Longer than the time by which first events exceed the forecast
+/// of the cost model.
 constexpr Duration kRecentPassWindow = milliseconds(500);
 
-/// A stated size, as far as an engine can take it.
+/// Limits a declared prompt size to the engine's cache capacity, if one is configured.
 double clamp_prompt_tokens(const document::EngineSpec& engine, double prompt_tokens) {
   const auto kv_capacity_tokens = static_cast<double>(engine.kv_capacity);
   return std::clamp(prompt_tokens, 0.0,
--- a/src/core/engine/pass_simulator.h
+++ b/src/core/engine/pass_simulator.h
@@ -5,35 +5,38 @@
 
 namespace larchlever::engine {
 
-/// What a group does with a request that is sent to it now.
+/// Predicted effect of sending a request to a group now.
 struct RequestForecast {
-  /// From now to the request's first event.
+  /// Time from now to the request's first event.
   Duration first_event{};
-  /// The longest pass that the group's other streams wait for meanwhile: the pause between two of their events.
+  /// Longest pass after the current one until that event: the longest pause between two events of the group's other
+  /// streams.
   Duration longest_pass{};
 };
 
-/// Follows the passes of one engine group by the cost model.
+/// Simulates the passes of one engine group with the cost model.
 ///
-/// A group works in passes: each writes a few tokens for all that run and reads the prompts that arrived during the
-/// pass before. The clock knows when the pass under way ends and how many prompt tokens wait for the next one, from the
-/// requests that were sent there. It knows no more than the cost model, so a group that runs slow is not foreseen.
-/// Callers state their prompts' sizes themselves: a prompt counts for no more than the engine's memory, which holds any
-/// prompt that is taken, and where nothing runs nothing waits. Pure; single-threaded.
+/// Each pass of a group decodes a few tokens for all running requests and processes the prompts that arrived during the
+/// previous pass. From the requests sent to the group, the simulator derives when the current pass ends and how many
+/// prompt tokens wait for the next one. It does not observe the group, so it cannot predict one that is slower than the
+/// cost model.
+///
+/// Callers declare prompt sizes themselves, so a size counts at most as the engine's cache capacity, which every
+/// accepted prompt fits into. No prompt tokens wait in a group without running requests. No I/O; single-threaded.
 class PassSimulator {
  public:
-  /// A request with `prompt_tokens` was sent; `running` do not count it.
+  /// Records that a request with `prompt_tokens` was sent; `running` does not include it.
   void add(TimePoint now, const document::EngineSpec& engine, const document::ModelSpec& model, int running,
            double prompt_tokens);
-  /// What a request with `prompt_tokens` would meet.
+  /// Predicts the effect of sending a request with `prompt_tokens`; `running` does not include it.
   RequestForecast forecast(TimePoint now, const document::EngineSpec& engine, const document::ModelSpec& model,
                            int running, double prompt_tokens);
-  /// The longest of the passes of the last half second, the one under way included, as of the last call; zero while
-  /// nothing ran. The group's own passes lag behind the clock's by what the cost model leaves out.
+  /// Longest pass of the last half second, including the current one, as of the last call; zero without running
+  /// requests. The real passes lag behind the simulated ones by the delays that the cost model omits.
   Duration longest_recent_pass() const { return longest_recent_pass_; }
 
  private:
-  /// Plays the passes that have ended by `now`.
+  /// Simulates the passes up to `now`.
   void advance(TimePoint now, const document::EngineSpec& engine, const document::ModelSpec& model, int running);
 
   TimePoint current_pass_ends_at_ = TimePoint::min();
--- a/src/core/requests/buffer_budget.h
+++ b/src/core/requests/buffer_budget.h
@@ -4,10 +4,11 @@
 
 namespace larchlever::requests {
 
-/// Bytes that one process may hold for all its callers together.
+/// Limits the memory that one process uses to buffer responses for all its callers.
 ///
-/// Load pattern: hundreds of callers ask for large answers and read slowly or not at all, until what is held for them
-/// takes all memory. Nobody's share is fixed: one large answer may take what many small ones leave. Not thread-safe.
+/// Guards against hundreds of callers that request large responses and read them slowly or not at all, until the
+/// buffers exhaust the memory. There is no limit per caller: one large response may use what many small ones leave. Not
+/// thread-safe.
 class BufferBudget {
  public:
   explicit BufferBudget(size_t limit_bytes) : limit_bytes_(limit_bytes) {}
@@ -23,7 +24,7 @@
   size_t reserved_bytes_ = 0;
 };
 
-/// What one answer holds of a budget; given back when it ends.
+/// The part of a budget that one response uses. Released on destruction.
 class BufferReservation {
  public:
   explicit BufferReservation(BufferBudget& budget) : budget_(budget) {}
@@ -31,8 +32,8 @@
   BufferReservation(const BufferReservation&) = delete;
   BufferReservation& operator=(const BufferReservation&) = delete;
 
-  /// Takes `bytes` more, also beyond the limit: they have arrived already. False when the limit is reached, and the
-  /// answer must not grow any more.
+  /// Reserves `bytes` more, even beyond the limit, because they have already been received. Returns false if the limit
+  /// is exceeded; the response must not grow any further then.
   bool grow(size_t bytes) {
     reserved_bytes_ += bytes;
     budget_.reserved_bytes_ += bytes;
--- a/src/core/requests/decimal.h
+++ b/src/core/requests/decimal.h
@@ -5,8 +5,8 @@
 
 namespace larchlever::requests {
 
-/// Reads a decimal number of zero or more, without sign or exponent. Nothing for any other text; a number that no
-/// double holds is read as infinity.
+/// Parses a non-negative decimal number without sign or exponent. Returns nothing for any other text, infinity for a
+/// number too large for a double, and 0 for one too small.
 std::optional<double> parse_decimal(std::string_view text);
 
 }  // namespace larchlever::requests
--- a/src/core/requests/endpoint_selector.h
+++ b/src/core/requests/endpoint_selector.h
@@ -9,16 +9,17 @@
 
 namespace larchlever::requests {
 
-/// Picks endpoints of plain services in turn, leaving out those that failed repeatedly (for a while) and those that are
-/// leaving. At most half of a service's endpoints are left out for failures, so that errors spread over all of them do
-/// not empty the service. Pure; single-threaded.
+/// Selects endpoints of plain services by round robin. Skips endpoints that are leaving and, for a few seconds,
+/// endpoints that failed repeatedly. If more than half of a service's endpoints are ejected for failures, all are used,
+/// so that failures across the whole service do not make it unavailable. No I/O; single-threaded.
 class EndpointSelector {
  public:
-  /// The next endpoint of `service`, none of `excluded`; empty when all are excluded or leaving.
+  /// The next endpoint of `service` that is not in `excluded`; empty if there is none.
   std::string pick(TimePoint now, const std::string& service, const std::vector<std::string>& endpoints,
                    const std::set<std::string>& excluded);
+  /// Records whether a request to `endpoint` succeeded.
   void report(TimePoint now, const std::string& endpoint, bool success);
-  /// Endpoints that the membership list calls leaving: they get nothing new.
+  /// Sets the endpoints marked as leaving in the membership list; they get no new requests.
   void set_leaving(std::set<std::string> leaving) { leaving_ = std::move(leaving); }
   uint64_t ejections() const { return ejections_; }
 
--- a/src/core/requests/event_stream.cc
+++ b/src/core/requests/event_stream.cc
@@ -9,7 +9,7 @@
 constexpr std::string_view kEventEnd = "\n\n";
 constexpr std::string_view kIdField = "id:";
 
-/// The id of one event; nothing when it has none or it is no number.
+/// The id of an event; nothing if it has none or the id is not a number.
 std::optional<int64_t> parse_event_id(std::string_view event) {
   while (!event.empty()) {
     std::string_view line = event.substr(0, event.find('\n'));
--- a/src/core/requests/event_stream.h
+++ b/src/core/requests/event_stream.h
@@ -7,20 +7,20 @@
 
 namespace larchlever::requests {
 
-/// Cuts a `text/event-stream` body into whole events, so that an answer can be continued by another server exactly
-/// behind the last event that reached the caller. Events are opaque but for their ids.
+/// Splits a `text/event-stream` body into complete events, so that another server can resume the response right after
+/// the last event sent to the caller. Only the ids of events are interpreted.
 class EventStreamSplitter {
  public:
-  /// Takes the next bytes of the body. Returns the events that are whole now, unchanged. Events whose id is not above
-  /// the last one passed on are dropped: a server that continues may repeat them.
+  /// Processes the next bytes of the body and returns the events that they complete, unchanged. Drops events whose id
+  /// is not above the last one returned, because a server that resumes the stream may repeat them.
   std::string feed(std::string_view bytes);
-  /// A new server continues behind `last_id`: what was left of an unfinished event is void.
+  /// Discards an incomplete event, before another server resumes the stream after `last_id`.
   void restart() { pending_.clear(); }
-  /// Id of the last event returned; nothing before the first.
+  /// Id of the last event returned that has one; nothing before that.
   const std::optional<int64_t>& last_id() const { return last_id_; }
-  /// Bytes of an unfinished event.
+  /// Bytes of an incomplete event.
   const std::string& pending() const { return pending_; }
-  /// An id that skipped its predecessor was seen: this stream must not be presented as whole.
+  /// Whether an id was not the successor of the one before; the stream must then not be reported as complete.
   bool has_gap() const { return has_gap_; }
 
  private:
--- a/src/core/requests/latency_estimate.cc
+++ b/src/core/requests/latency_estimate.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Weights of one sample, as in RFC 6298.
+/// A new sample has a weight of 1/8 in the mean and 1/4 in the deviation, as in RFC 6298.
 constexpr int kMeanWeightDivisor = 8;
 constexpr int kDeviationWeightDivisor = 4;
 
--- a/src/core/requests/latency_estimate.h
+++ b/src/core/requests/latency_estimate.h
@@ -4,14 +4,15 @@
 
 namespace larchlever::requests {
 
-/// Running mean and mean deviation of measured times, as TCP keeps them of its round trips. Pure; single-threaded.
+/// Running mean and mean deviation of measured durations, computed like the round-trip estimate of TCP. No I/O;
+/// single-threaded.
 class LatencyEstimate {
  public:
   explicit LatencyEstimate(Duration initial = Duration::zero()) : mean_(initial) {}
 
   void add_sample(Duration measured);
   Duration mean() const { return mean_; }
-  /// The mean and `deviations` times the mean deviation above it.
+  /// The mean plus `deviations` times the mean deviation.
   Duration upper_bound(int deviations) const { return mean_ + deviations * deviation_; }
   bool has_samples() const { return has_samples_; }
 
--- a/src/core/requests/outcome.h
+++ b/src/core/requests/outcome.h
@@ -4,10 +4,10 @@
 
 namespace larchlever::requests {
 
-/// What is known of a request's execution when its answer goes out.
+/// Whether a request was executed, as far as is known when its response is sent.
 enum class Outcome {
   kRan,      ///< A back end ran it, at least in part.
-  kNotRun,   ///< Proved not to have run: no byte reached a back end, or the back end said it did not start.
+  kNotRun,   ///< Provably not executed: no byte reached a back end, or the back end reported that it did not start.
   kUnknown,  ///< It may or may not have run.
 };
 
@@ -24,8 +24,8 @@
   return "unknown";
 }
 
-/// The outcome that a header names. Nothing named: no attempt came before, so nothing ran. Unreadable: anything may
-/// have.
+/// Parses the value of an outcome header. An absent (empty) value means that there was no earlier attempt, so nothing
+/// ran; an unrecognized value means that the outcome is unknown.
 constexpr Outcome parse_outcome(std::string_view text) {
   if (text.empty() || text == to_string(Outcome::kNotRun)) {
     return Outcome::kNotRun;
@@ -33,7 +33,7 @@
   return text == to_string(Outcome::kRan) ? Outcome::kRan : Outcome::kUnknown;
 }
 
-/// What is known of a request after an attempt, by what was known before it.
+/// Combines the outcome of earlier attempts of a request with that of the latest attempt.
 constexpr Outcome combine_outcomes(Outcome earlier, Outcome attempt) {
   if (earlier == Outcome::kRan || attempt == Outcome::kRan) {
     return Outcome::kRan;
--- a/src/core/requests/recent_quantile.h
+++ b/src/core/requests/recent_quantile.h
@@ -8,20 +8,20 @@
 
 namespace larchlever::requests {
 
-/// A quantile of the last few measurements. Unlike a mean it is not moved by a few that say nothing about the rest, as
-/// when one server stood still, and it forgets them after as many new ones or after a few seconds: what is decided by
-/// it may keep new ones from being taken. Single-threaded, deterministic.
+/// Quantile of the most recent samples. Unlike a mean, it ignores a few outliers, for example while one server is
+/// paused. Samples also expire after a few seconds, because decisions based on the quantile may prevent new samples.
+/// Single-threaded, deterministic.
 class RecentQuantile {
  public:
   void add_sample(TimePoint now, Duration measured);
-  /// The measurement that `share` (0 to 1) of the recent ones do not exceed, the lower of two where it lies between
-  /// them; zero when there is none.
+  /// The given quantile (0 to 1) of the recent samples, or the lower sample if it falls between two; zero without
+  /// samples.
   Duration value(TimePoint now, double quantile) const;
 
  private:
-  /// Enough that a quarter of them may be outliers; at the least busy entry, what a few seconds bring.
+  /// Large enough to tolerate a quarter of outliers. The least busy entry takes this many samples in a few seconds.
   static constexpr size_t kMaxSamples = 16;
-  /// Longer than a burst, shorter than callers' patience.
+  /// Longer than a burst of requests, shorter than the timeouts of callers.
   static constexpr Duration kMaxSampleAge = seconds(4);
 
   std::deque<std::pair<TimePoint, Duration>> samples_;
--- a/src/core/requests/recently_answered.h
+++ b/src/core/requests/recently_answered.h
@@ -9,9 +9,9 @@
 
 namespace larchlever::requests {
 
-/// Remembers which requests servers answered of late, for between `kGenerationLifetime` and twice that, in two
-/// generations of at most `kMaxRequestsPerGeneration` each: constant cost a request, a few hundred kilobytes in all.
-/// Single-threaded, deterministic.
+/// The requests that servers answered recently. An entry is kept for one to two times `kGenerationLifetime`, or less
+/// under high load: two generations hold at most `kMaxRequestsPerGeneration` requests each. Constant time per request
+/// and a few hundred kilobytes of memory. Single-threaded, deterministic.
 class RecentlyAnsweredRequests {
  public:
   static constexpr Duration kGenerationLifetime = seconds(30);
--- a/src/core/requests/request_fingerprint.cc
+++ b/src/core/requests/request_fingerprint.cc
@@ -11,7 +11,7 @@
   const std::array parts{identity.caller, identity.host, identity.method, identity.target, identity.body};
   XXH64_hash_t hash = 0;
   for (const auto part : parts) {
-    // The length goes in as well, so that no byte may move from one part to the next unnoticed.
+    // Includes the length, so that the same bytes split differently into parts give another hash.
     const uint64_t size = part.size();
     hash = XXH64(&size, sizeof(size), hash);
     hash = XXH64(part.data(), part.size(), hash);
--- a/src/core/requests/request_fingerprint.h
+++ b/src/core/requests/request_fingerprint.h
@@ -8,11 +8,11 @@
 
 namespace larchlever::requests {
 
-/// Tells whether two requests are the same one sent again: equal for equal caller, host, method, target and body,
-/// whatever the request's id, deadline or the entry that took it. Not a secret and not meant to withstand attacks.
+/// Hash that identifies repetitions of a request: equal for equal caller, host, method, target and body, and
+/// independent of the request id, the deadline and the entry that received it. Not a cryptographic hash.
 using RequestFingerprint = StrongId<struct RequestFingerprintTag, int64_t>;
 
-/// What a request is recognised by when it comes again.
+/// The properties of a request that its fingerprint is computed from.
 struct RequestIdentity {
   /// The tenant's name; empty on public routes.
   std::string_view caller;
@@ -25,7 +25,7 @@
 
 RequestFingerprint compute_fingerprint(const RequestIdentity& identity);
 
-/// As it stands in logs: sixteen hexadecimal digits.
+/// The form used in logs: sixteen hexadecimal digits.
 std::string to_string(RequestFingerprint fingerprint);
 
 }  // namespace larchlever::requests
--- a/src/core/requests/retry_after.h
+++ b/src/core/requests/retry_after.h
@@ -7,28 +7,29 @@
 
 namespace larchlever::requests {
 
-/// How a `Retry-After` header was read.
+/// Result of parsing a `Retry-After` header.
 enum class RetryAfterParseStatus {
-  kExact,         ///< Seconds, fractions too.
-  kClampedToMax,  ///< More than `kMaxRetryAfterDelay`, which is taken in its place.
-  kUnreadable,    ///< A date, words or a negative number: `kDefaultRetryAfterDelay` is taken in its place.
+  kExact,         ///< A number of seconds, which may have a fraction.
+  kClampedToMax,  ///< More than `kMaxRetryAfterDelay`, which is used instead.
+  kUnreadable,    ///< A date, a negative number or other text; `kDefaultRetryAfterDelay` is used instead.
 };
 
-/// What a server asks for in a `Retry-After` header.
+/// The delay that a server requests in a `Retry-After` header.
 struct RetryAfter {
   Duration delay{};
   RetryAfterParseStatus parse_status = RetryAfterParseStatus::kExact;
 };
 
-/// No rest is kept for longer: who asks for a day means something else, and is asked once more after this.
+/// Maximum delay that is honored. A longer value, such as a day, is probably a mistake, so the server is tried again
+/// after this time.
 constexpr Duration kMaxRetryAfterDelay = std::chrono::hours(1);
-/// A server that asks for rest, but not in seconds, gets the rest that callers are told to keep most often.
+/// Delay for a header that is not a number of seconds. Callers get this value most often in responses of this system.
 constexpr Duration kDefaultRetryAfterDelay = seconds(1);
 
-/// Reads the value of a `Retry-After` header.
+/// Parses the value of a `Retry-After` header.
 RetryAfter parse_retry_after(std::string_view text);
 
-/// The value that tells a caller to come back after `wait`, which is above 0: in seconds, to a hundredth, never sooner.
+/// Formats a `Retry-After` value in seconds, rounded up to a hundredth. `wait` must be above 0.
 std::string format_retry_after(Duration wait);
 
 }  // namespace larchlever::requests
--- a/src/core/requests/retry_state.cc
+++ b/src/core/requests/retry_state.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kHundredthsPerRetry = 100;
-/// Ten retries: what a tenant may spend at once, and what it starts with.
+/// Ten retries: the maximum and initial balance of a tenant.
 constexpr int kMaxBalanceHundredths = 10 * kHundredthsPerRetry;
 
 }  // namespace
@@ -27,8 +27,8 @@
 }
 
 bool RetryState::may_retry(TimePoint now, AttemptResult result, const std::string& tenant, RetryBudget& budget) {
-  // What never left is not an attempt at a back end: it is bounded by the deadline and the budget alone, so that a
-  // request can outlast the time in which its group is formed anew.
+  // Attempts that were not sent are limited only by the deadline and the budget, so that a request can wait while its
+  // group is formed again.
   attempts_ += result == AttemptResult::kNotSent ? 0 : 1;
   const bool may_have_run = result == AttemptResult::kLostAfterSend || result == AttemptResult::kCutInStream;
   may_have_run_ = may_have_run_ || may_have_run;
--- a/src/core/requests/retry_state.h
+++ b/src/core/requests/retry_state.h
@@ -10,12 +10,14 @@
 
 namespace larchlever::requests {
 
-/// Retries a tenant may spend: a fraction of its requests, with a small reserve so that a quiet tenant can retry too.
+/// Limits the retries of each tenant to a percentage of its requests, plus a small reserve for tenants with few
+/// requests.
 class RetryBudget {
  public:
   explicit RetryBudget(int retry_percent) : retry_percent_(retry_percent) {}
+  /// Credits the tenant for a new request.
   void record_request(const std::string& tenant);
-  /// Takes one retry; false when the budget is spent.
+  /// Spends one retry. Returns false if the budget is exhausted.
   bool try_spend(const std::string& tenant);
 
  private:
@@ -23,15 +25,15 @@
   std::map<std::string, int> balance_hundredths_;
 };
 
-/// How one attempt at a back end ended, seen from the entry.
+/// Result of a failed request attempt, as seen by the entry.
 enum class AttemptResult {
-  kNotSent,           ///< No byte left, e.g. the connection failed.
-  kRefusedUnstarted,  ///< The back end answered that it did not start the request.
-  kLostAfterSend,     ///< Bytes may have left and no whole answer came.
-  kCutInStream,       ///< Part of the answer came; its offset is known.
+  kNotSent,           ///< No byte was sent, for example because the connection failed.
+  kRefusedUnstarted,  ///< The back end reported that it did not start the request.
+  kLostAfterSend,     ///< Bytes may have been sent, and no complete response arrived.
+  kCutInStream,       ///< Part of the response stream arrived, up to a known offset.
 };
 
-/// As logs name it.
+/// The form used in logs.
 constexpr std::string_view to_string(AttemptResult result) {
   switch (result) {
     case AttemptResult::kNotSent:
@@ -46,19 +48,19 @@
   return "unknown";
 }
 
-/// Decides what may follow a failed attempt of one request.
+/// Decides whether one request may be retried after a failed attempt.
 ///
-/// Rules: an attempt that provably did not run may be repeated elsewhere; one that may have run only if the request is
-/// safe; never past the deadline, the tenant's retry budget or, for attempts that reached a back end, their limit.
-/// Pure.
+/// An attempt that provably did not run may be retried elsewhere. One that may have run may be retried only if the
+/// request is safe to repeat. The deadline, the tenant's retry budget and a limit on attempts that may have reached a
+/// back end always apply. No I/O.
 class RetryState {
  public:
   RetryState(bool is_retry_safe, int max_attempts, TimePoint deadline)
       : is_retry_safe_(is_retry_safe), max_attempts_(max_attempts), deadline_(deadline) {}
 
-  /// Notes a failed attempt; true when another may start now.
+  /// Records a failed attempt. Returns whether another attempt may start now, and then spends one retry of `budget`.
   bool may_retry(TimePoint now, AttemptResult result, const std::string& tenant, RetryBudget& budget);
-  /// Outcome to report if the request ends here.
+  /// The outcome to report if the request is not retried.
   Outcome outcome() const { return may_have_run_ ? Outcome::kUnknown : Outcome::kNotRun; }
   int attempts() const { return attempts_; }
 
--- a/src/core/requests/server_limit.h
+++ b/src/core/requests/server_limit.h
@@ -6,27 +6,28 @@
 
 namespace larchlever::requests {
 
-/// How the header was read in which a server names how many requests a second it takes.
+/// Result of parsing the header in which a server declares its rate limit.
 enum class ServerLimitParseStatus {
-  kExact,
-  kClampedToMin,  ///< Less than `kMinRequestsPerSecond`, which is taken in its place.
-  kClampedToMax,  ///< More than `kMaxRequestsPerSecond`, which is taken in its place.
-  kUnreadable,    ///< No decimal number, a negative one, or more than one header.
+  kExact,         ///< Used as given.
+  kClampedToMin,  ///< Less than `kMinRequestsPerSecond`, which is used instead.
+  kClampedToMax,  ///< More than `kMaxRequestsPerSecond`, which is used instead.
+  kUnreadable,    ///< Not a decimal number, a negative number, or more than one header.
 };
 
-/// Requests a second that a server takes from all entries together.
+/// Rate limit of a server for the requests of all entries together.
 struct ServerLimit {
-  /// Nothing where the header cannot be read: it then says nothing about the limit that holds.
+  /// Not set if the header is unreadable; the limit known before then stays in effect.
   std::optional<double> per_second;
   ServerLimitParseStatus parse_status = ServerLimitParseStatus::kExact;
 };
 
-/// A server that takes fewer gets one request in ten seconds all the same: only an answer shows the end of its limit.
+/// Even a server with a lower limit gets one request in ten seconds, because only a response can show that its limit
+/// has ended.
 constexpr double kMinRequestsPerSecond = 0.1;
-/// More than any server serves.
+/// Upper bound, above the throughput of any server.
 constexpr double kMaxRequestsPerSecond = 1e6;
 
-/// Reads all values of the header in one answer; there is at least one.
+/// Parses all values of the header in one response. `values` must not be empty.
 ServerLimit parse_server_limit(const std::vector<std::string_view>& values);
 
 }  // namespace larchlever::requests
--- a/src/core/requests/stream_verifier.cc
+++ b/src/core/requests/stream_verifier.cc
@@ -10,7 +10,7 @@
 constexpr size_t kMaxEventBytes = 1U << 20U;
 constexpr std::string_view kTerminalData = "[DONE]";
 
-/// Value of the first line that starts with `field`; empty when there is none.
+/// Value of the first line that starts with `field`; empty if there is none.
 std::string_view field_value(std::string_view event, std::string_view field) {
   while (!event.empty()) {
     const size_t end = event.find('\n');
@@ -85,7 +85,7 @@
     status_ = StreamStatus::kMalformed;
   }
   if (status_ == StreamStatus::kDone && !pending_.empty()) {
-    pending_.clear();  // Nothing may follow the terminal event; it is not passed on.
+    pending_.clear();  // Drops anything after the terminal event.
   }
   return events;
 }
--- a/src/core/routing/router.cc
+++ b/src/core/routing/router.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A group may hold this multiple of the mean load before affinity gives way to the next choice.
+/// A group with this multiple of the mean load is skipped in favor of the next one in the prefix's ranking.
 constexpr double kMaxLoadToMeanRatio = 1.25;
 constexpr size_t kMaxPrefixBytes = 512;
 
@@ -67,7 +67,8 @@
 int Router::estimated_load(int64_t group_id, const Lease& lease) const {
   const auto own_in_flight = in_flight_by_group_.find(group_id);
   const int own_in_flight_now = own_in_flight == in_flight_by_group_.end() ? 0 : own_in_flight->second;
-  // The report lags. What we had in flight when it came is in it (or soon will be); count our own part afresh.
+  // The reported load is outdated. It includes this entry's in-flight requests at the time of the report, or soon will;
+  // replace them by the current number.
   return std::max(lease.reported_load - lease.own_in_flight_at_report, 0) + own_in_flight_now;
 }
 
@@ -126,8 +127,8 @@
 }
 
 const wire::Group* Router::choose_by_prefix_affinity(const std::vector<Candidate>& candidates, uint64_t prefix_hash) {
-  // Rendezvous hashing: every entry ranks the groups alike for a prefix without sharing any state; the load bound
-  // sends what is too much for the first choice to the second, and so on.
+  // Rendezvous hashing: all entries rank the groups for a prefix in the same way without shared state. Groups at the
+  // load limit are skipped in favor of the next one in the ranking.
   int total = 0;
   for (const auto& candidate : candidates) {
     total += candidate.load;
--- a/src/core/routing/router.h
+++ b/src/core/routing/router.h
@@ -18,25 +18,25 @@
 
 enum class RoutingPolicy { kRoundRobin, kLeastLoad, kPowerOfTwo, kPrefixAffinity };
 
-/// The policy called `name`: round_robin, least_load, power_of_two or prefix_affinity.
+/// Parses a policy name: round_robin, least_load, power_of_two or prefix_affinity.
 std::optional<RoutingPolicy> parse_routing_policy(std::string_view name);
 
 enum class RouteVerdict {
   kDispatch,
-  kNoConfigurationLease,  ///< This entry may not act on the configuration it holds: nothing may be dispatched.
+  kNoConfigurationLease,  ///< The entry's configuration may be outdated: no request may be dispatched.
   kUnknownTenant,
   kUnknownModel,
   kAdapterNotPermitted,
-  kNoGroupAvailable,  ///< Permitted, but no group in a permitted zone is open now: wait, never go elsewhere.
+  kNoGroupAvailable,  ///< Permitted, but no group in a permitted zone is available: the request must wait.
 };
 
 struct RouteQuery {
   std::string tenant;
   std::string model;
   std::string adapter;
-  /// Hash of the prompt's leading part; zero for none. Equal prefixes go to the same group while load permits.
+  /// Hash of the prompt's prefix; zero if none. Equal prefixes are routed to the same group while its load permits.
   uint64_t prefix_hash = 0;
-  /// Groups already tried for this request.
+  /// Ids of groups that must not be chosen, because they were already tried for this request.
   std::set<int64_t> excluded;
 };
 
@@ -47,25 +47,25 @@
 
 /// Chooses the group for each request of one entry.
 ///
-/// Guarantees: a group is chosen only when its zone is among the tenant's, its template is the tenant's, and this entry
-/// holds an unexpired serve lease for its present epoch. Order of checks: permission, then availability, then load.
-/// Deterministic for a seed; single-threaded.
+/// Guarantees: a group is chosen only if its zone is permitted for the tenant, it has the tenant's template, and this
+/// entry holds an unexpired serve lease for its current epoch. Order of checks: permission, then availability, then
+/// load. Deterministic for a seed; single-threaded.
 class Router {
  public:
   Router(RoutingPolicy policy, uint64_t seed) : policy_(policy), random_(seed) {}
 
   void set_table(RoutingTable table) { table_ = std::move(table); }
   const RoutingTable& table() const { return table_; }
-  /// Replaces all serve leases; they hold until `until`.
+  /// Replaces all serve leases; they expire at `until`.
   void set_leases(const std::vector<wire::GroupLease>& leases, TimePoint until);
-  /// Nothing may be dispatched at or after `until`.
+  /// No request may be dispatched at or after `until`.
   void set_configuration_lease(TimePoint until) { configuration_lease_until_ = until; }
   TimePoint configuration_lease_until() const { return configuration_lease_until_; }
 
   RouteDecision route(TimePoint now, const RouteQuery& query);
-  /// Whether the lease for this epoch still holds; asked again right before bytes leave.
+  /// Whether the lease for this epoch is still valid. Must be checked again right before sending a request.
   bool may_dispatch(TimePoint now, int64_t group_id, int32_t epoch) const;
-  /// A request went to the group, or came back from it: feeds the load estimate.
+  /// Records that a request was sent to the group, or ended there, for the load estimate.
   void record_dispatch(int64_t group_id) { ++in_flight_by_group_[group_id]; }
   void record_completion(int64_t group_id);
 
@@ -96,10 +96,10 @@
   std::unordered_map<int64_t, Lease> leases_;
   std::unordered_map<int64_t, int> in_flight_by_group_;
   size_t next_round_robin_index_ = 0;
-  std::vector<Candidate> candidates_;  ///< Kept between calls for its memory only.
+  std::vector<Candidate> candidates_;  ///< Member only to reuse its memory between calls.
 };
 
-/// Hash of the leading part of a prompt, salted by tenant so that tenants never share a cached prefix by accident.
+/// Hash of the prefix of a prompt, salted by tenant so that equal prompts of different tenants have different hashes.
 uint64_t hash_prefix(std::string_view tenant, std::string_view prompt);
 
 }  // namespace larchlever::routing
--- a/tests/unit/allowed_regions_test.cc
+++ b/tests/unit/allowed_regions_test.cc
@@ -32,8 +32,9 @@
   EXPECT_EQ(allowed_zones(kRegions, make_route({"a"}), nullptr), (Zones{"a1", "a2"}));
   EXPECT_EQ(allowed_zones(kRegions, make_route({}), &regions_a_and_c), (Zones{"a1", "a2", "c1"}));
   EXPECT_EQ(allowed_zones(kRegions, make_route({"b", "c"}), &regions_a_and_c), (Zones{"c1"}));
-  EXPECT_EQ(allowed_zones(kRegions, make_route({"b"}), &regions_a_and_c), Zones{}) << "nowhere, not anywhere";
-  EXPECT_EQ(allowed_zones({}, make_route({"b"}), nullptr), Zones{}) << "no zone is known to be a home";
+  EXPECT_EQ(allowed_zones(kRegions, make_route({"b"}), &regions_a_and_c), Zones{})
+      << "no zone is allowed; must not mean any zone";
+  EXPECT_EQ(allowed_zones({}, make_route({"b"}), nullptr), Zones{}) << "no zone has a region";
 }
 
 TEST(AllowedRegions, UnknownRegionErrorNamesTheField) {
@@ -80,7 +81,7 @@
   return document;
 }
 
-// Requests bound to a full region wait; they hold up nobody who may run elsewhere.
+// Requests restricted to a region without free slots must queue without blocking requests that may run elsewhere.
 TEST(SlotScheduler, GrantsSlotsOnlyInAllowedZones) {
   fleet::SlotScheduler scheduler;
   scheduler.start(1);
@@ -106,7 +107,7 @@
   };
   EXPECT_EQ(request_slot(true).group, "home");
   EXPECT_EQ(request_slot(true).group, "home");
-  EXPECT_EQ(request_slot(true).verdict, wire::SlotVerdict::QUEUED) << "home is full";
+  EXPECT_EQ(request_slot(true).verdict, wire::SlotVerdict::QUEUED) << "the only group in allowed zones is full";
   EXPECT_EQ(request_slot(false).verdict, wire::SlotVerdict::GRANTED);
 }
 
--- a/tests/unit/parser_fuzz_test.cc
+++ b/tests/unit/parser_fuzz_test.cc
@@ -13,18 +13,18 @@
 #include "storage/record_format.h"
 #include "wire/codec.h"
 
-// Every parser of outside bytes, fed with mutated samples from a fixed seed. The sanitizer job runs these too.
+// Feeds mutated samples from a fixed seed to every parser of untrusted input. The sanitizer job also runs these tests.
 
 namespace larchlever {
 namespace {
 
-/// By hand for longer: LARCHLEVER_FUZZ_ROUNDS=N.
+/// Set LARCHLEVER_FUZZ_ROUNDS=N for a longer run.
 int fuzz_rounds() {
   const char* rounds_text = std::getenv("LARCHLEVER_FUZZ_ROUNDS");
   return rounds_text == nullptr ? 4000 : std::atoi(rounds_text);
 }
 
-/// A sample with some bytes changed, cut out, doubled or cut off.
+/// Randomly changes, removes, duplicates or truncates bytes of the sample.
 std::string mutate(std::string sample, std::mt19937_64& random) {
   const auto random_below = [&random](size_t limit) {
     return std::uniform_int_distribution<size_t>(0, limit - 1)(random);
@@ -79,7 +79,7 @@
   fuzz(net::encode_frame(payload) + net::encode_frame(payload), [&payload](const std::string& bytes) {
     std::string_view found;
     size_t size = 0;
-    // A damaged frame is never taken for a whole one.
+    // A corrupt frame must never be accepted as complete.
     if (net::decode_frame(bytes, found, size) == net::FrameStatus::kComplete) {
       EXPECT_EQ(found, payload);
       EXPECT_LE(size, bytes.size());
@@ -119,7 +119,7 @@
     std::vector<std::string> errors;
     settings::parse_node_settings(bytes, errors);
     settings::parse_change_file(bytes, errors);
-    EXPECT_FALSE(errors.empty()) << "half of the text belongs to the other kind of file";
+    EXPECT_FALSE(errors.empty()) << "the text mixes sections of both kinds of file";
   });
 }
 
@@ -137,7 +137,7 @@
   });
 }
 
-/// What another writer may send for a report: each field of a whole one missing, or of any other type or range.
+/// A registration must be parsed into a valid instance or rejected with an error that names the field.
 void expect_valid_or_explained(const std::string& body) {
   const auto parsed = fleet::parse_registration("i1", body);
   if (const auto* malformed = std::get_if<fleet::MalformedReport>(&parsed)) {
@@ -155,6 +155,7 @@
   EXPECT_NE(report.state, wire::InstanceState::GONE) << body;
 }
 
+// Registrations may come from other implementations: any field may be missing or have another type or range.
 TEST(ParserFuzz, RegistrationsFromOtherImplementations) {
   const std::string complete_report =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1","slots":8,"state":"ready","cold_left_ms":0,)"
--- a/tests/unit/requests_test.cc
+++ b/tests/unit/requests_test.cc
@@ -53,7 +53,7 @@
   EXPECT_EQ(status_after(event("r", 0) + event("r", 0)), StreamStatus::kOutOfOrder);
   EXPECT_EQ(status_after(event("r", 0), 3), StreamStatus::kOutOfOrder);
   EXPECT_EQ(status_after("data: {}\n\n"), StreamStatus::kMalformed);
-  EXPECT_EQ(status_after(event("r", 0)), StreamStatus::kOpen) << "no terminal event: not whole";
+  EXPECT_EQ(status_after(event("r", 0)), StreamStatus::kOpen) << "incomplete without the terminal event";
   requests::StreamVerifier verifier("r", 0);
   EXPECT_EQ(verifier.feed("data: [DONE]\n\n" + event("r", 0)), "data: [DONE]\n\n");
 }
@@ -70,7 +70,7 @@
   EXPECT_EQ(unsafe.outcome(), Outcome::kUnknown);
   requests::RetryState safe(true, 3, kNow + seconds(1));
   EXPECT_TRUE(safe.may_retry(kNow, AttemptResult::kLostAfterSend, "t", budget));
-  EXPECT_FALSE(safe.may_retry(kNow + seconds(2), AttemptResult::kNotSent, "t", budget)) << "past its deadline";
+  EXPECT_FALSE(safe.may_retry(kNow + seconds(2), AttemptResult::kNotSent, "t", budget)) << "deadline exceeded";
   EXPECT_EQ(safe.outcome(), Outcome::kUnknown);
 }
 
@@ -110,7 +110,7 @@
   for (int turn = 0; turn < 8; ++turn) {
     picked.insert(selector.pick(kNow, "s", all, {}));
   }
-  EXPECT_EQ(picked.size(), 4U) << "more than half ejected: all are used again";
+  EXPECT_EQ(picked.size(), 4U) << "more than half would be ejected, so all are used";
   requests::EndpointSelector other;
   for (int failure = 0; failure < 3; ++failure) {
     other.report(kNow, "a", false);
@@ -118,7 +118,7 @@
   for (int turn = 0; turn < 8; ++turn) {
     EXPECT_NE(other.pick(kNow, "s", all, {}), "a");
   }
-  EXPECT_FALSE(other.pick(kNow + seconds(6), "s", {"a"}, {}).empty()) << "back after a while";
+  EXPECT_FALSE(other.pick(kNow + seconds(6), "s", {"a"}, {}).empty()) << "the ejection has expired";
   other.set_leaving({"b", "c", "d"});
   EXPECT_EQ(other.pick(kNow + seconds(6), "s", {"b", "c", "d"}, {}), "");
 }
@@ -135,12 +135,12 @@
   EXPECT_EQ(controller.request_admission(kNow, 4, "t", 9, kNow + seconds(5)), AdmissionVerdict::kRefusedQueueFull);
   controller.leave("t", seconds(2));
   EXPECT_EQ(controller.take_admitted(kNow), std::vector<admission::AdmissionRequestId>{3})
-      << "the higher priority first";
+      << "the request with the higher priority is admitted first";
   EXPECT_EQ(controller.request_admission(kNow, 5, "t", 5, kNow + seconds(1)), AdmissionVerdict::kRefusedDeadline);
   EXPECT_EQ(controller.take_expired(kNow + seconds(5)), std::vector<admission::AdmissionRequestId>{2});
   controller.leave("t", seconds(2));
   EXPECT_EQ(controller.request_admission(kNow + seconds(11), 6, "t", 5, kNow + seconds(20)), AdmissionVerdict::kQueued)
-      << "the budget's lease ran out";
+      << "the budget's lease has expired";
 }
 
 TEST(BudgetAllocator, NeverGrantsMoreThanTheLimitAcrossEntries) {
@@ -245,7 +245,7 @@
   }
   EXPECT_EQ(sent.size(), 4U);
   for (const auto& [id, count] : sent) {
-    EXPECT_LE(count, 14) << "bounded near the mean of ten";
+    EXPECT_LE(count, 14) << "limited to a multiple of the mean load, 10";
   }
 }
 
