--- a/src/core/engine/cost_model.cc
+++ b/src/core/engine/cost_model.cc
@@ -45,18 +45,20 @@
   result.prefill_load = arrivals_per_pass * sizes.prompt / max_prefill_tokens_per_pass(engine);
   const double load = std::min(result.prefill_load, kMaxPrefillLoad);
   // Prompt sizes vary widely, hence the mean waiting time of a queue with random service times.
-  result.first_event = from_milliseconds(pass_ms * (kPassesWithoutQueueing + load / (1.0 - load)));
+  result.time_to_first_event = from_milliseconds(pass_ms * (kPassesWithoutQueueing + load / (1.0 - load)));
   return result;
 }
 
 int max_running_requests(const document::EngineSpec& engine, const document::ModelSpec& model,
                          const RequestTokenCounts& sizes, Duration target) {
-  const auto bound = Duration(static_cast<int64_t>(static_cast<double>(target.count()) * kEngineShareOfTarget));
-  int most = 1;
-  while (most < engine.slots && forecast_steady_state(engine, model, sizes, most + 1).first_event <= bound) {
-    ++most;
+  const auto max_time_to_first_event =
+      Duration(static_cast<int64_t>(static_cast<double>(target.count()) * kEngineShareOfTarget));
+  int max_running = 1;
+  while (max_running < engine.slots &&
+         forecast_steady_state(engine, model, sizes, max_running + 1).time_to_first_event <= max_time_to_first_event) {
+    ++max_running;
   }
-  return most;
+  return max_running;
 }
 
 Duration max_pass_duration(const document::EngineSpec& engine, const document::ModelSpec& model) {
@@ -90,9 +92,9 @@
 }
 
 void RequestSizeEstimator::add_sample(double prompt_tokens, double answer_tokens) {
-  const double share = std::max(kMinSampleWeight, 1.0 / (sample_count_ + 1.0));
-  mean_.prompt += share * (prompt_tokens - mean_.prompt);
-  mean_.answer += share * (answer_tokens - mean_.answer);
+  const double sample_weight = std::max(kMinSampleWeight, 1.0 / (sample_count_ + 1.0));
+  mean_.prompt += sample_weight * (prompt_tokens - mean_.prompt);
+  mean_.answer += sample_weight * (answer_tokens - mean_.answer);
   sample_count_ += 1.0;
 }
 
--- a/src/core/engine/cost_model.h
+++ b/src/core/engine/cost_model.h
@@ -19,7 +19,7 @@
   /// Duration of one pass, which is also the pause between two events of a stream.
   Duration pass{};
   /// Time from the arrival of a request to its first event.
-  Duration first_event{};
+  Duration time_to_first_event{};
   /// Ratio of prompt tokens that arrive during a pass to those that a pass can process; at 1 and above the queue grows.
   double prefill_load = 0;
 };
--- a/src/core/engine/pass_simulator.cc
+++ b/src/core/engine/pass_simulator.cc
@@ -62,14 +62,14 @@
                                         const document::ModelSpec& model, int running, double prompt_tokens) {
   advance(now, engine, model, running);
   RequestForecast result;
-  result.first_event = std::max(Duration::zero(), current_pass_ends_at_ - now);
+  result.time_to_first_event = std::max(Duration::zero(), current_pass_ends_at_ - now);
   double remaining_tokens = waiting_tokens_ + clamp_prompt_tokens(engine, prompt_tokens);
   do {
     const double prefill_tokens = std::min(remaining_tokens, max_prefill_tokens_per_pass(engine));
     remaining_tokens -= prefill_tokens;
     const Duration pass = pass_duration(engine, model, running + 1, prefill_tokens);
     result.longest_pass = std::max(result.longest_pass, pass);
-    result.first_event += pass;
+    result.time_to_first_event += pass;
   } while (remaining_tokens > 0);
   return result;
 }
--- a/src/core/engine/pass_simulator.h
+++ b/src/core/engine/pass_simulator.h
@@ -8,7 +8,7 @@
 /// Predicted effect of sending a request to a group now.
 struct RequestForecast {
   /// Time from now to the request's first event.
-  Duration first_event{};
+  Duration time_to_first_event{};
   /// Longest pass after the current one until that event: the longest pause between two events of the group's other
   /// streams.
   Duration longest_pass{};
--- a/src/core/fleet/slot_scheduler.cc
+++ b/src/core/fleet/slot_scheduler.cc
@@ -273,13 +273,14 @@
       continue;
     }
     const bool is_quiet_group = silence_watch_.is_quiet(now, name);
-    const bool is_better = std::pair(is_quiet_group, forecast.first_event) < std::pair(best.is_quiet, best.first_event);
+    const bool is_better =
+        std::pair(is_quiet_group, forecast.time_to_first_event) < std::pair(best.is_quiet, best.first_event);
     if (best.feasibility == Feasibility::kNone || is_better) {
       best.name = name;
-      best.first_event = forecast.first_event;
+      best.first_event = forecast.time_to_first_event;
       best.is_quiet = is_quiet_group;
       best.feasibility =
-          has_objective && forecast.first_event > remaining_time ? Feasibility::kLate : Feasibility::kInTime;
+          has_objective && forecast.time_to_first_event > remaining_time ? Feasibility::kLate : Feasibility::kInTime;
     }
   }
   return best;
@@ -289,7 +290,7 @@
                                              const WaitingRequest& waiting) {
   const auto& request = waiting.request;
   const Duration idle_first_event =
-      engine::PassSimulator().forecast(waiting.arrived_at, engine, model, 0, request.prompt_tokens).first_event;
+      engine::PassSimulator().forecast(waiting.arrived_at, engine, model, 0, request.prompt_tokens).time_to_first_event;
   return request.first_event_ms > 0 && idle_first_event > milliseconds(request.first_event_ms);
 }
 
--- a/src/core/requests/endpoint_selector.cc
+++ b/src/core/requests/endpoint_selector.cc
@@ -34,7 +34,7 @@
   return pool.empty() ? std::string() : *pool[next_index_by_service_[service]++ % pool.size()];
 }
 
-void EndpointSelector::report(TimePoint now, const std::string& endpoint, bool success) {
+void EndpointSelector::report_result(TimePoint now, const std::string& endpoint, bool success) {
   Health& health = health_[endpoint];
   if (success) {
     health.consecutive_failures = 0;
--- a/src/core/requests/endpoint_selector.h
+++ b/src/core/requests/endpoint_selector.h
@@ -18,7 +18,7 @@
   std::string pick(TimePoint now, const std::string& service, const std::vector<std::string>& endpoints,
                    const std::set<std::string>& excluded);
   /// Records whether a request to `endpoint` succeeded.
-  void report(TimePoint now, const std::string& endpoint, bool success);
+  void report_result(TimePoint now, const std::string& endpoint, bool success);
   /// Sets the endpoints marked as leaving in the membership list; they get no new requests.
   void set_leaving(std::set<std::string> leaving) { leaving_ = std::move(leaving); }
   uint64_t ejections() const { return ejections_; }
--- a/src/core/requests/retry_state.cc
+++ b/src/core/requests/retry_state.cc
@@ -26,7 +26,7 @@
   return true;
 }
 
-bool RetryState::may_retry(TimePoint now, AttemptResult result, const std::string& tenant, RetryBudget& budget) {
+bool RetryState::try_start_retry(TimePoint now, AttemptResult result, const std::string& tenant, RetryBudget& budget) {
   // Attempts that were not sent are limited only by the deadline and the budget, so that a request can wait while its
   // group is formed again.
   attempts_ += result == AttemptResult::kNotSent ? 0 : 1;
--- a/src/core/requests/retry_state.h
+++ b/src/core/requests/retry_state.h
@@ -59,7 +59,7 @@
       : is_retry_safe_(is_retry_safe), max_attempts_(max_attempts), deadline_(deadline) {}
 
   /// Records a failed attempt. Returns whether another attempt may start now, and then spends one retry of `budget`.
-  bool may_retry(TimePoint now, AttemptResult result, const std::string& tenant, RetryBudget& budget);
+  bool try_start_retry(TimePoint now, AttemptResult result, const std::string& tenant, RetryBudget& budget);
   /// The outcome to report if the request is not retried.
   Outcome outcome() const { return may_have_run_ ? Outcome::kUnknown : Outcome::kNotRun; }
   int attempts() const { return attempts_; }
--- a/src/core/routing/router.cc
+++ b/src/core/routing/router.cc
@@ -89,10 +89,12 @@
   candidates_.clear();
   for (const auto& group : table_.serving_groups(tenant->tenant.template_name)) {
     const auto lease = leases_.find(group.id);
-    const bool leased = lease != leases_.end() && lease->second.epoch == group.epoch && now < lease->second.until;
+    const bool has_valid_lease =
+        lease != leases_.end() && lease->second.epoch == group.epoch && now < lease->second.until;
     const bool has_adapter = query.adapter.empty() || std::find(group.adapters.begin(), group.adapters.end(),
                                                                 query.adapter) != group.adapters.end();
-    if (leased && has_adapter && tenant->permits_zone(group.zone) && !query.excluded.contains(group.id)) {
+    if (has_valid_lease && has_adapter && tenant->permits_zone(group.zone) &&
+        !query.excluded_group_ids.contains(group.id)) {
       candidates_.push_back({&group, estimated_load(group.id, lease->second)});
     }
   }
--- a/src/core/routing/router.h
+++ b/src/core/routing/router.h
@@ -37,7 +37,7 @@
   /// Hash of the prompt's prefix; zero if none. Equal prefixes are routed to the same group while its load permits.
   uint64_t prefix_hash = 0;
   /// Ids of groups that must not be chosen, because they were already tried for this request.
-  std::set<int64_t> excluded;
+  std::set<int64_t> excluded_group_ids;
 };
 
 struct RouteDecision {
--- a/src/core/routing/routing_table.cc
+++ b/src/core/routing/routing_table.cc
@@ -53,9 +53,9 @@
 const wire::Service* RoutingTable::find_service(std::string_view path) const {
   for (const auto& service : services_) {
     const std::string& prefix = service.path_prefix;
-    const bool at_boundary = path.size() == prefix.size() || prefix.ends_with('/') ||
-                             (path.size() > prefix.size() && path[prefix.size()] == '/');
-    if (path.starts_with(prefix) && at_boundary) {
+    const bool ends_at_path_segment = path.size() == prefix.size() || prefix.ends_with('/') ||
+                                      (path.size() > prefix.size() && path[prefix.size()] == '/');
+    if (path.starts_with(prefix) && ends_at_path_segment) {
       return &service;
     }
   }
--- a/src/node/model_request_handler.cc
+++ b/src/node/model_request_handler.cc
@@ -167,9 +167,9 @@
   while (!context.caller_disconnected) {
     const TimePoint now = NodeRuntime::now();
     std::erase_if(failed_until, [now](const auto& item) { return item.second <= now; });
-    query.excluded.clear();
+    query.excluded_group_ids.clear();
     for (const auto& [id, until] : failed_until) {
-      query.excluded.insert(id);
+      query.excluded_group_ids.insert(id);
     }
     const auto decision = router.route(now, query);
     if (decision.verdict == routing::RouteVerdict::kDispatch) {
@@ -181,7 +181,8 @@
       }
       log_failed_attempt(runtime_.settings().name,
                          {context.request_id, group.endpoint, last_attempt.result, last_attempt.reason});
-      if (!retries.may_retry(NodeRuntime::now(), last_attempt.result, context.model_request.tenant, retry_budget_)) {
+      if (!retries.try_start_retry(NodeRuntime::now(), last_attempt.result, context.model_request.tenant,
+                                   retry_budget_)) {
         break;
       }
       ++stats_.retries;
--- a/src/node/service_request_handler.cc
+++ b/src/node/service_request_handler.cc
@@ -124,10 +124,10 @@
       context.outcome = Outcome::kRan;
       co_return;
     }
-    runtime_.endpoints().report(NodeRuntime::now(), endpoint, false);
+    runtime_.endpoints().report_result(NodeRuntime::now(), endpoint, false);
     log_failed_attempt(runtime_.settings().name, {"", endpoint, result, context.reason});
     const bool may_retry_request =
-        retries.may_retry(NodeRuntime::now(), result, context.key_claim.tenant, retry_budget_);
+        retries.try_start_retry(NodeRuntime::now(), result, context.key_claim.tenant, retry_budget_);
     context.outcome = retries.outcome();
     if (context.response_started || !may_retry_request) {
       stats_.truncated_streams += context.response_started ? 1 : 0;
@@ -146,7 +146,7 @@
   }
   const bool is_complete = co_await relay_response(context, *opened.stream);
   if (is_complete) {
-    runtime_.endpoints().report(NodeRuntime::now(), endpoint, opened.stream->head().status < 500);
+    runtime_.endpoints().report_result(NodeRuntime::now(), endpoint, opened.stream->head().status < 500);
     context.is_finished = true;
   } else {
     context.reason = "the response was truncated";
--- a/src/simulation/workload.cc
+++ b/src/simulation/workload.cc
@@ -149,7 +149,7 @@
   query.tenant = request->tenant;
   const auto* view = router.table().find_tenant(request->tenant);
   query.model = view == nullptr ? "" : view->tenant_template.model;
-  query.excluded = request->tried;
+  query.excluded_group_ids = request->tried;
   auto decision = router.route(fleet_.local_now(node), query);
   plant_dispatch_defects(router, view, decision);
   if (decision.verdict != routing::RouteVerdict::kDispatch) {
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -562,8 +562,8 @@
   engine.prefill_chunk_tokens = 2048;
   const document::ModelSpec model{"m", 4, 1.0, 1.0, {}, {}};
   const engine::RequestTokenCounts sizes{1640, 87};
-  EXPECT_LT(engine::forecast_steady_state(engine, model, sizes, 4).first_event,
-            engine::forecast_steady_state(engine, model, sizes, 16).first_event);
+  EXPECT_LT(engine::forecast_steady_state(engine, model, sizes, 4).time_to_first_event,
+            engine::forecast_steady_state(engine, model, sizes, 16).time_to_first_event);
   // A pass reads one chunk per step: with 26 running requests, 2,450 of 10,240 tokens within 115 ms.
   EXPECT_NEAR(engine::forecast_steady_state(engine, model, sizes, 26).prefill_load, 0.24, 0.01);
   EXPECT_EQ(engine::max_running_requests(engine, model, sizes, milliseconds(500)), 26);
--- a/tests/unit/requests_test.cc
+++ b/tests/unit/requests_test.cc
@@ -63,14 +63,14 @@
   using requests::Outcome;
   requests::RetryBudget budget(20);
   requests::RetryState unsafe(false, 5, kNow + seconds(1));
-  EXPECT_TRUE(unsafe.may_retry(kNow, AttemptResult::kNotSent, "t", budget));
-  EXPECT_TRUE(unsafe.may_retry(kNow, AttemptResult::kRefusedUnstarted, "t", budget));
+  EXPECT_TRUE(unsafe.try_start_retry(kNow, AttemptResult::kNotSent, "t", budget));
+  EXPECT_TRUE(unsafe.try_start_retry(kNow, AttemptResult::kRefusedUnstarted, "t", budget));
   EXPECT_EQ(unsafe.outcome(), Outcome::kNotRun);
-  EXPECT_FALSE(unsafe.may_retry(kNow, AttemptResult::kLostAfterSend, "t", budget));
+  EXPECT_FALSE(unsafe.try_start_retry(kNow, AttemptResult::kLostAfterSend, "t", budget));
   EXPECT_EQ(unsafe.outcome(), Outcome::kUnknown);
   requests::RetryState safe(true, 3, kNow + seconds(1));
-  EXPECT_TRUE(safe.may_retry(kNow, AttemptResult::kLostAfterSend, "t", budget));
-  EXPECT_FALSE(safe.may_retry(kNow + seconds(2), AttemptResult::kNotSent, "t", budget)) << "deadline exceeded";
+  EXPECT_TRUE(safe.try_start_retry(kNow, AttemptResult::kLostAfterSend, "t", budget));
+  EXPECT_FALSE(safe.try_start_retry(kNow + seconds(2), AttemptResult::kNotSent, "t", budget)) << "deadline exceeded";
   EXPECT_EQ(safe.outcome(), Outcome::kUnknown);
 }
 
@@ -78,11 +78,11 @@
   using requests::AttemptResult;
   requests::RetryBudget budget(20);
   requests::RetryState state(true, 2, kNow + seconds(1));
-  EXPECT_TRUE(state.may_retry(kNow, AttemptResult::kCutInStream, "t", budget));
+  EXPECT_TRUE(state.try_start_retry(kNow, AttemptResult::kCutInStream, "t", budget));
   for (int refused = 0; refused < 5; ++refused) {
-    EXPECT_TRUE(state.may_retry(kNow, AttemptResult::kNotSent, "t", budget));
+    EXPECT_TRUE(state.try_start_retry(kNow, AttemptResult::kNotSent, "t", budget));
   }
-  EXPECT_FALSE(state.may_retry(kNow, AttemptResult::kCutInStream, "t", budget));
+  EXPECT_FALSE(state.try_start_retry(kNow, AttemptResult::kCutInStream, "t", budget));
 }
 
 TEST(RetryState, BudgetLimitsRetriesToAFractionOfRequests) {
@@ -103,7 +103,7 @@
   const std::vector<std::string> all = {"a", "b", "c", "d"};
   for (const auto* endpoint : {"a", "b", "c"}) {
     for (int failure = 0; failure < 3; ++failure) {
-      selector.report(kNow, endpoint, false);
+      selector.report_result(kNow, endpoint, false);
     }
   }
   std::set<std::string> picked;
@@ -113,7 +113,7 @@
   EXPECT_EQ(picked.size(), 4U) << "more than half would be ejected, so all are used";
   requests::EndpointSelector other;
   for (int failure = 0; failure < 3; ++failure) {
-    other.report(kNow, "a", false);
+    other.report_result(kNow, "a", false);
   }
   for (int turn = 0; turn < 8; ++turn) {
     EXPECT_NE(other.pick(kNow, "s", all, {}), "a");
@@ -216,7 +216,7 @@
     ASSERT_EQ(decision.verdict, routing::RouteVerdict::kDispatch);
     EXPECT_EQ(decision.group->zone, "a");
   }
-  query_.excluded = {1, 2, 3, 4};
+  query_.excluded_group_ids = {1, 2, 3, 4};
   EXPECT_EQ(router_.route(kNow, query_).verdict, routing::RouteVerdict::kNoGroupAvailable);
 }
 
--- a/tests/unit/slot_scheduler_test.cc
+++ b/tests/unit/slot_scheduler_test.cc
@@ -236,11 +236,11 @@
   const auto& engine = *document.services.at("s").engine;
   const auto& model = engine.models.front();
   engine::PassSimulator clock;
-  EXPECT_EQ(clock.forecast(kStart, engine, model, 0, 500).first_event, milliseconds(60));
+  EXPECT_EQ(clock.forecast(kStart, engine, model, 0, 500).time_to_first_event, milliseconds(60));
   clock.add(kStart, engine, model, 1, 500);
   // The current pass processes no prompt and ends at 50 ms; the next one processes both prompts.
   const auto next = clock.forecast(kStart, engine, model, 1, 1'000);
-  EXPECT_EQ(next.first_event, milliseconds(50 + 50 + 30));
+  EXPECT_EQ(next.time_to_first_event, milliseconds(50 + 50 + 30));
   EXPECT_EQ(next.longest_pass, milliseconds(80));
   EXPECT_EQ(clock.forecast(kStart + seconds(1), engine, model, 1, 0).longest_pass, milliseconds(50))
       << "all prompts were processed";
@@ -253,7 +253,7 @@
   engine::PassSimulator clock;
   const auto forecast = clock.forecast(kStart, engine, model, 0, 15'000);
   EXPECT_EQ(forecast.longest_pass, milliseconds(250)) << "10,000 tokens";
-  EXPECT_EQ(forecast.first_event, milliseconds(250 + 150));
+  EXPECT_EQ(forecast.time_to_first_event, milliseconds(250 + 150));
 }
 
 TEST(PassSimulator, CapsPromptSizesBeyondTheCapacity) {
@@ -262,10 +262,11 @@
   engine.kv_capacity = 20'000;
   const auto& model = engine.models.front();
   engine::PassSimulator clock;
-  EXPECT_EQ(clock.forecast(kStart, engine, model, 0, 2e9).first_event, milliseconds(2 * 250));
+  EXPECT_EQ(clock.forecast(kStart, engine, model, 0, 2e9).time_to_first_event, milliseconds(2 * 250));
   clock.add(kStart, engine, model, 0, 2e9);
-  EXPECT_LE(clock.forecast(kStart, engine, model, 1, 0).first_event, milliseconds(3 * 250));
-  EXPECT_EQ(clock.forecast(kStart + milliseconds(10), engine, model, 0, 500).first_event, milliseconds(240 + 60))
+  EXPECT_LE(clock.forecast(kStart, engine, model, 1, 0).time_to_first_event, milliseconds(3 * 250));
+  EXPECT_EQ(clock.forecast(kStart + milliseconds(10), engine, model, 0, 500).time_to_first_event,
+            milliseconds(240 + 60))
       << "the engine rejected it: nothing runs, so only the current pass delays the prompt";
 }
 
