--- a/src/core/document/configuration_document.h
+++ b/src/core/document/configuration_document.h
@@ -35,7 +35,7 @@
   Duration target_event_gap{};
   /// Lower values are more urgent; 0 is the most urgent.
   int priority = 0;
-  /// Maximum number of servers that one request may run on.
+  /// Maximum number of servers that may run one request, one after the other.
   int max_attempts = 1;
   bool is_public = false;
   bool resumable = false;
--- a/src/core/requests/retry_state.h
+++ b/src/core/requests/retry_state.h
@@ -11,7 +11,7 @@
 namespace larchlever::requests {
 
 /// Limits the retries of each tenant to a percentage of its requests, plus a small reserve for tenants with few
-/// requests.
+/// requests. A percentage of 0 disables retries.
 class RetryBudget {
  public:
   explicit RetryBudget(int retry_percent) : retry_percent_(retry_percent) {}
