--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -138,7 +138,7 @@
   }
   const auto began = Clock::now();
   auto data = storage::DataFolder::open(folder, files, error);
-  auto recovered = data->take_recovered();
+  auto recovered = data->take_recovered_state();
   control::ControlState state;
   for (const auto& entry : recovered.entries) {
     state.apply(entry.index, *wire::decode<wire::Command>(entry.payload));
--- a/src/consensus/raft_elections.cc
+++ b/src/consensus/raft_elections.cc
@@ -22,28 +22,28 @@
     }
     return;
   }
-  if (now >= election_deadline_ && is_voter() && (may_vote() || in_restart_silence(now))) {
+  if (now >= election_deadline_ && is_voter() && (may_vote() || in_restart_grace_period(now))) {
     campaign(now, true, false);
   }
 }
 
-TimePoint RaftNode::restart_silence_end() const {
-  return started_ + std::max(options_.election_timeout_min, options_.restart_check);
+TimePoint RaftNode::restart_grace_end() const {
+  return started_ + std::max(options_.election_timeout_min, options_.restart_check_timeout);
 }
 
-bool RaftNode::in_restart_silence(TimePoint now) const {
-  return !heard_leader_since_start_ && !identity_rejected_ && now < restart_silence_end();
+bool RaftNode::in_restart_grace_period(TimePoint now) const {
+  return !leader_contacted_since_start_ && !identity_rejected_ && now < restart_grace_end();
 }
 
-bool RaftNode::restarts_with_others(TimePoint now) const {
-  return !heard_leader_since_start_ && now < restart_silence_end() + options_.election_timeout_max;
+bool RaftNode::may_be_cluster_restart(TimePoint now) const {
+  return !leader_contacted_since_start_ && now < restart_grace_end() + options_.election_timeout_max;
 }
 
-void RaftNode::disown_identity(const wire::RaftMessage& message) {
+void RaftNode::reply_voter_gone(const wire::RaftMessage& message) {
   if (!message.__isset.vote_request) {
     return;
   }
-  auto& answer = outgoing(message.from_replica, false);
+  auto& answer = add_message(message.from_replica, false);
   answer.from_replica = message.to_replica;
   wire::VoteReply reply;
   reply.term = message.vote_request.term;
@@ -57,7 +57,7 @@
   leader_ = 0;
   votes_.clear();
   gone_voters_.clear();
-  votes_[id_.value()] = in_restart_silence(now);
+  votes_[id_.value()] = in_restart_grace_period(now);
   role_ = pre_vote ? Role::kPreCandidate : Role::kCandidate;
   if (!pre_vote) {
     ++stats_.elections_started;
@@ -70,7 +70,7 @@
       continue;
     }
     // Our own vote must be on disk before anybody counts on it, so real vote requests wait for the sync.
-    auto& message = outgoing(voter.replica_id, !pre_vote);
+    auto& message = add_message(voter.replica_id, !pre_vote);
     wire::VoteRequest request;
     request.term = pre_vote ? hard_state_.term + 1 : hard_state_.term;
     request.last_index = log_.last_index();
@@ -89,17 +89,17 @@
 void RaftNode::tally_votes(TimePoint now) {
   const auto& voters = log_.replicas().voters;
   size_t granted = 0;
-  size_t unconditional = 0;
+  size_t granted_unconditionally = 0;
   for (const auto& voter : voters) {
     const auto vote = votes_.find(voter.replica_id);
     granted += vote != votes_.end() ? 1 : 0;
-    unconditional += vote != votes_.end() && !vote->second ? 1 : 0;
+    granted_unconditionally += vote != votes_.end() && !vote->second ? 1 : 0;
   }
   // Who is gone holds no lease, yet its vote is not replaced: what was committed stands on a majority.
   const auto gone = static_cast<size_t>(std::count_if(
       voters.begin(), voters.end(), [this](const auto& voter) { return gone_voters_.contains(voter.replica_id); }));
   const bool unanimous = granted + gone == voters.size() && granted >= majority(voters.size());
-  if (unconditional < majority(voters.size()) && !unanimous) {
+  if (granted_unconditionally < majority(voters.size()) && !unanimous) {
     return;
   }
   if (role_ == Role::kPreCandidate) {
@@ -109,7 +109,7 @@
   }
 }
 
-bool RaftNode::heard_leader_recently(TimePoint now) const {
+bool RaftNode::has_recent_leader_contact(TimePoint now) const {
   return role_ == Role::kLeader ? has_lease(now) : now < last_leader_contact_ + options_.election_timeout_min;
 }
 
@@ -124,14 +124,14 @@
   // Deaf to candidates while a leader is in touch: this is what makes the leader's lease sound, and it keeps a
   // replica that was cut off from disturbing the rest on its return. A planned hand-over is exempt because the old
   // leader gave its lease up before it asked.
-  const bool waits = !may_vote() || (!request.transfer && heard_leader_recently(now));
-  const bool only_if_unanimous = waits && in_restart_silence(now);
-  const bool deaf = waits && !only_if_unanimous;
-  if (!deaf && !request.pre_vote && request.term > hard_state_.term) {
+  const bool must_not_vote = !may_vote() || (!request.transfer && has_recent_leader_contact(now));
+  const bool only_if_unanimous = must_not_vote && in_restart_grace_period(now);
+  const bool ignores_request = must_not_vote && !only_if_unanimous;
+  if (!ignores_request && !request.pre_vote && request.term > hard_state_.term) {
     become_follower(now, request.term, 0);
   }
   bool granted = false;
-  if (!deaf && log_is_up_to_date(request)) {
+  if (!ignores_request && log_is_up_to_date(request)) {
     if (request.pre_vote) {
       granted = request.term > hard_state_.term;
     } else if (request.term == hard_state_.term && role_ == Role::kFollower &&
@@ -142,7 +142,7 @@
       reset_election_timer(now);
     }
   }
-  auto& message = outgoing(from, true);
+  auto& message = add_message(from, true);
   wire::VoteReply reply;
   reply.term = request.pre_vote && granted ? request.term : hard_state_.term;
   reply.granted = granted && !only_if_unanimous;
@@ -177,13 +177,13 @@
 void RaftNode::become_leader(TimePoint now) {
   role_ = Role::kLeader;
   leader_ = id_.value();
-  lease_given_up_ = false;
+  lease_released_ = false;
   rolled_back_.clear();
   ++stats_.terms_led;
   progress_.clear();
-  sync_progress_table();
+  update_progress_table();
   quorum_deadline_ = now + options_.election_timeout_max;
-  append_local(wire::EntryKind::NOOP, "");
+  append_own_entry(wire::EntryKind::NOOP, "");
   term_start_index_ = log_.last_index();
   next_heartbeat_ = now + options_.heartbeat_interval;
   replicate(now);
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -14,7 +14,7 @@
 }
 
 /// Number of voters that stand in exactly one of the two sets.
-size_t voters_changed(const wire::ReplicaSet& before, const wire::ReplicaSet& after) {
+size_t count_changed_voters(const wire::ReplicaSet& before, const wire::ReplicaSet& after) {
   size_t changed = 0;
   for (const auto& voter : before.voters) {
     changed += contains(after.voters, voter.replica_id) ? 0 : 1;
@@ -37,10 +37,10 @@
       snapshot_{persisted.snapshot, std::move(persisted.snapshot_state), false},
       hard_state_(persisted.hard_state),
       commit_index_(persisted.snapshot.index),
-      taken_index_(persisted.snapshot.index),
+      delivered_index_(persisted.snapshot.index),
       synced_index_(log_.last_index()) {
   if (persisted.snapshot.index > 0) {
-    installed_ = snapshot_;
+    installed_snapshot_ = snapshot_;
   }
   // A restarted replica has forgotten which leader it heard last, so it grants no vote for one election timeout:
   // a leader that counted its answer may still hold the lease.
@@ -48,7 +48,7 @@
   started_ = now;
   const bool has_peers = is_voter() && log_.replicas().voters.size() > 1;
   restart_check_pending_ = has_peers;
-  restart_check_deadline_ = now + options_.restart_check;
+  restart_check_deadline_ = now + options_.restart_check_timeout;
   reset_election_timer(now);
   if (is_voter() && !has_peers) {
     election_deadline_ = now;  // The only voter: nobody else can lead, so there is nothing to wait for.
@@ -81,16 +81,16 @@
 bool RaftNode::is_voter() const { return contains(log_.replicas().voters, id_.value()); }
 
 void RaftNode::reset_election_timer(TimePoint now) {
-  const bool restarting = restarts_with_others(now);
-  const Duration least = restarting ? options_.restart_campaign_min : options_.election_timeout_min;
-  const Duration most = restarting ? options_.restart_campaign_max : options_.election_timeout_max;
-  std::uniform_int_distribution<int64_t> jitter(0, std::max<int64_t>((most - least).count(), 1));
-  election_deadline_ = now + least + Duration(jitter(random_));
+  const bool restarting = may_be_cluster_restart(now);
+  const Duration timeout_min = restarting ? options_.restart_election_timeout_min : options_.election_timeout_min;
+  const Duration timeout_max = restarting ? options_.restart_election_timeout_max : options_.election_timeout_max;
+  std::uniform_int_distribution<int64_t> jitter(0, std::max<int64_t>((timeout_max - timeout_min).count(), 1));
+  election_deadline_ = now + timeout_min + Duration(jitter(random_));
 }
 
 void RaftNode::persist_hard_state() { output_.hard_state = hard_state_; }
 
-wire::RaftMessage& RaftNode::outgoing(int64_t to, bool after_sync) {
+wire::RaftMessage& RaftNode::add_message(int64_t to, bool after_sync) {
   auto& list = after_sync ? output_.messages_after_sync : output_.messages;
   auto& message = list.emplace_back();
   message.from_replica = id_.value();
@@ -114,7 +114,7 @@
 
 // -------------------------------------------------------------- replication
 
-void RaftNode::append_local(wire::EntryKind::type kind, std::string payload) {
+void RaftNode::append_own_entry(wire::EntryKind::type kind, std::string payload) {
   wire::LogEntry entry;
   entry.term = hard_state_.term;
   entry.index = log_.last_index() + 1;
@@ -125,10 +125,10 @@
 }
 
 std::optional<int64_t> RaftNode::propose(TimePoint now, std::string payload) {
-  if (role_ != Role::kLeader || lease_given_up_) {
+  if (role_ != Role::kLeader || lease_released_) {
     return std::nullopt;
   }
-  append_local(wire::EntryKind::COMMAND, std::move(payload));
+  append_own_entry(wire::EntryKind::COMMAND, std::move(payload));
   replicate(now);
   return log_.last_index();
 }
@@ -136,28 +136,29 @@
 std::optional<int64_t> RaftNode::propose_replicas(TimePoint now, const wire::ReplicaSet& replicas) {
   // Two safeguards: no second change while one is open, and none before this term's first entry is committed,
   // else a deposed leader's change and ours could each find a majority that the other does not see.
-  const bool settled = !replica_change_pending() && commit_index_ >= term_start_index_;
-  if (role_ != Role::kLeader || lease_given_up_ || !settled || voters_changed(log_.replicas(), replicas) > 1) {
+  const bool change_allowed = !replica_change_pending() && commit_index_ >= term_start_index_;
+  if (role_ != Role::kLeader || lease_released_ || !change_allowed ||
+      count_changed_voters(log_.replicas(), replicas) > 1) {
     return std::nullopt;
   }
-  append_local(wire::EntryKind::REPLICA_SET, wire::encode(replicas));
-  sync_progress_table();
+  append_own_entry(wire::EntryKind::REPLICA_SET, wire::encode(replicas));
+  update_progress_table();
   replicate(now);
   return log_.last_index();
 }
 
-void RaftNode::sync_progress_table() {
+void RaftNode::update_progress_table() {
   const auto& replicas = log_.replicas();
-  std::set<int64_t> wanted;
+  std::set<int64_t> peer_ids;
   for (const auto* list : {&replicas.voters, &replicas.learners}) {
     for (const auto& replica : *list) {
       if (replica.replica_id != id_.value()) {
-        wanted.insert(replica.replica_id);
+        peer_ids.insert(replica.replica_id);
       }
     }
   }
-  std::erase_if(progress_, [&wanted](const auto& item) { return !wanted.contains(item.first); });
-  for (const int64_t replica : wanted) {
+  std::erase_if(progress_, [&peer_ids](const auto& item) { return !peer_ids.contains(item.first); });
+  for (const int64_t replica : peer_ids) {
     if (!progress_.contains(replica)) {
       progress_[replica].next_index = log_.last_index() + 1;
     }
@@ -176,7 +177,7 @@
     if (heartbeat) {
       wire::IdentityRejection rejection;
       rejection.term = hard_state_.term;
-      outgoing(to, false).__set_identity_rejection(rejection);
+      add_message(to, false).__set_identity_rejection(rejection);
     }
     return;
   }
@@ -187,22 +188,22 @@
       progress.appends_in_flight = 0;
       progress.next_index = progress.match_index > 0 ? progress.match_index + 1 : progress.next_index;
     }
-  } else if (progress.next_index > log_.last_index() || progress.appends_in_flight >= options_.appends_in_flight) {
+  } else if (progress.next_index > log_.last_index() || progress.appends_in_flight >= options_.max_appends_in_flight) {
     return;
   }
   if (progress.next_index < log_.first_index()) {
     send_snapshot(now, to, progress);
     return;
   }
-  auto& message = outgoing(to, false);
+  auto& message = add_message(to, false);
   wire::AppendRequest request;
   request.term = hard_state_.term;
   request.previous_index = progress.next_index - 1;
   request.previous_term = log_.term_at(progress.next_index - 1);
   request.commit_index = commit_index_;
   request.sent_at_us = to_microseconds(now);
-  if (progress.appends_in_flight < options_.appends_in_flight) {
-    request.entries = log_.slice(progress.next_index, options_.entries_per_append, options_.bytes_per_append);
+  if (progress.appends_in_flight < options_.max_appends_in_flight) {
+    request.entries = log_.slice(progress.next_index, options_.max_entries_per_append, options_.max_bytes_per_append);
   }
   if (!request.entries.empty()) {
     // Optimistic: the next append continues from here, a refusal takes it back.
@@ -220,7 +221,7 @@
   progress.snapshot_in_flight = true;
   progress.snapshot_sent = now;
   ++stats_.snapshots_sent;
-  auto& message = outgoing(to, false);
+  auto& message = add_message(to, false);
   wire::SnapshotRequest request;
   request.term = hard_state_.term;
   request.header = snapshot_.header;
@@ -230,9 +231,9 @@
   message.__isset.snapshot_request = true;
 }
 
-wire::AppendReply& RaftNode::append_reply_to(int64_t to, bool success, int64_t match, int64_t sent_at_us) {
+wire::AppendReply& RaftNode::add_append_reply(int64_t to, bool success, int64_t match, int64_t sent_at_us) {
   // After the sync, always: a success promises that the entries survive a restart.
-  auto& message = outgoing(to, true);
+  auto& message = add_message(to, true);
   wire::AppendReply reply;
   reply.term = hard_state_.term;
   reply.success = success;
@@ -245,28 +246,28 @@
   return message.append_reply;
 }
 
-void RaftNode::note_leader_contact(TimePoint now) {
+void RaftNode::record_leader_contact(TimePoint now) {
   last_leader_contact_ = now;
-  heard_leader_since_start_ = true;
+  leader_contacted_since_start_ = true;
   // The leader will say whether our disk lost anything: give it time to.
-  restart_check_deadline_ = now + options_.restart_check;
+  restart_check_deadline_ = now + options_.restart_check_timeout;
 }
 
 void RaftNode::handle_append_request(TimePoint now, int64_t from, const wire::AppendRequest& request) {
   if (request.term < hard_state_.term) {
-    append_reply_to(from, false, log_.last_index(), request.sent_at_us);
+    add_append_reply(from, false, log_.last_index(), request.sent_at_us);
     return;
   }
-  note_leader_contact(now);
+  record_leader_contact(now);
   become_follower(now, request.term, from);
   if (request.previous_index < log_.snapshot().index) {
     // Everything up to our snapshot is committed, so it matches by definition.
-    append_reply_to(from, true, log_.snapshot().index, request.sent_at_us);
+    add_append_reply(from, true, log_.snapshot().index, request.sent_at_us);
     return;
   }
   if (log_.term_at(request.previous_index) != request.previous_term) {
     const int64_t hint = std::min(log_.last_index(), request.previous_index - 1);
-    append_reply_to(from, false, std::max(hint, commit_index_), request.sent_at_us);
+    add_append_reply(from, false, std::max(hint, commit_index_), request.sent_at_us);
     return;
   }
   for (const auto& entry : request.entries) {
@@ -277,7 +278,7 @@
     if (known_term != -1) {
       log_.truncate_from(entry.index);
       synced_index_ = std::min(synced_index_, entry.index - 1);
-      for (auto& [ticket, last] : unsynced_) {
+      for (auto& [ticket, last] : unsynced_batches_) {
         last = std::min(last, entry.index - 1);
       }
       std::erase_if(output_.entries, [&entry](const auto& pending) { return pending.index >= entry.index; });
@@ -291,7 +292,7 @@
     // The leader has seen us hold all that was committed when it sent this: nothing acknowledged is missing.
     restart_check_pending_ = false;
   }
-  append_reply_to(from, true, match, request.sent_at_us);
+  add_append_reply(from, true, match, request.sent_at_us);
 }
 
 void RaftNode::handle_append_reply(TimePoint now, int64_t from, const wire::AppendReply& reply) {
@@ -354,10 +355,10 @@
 
 void RaftNode::handle_snapshot_request(TimePoint now, int64_t from, const wire::SnapshotRequest& request) {
   if (request.term < hard_state_.term) {
-    append_reply_to(from, false, log_.last_index(), request.sent_at_us);
+    add_append_reply(from, false, log_.last_index(), request.sent_at_us);
     return;
   }
-  note_leader_contact(now);
+  record_leader_contact(now);
   become_follower(now, request.term, from);
   if (log_.term_at(request.header.index) == request.header.term) {
     // Our log already contains what the snapshot covers, and perhaps acknowledged entries after it: keep them.
@@ -369,19 +370,19 @@
     output_.entries.clear();
     output_.snapshot = snapshot_;
     output_.hard_state = hard_state_;
-    installed_ = snapshot_;
+    installed_snapshot_ = snapshot_;
     commit_index_ = request.header.index;
-    taken_index_ = request.header.index;
+    delivered_index_ = request.header.index;
     synced_index_ = 0;
-    for (auto& [ticket, last] : unsynced_) {
+    for (auto& [ticket, last] : unsynced_batches_) {
       last = 0;
     }
     restart_check_pending_ = false;
   }
-  append_reply_to(from, true, std::max(commit_index_, request.header.index), request.sent_at_us);
+  add_append_reply(from, true, std::max(commit_index_, request.header.index), request.sent_at_us);
 }
 
-void RaftNode::handle_hand_over(TimePoint now, const wire::HandOverRequest& request) {
+void RaftNode::handle_hand_over_request(TimePoint now, const wire::HandOverRequest& request) {
   if (request.term == hard_state_.term && role_ == Role::kFollower && is_voter() && may_vote()) {
     campaign(now, false, true);
   }
@@ -389,8 +390,8 @@
 
 void RaftNode::step(TimePoint now, const wire::RaftMessage& message) {
   if (message.to_replica != id_.value()) {
-    ++stats_.messages_for_other_identity;
-    disown_identity(message);
+    ++stats_.messages_to_other_identity;
+    reply_voter_gone(message);
     return;
   }
   if (identity_rejected_) {
@@ -413,14 +414,14 @@
   } else if (message.__isset.snapshot_request) {
     handle_snapshot_request(now, from, message.snapshot_request);
   } else if (message.__isset.hand_over_request) {
-    handle_hand_over(now, message.hand_over_request);
+    handle_hand_over_request(now, message.hand_over_request);
   }
 }
 
-void RaftNode::synced(TimePoint now, int64_t ticket) {
-  while (!unsynced_.empty() && unsynced_.front().first <= ticket) {
-    synced_index_ = std::max(synced_index_, std::min(unsynced_.front().second, log_.last_index()));
-    unsynced_.pop_front();
+void RaftNode::mark_synced(TimePoint now, int64_t ticket) {
+  while (!unsynced_batches_.empty() && unsynced_batches_.front().first <= ticket) {
+    synced_index_ = std::max(synced_index_, std::min(unsynced_batches_.front().second, log_.last_index()));
+    unsynced_batches_.pop_front();
   }
   if (role_ == Role::kCandidate) {
     tally_votes(now);
@@ -434,27 +435,27 @@
   output_ = RaftOutput();
   result.ticket = next_ticket_++;
   if (result.needs_sync()) {
-    unsynced_.emplace_back(result.ticket, log_.last_index());
+    unsynced_batches_.emplace_back(result.ticket, log_.last_index());
   }
   return result;
 }
 
 std::vector<wire::LogEntry> RaftNode::take_committed() {
   std::vector<wire::LogEntry> result;
-  for (; taken_index_ < commit_index_; ++taken_index_) {
-    result.push_back(log_.at(taken_index_ + 1));
+  for (; delivered_index_ < commit_index_; ++delivered_index_) {
+    result.push_back(log_.at(delivered_index_ + 1));
   }
   return result;
 }
 
 std::optional<Snapshot> RaftNode::take_installed_snapshot() {
-  auto result = std::move(installed_);
-  installed_.reset();
+  auto result = std::move(installed_snapshot_);
+  installed_snapshot_.reset();
   return result;
 }
 
 void RaftNode::compact(int64_t index, std::string state, int64_t trailing) {
-  if (index <= snapshot_.header.index || index > taken_index_) {
+  if (index <= snapshot_.header.index || index > delivered_index_) {
     return;
   }
   Snapshot snapshot;
@@ -470,7 +471,7 @@
 
 // --------------------------------------------------------- leases and quorum
 
-TimePoint RaftNode::quorum_contact(TimePoint now) const {
+TimePoint RaftNode::quorum_contact_time(TimePoint now) const {
   std::vector<int64_t> contacts;
   for (const auto& voter : log_.replicas().voters) {
     if (voter.replica_id == id_.value()) {
@@ -486,10 +487,10 @@
 }
 
 bool RaftNode::has_lease(TimePoint now) const {
-  if (role_ != Role::kLeader || lease_given_up_) {
+  if (role_ != Role::kLeader || lease_released_) {
     return false;
   }
-  const TimePoint contact = quorum_contact(now);
+  const TimePoint contact = quorum_contact_time(now);
   if (contact == TimePoint::min()) {
     return false;
   }
@@ -500,46 +501,46 @@
 }
 
 bool RaftNode::is_ready_leader(TimePoint now) const {
-  return has_lease(now) && commit_index_ >= term_start_index_ && taken_index_ >= term_start_index_;
+  return has_lease(now) && commit_index_ >= term_start_index_ && delivered_index_ >= term_start_index_;
 }
 
 void RaftNode::check_quorum(TimePoint now) {
-  const TimePoint contact = quorum_contact(now);
+  const TimePoint contact = quorum_contact_time(now);
   // A leader that gave its lease up and was not succeeded in time steps down, and an ordinary election follows.
-  if (contact != TimePoint::min() && !lease_given_up_) {
+  if (contact != TimePoint::min() && !lease_released_) {
     quorum_deadline_ = std::max(quorum_deadline_, contact + options_.election_timeout_max);
   }
   const bool removed = !is_voter() && commit_index_ >= log_.replicas_index();
   if (now >= quorum_deadline_ || removed) {
-    ++stats_.stepped_down_without_quorum;
+    ++stats_.quorum_losses;
     become_follower(now, hard_state_.term, 0);
   }
 }
 
-bool RaftNode::hand_over(TimePoint now) {
+bool RaftNode::transfer_leadership(TimePoint now) {
   if (role_ != Role::kLeader) {
     return false;
   }
-  int64_t best = 0;
+  int64_t best_voter = 0;
   int64_t best_match = -1;
   for (const auto& voter : log_.replicas().voters) {
     const auto found = progress_.find(voter.replica_id);
     if (found == progress_.end() || !found->second.replied || rolled_back_.contains(voter.replica_id)) {
       continue;
     }
-    const bool fresh = now - found->second.last_reply < options_.election_timeout_min;
-    if (fresh && found->second.match_index > best_match) {
-      best = voter.replica_id;
+    const bool replied_recently = now - found->second.last_reply < options_.election_timeout_min;
+    if (replied_recently && found->second.match_index > best_match) {
+      best_voter = voter.replica_id;
       best_match = found->second.match_index;
     }
   }
   if (best_match < commit_index_) {
     return false;
   }
-  lease_given_up_ = true;
+  lease_released_ = true;
   wire::HandOverRequest request;
   request.term = hard_state_.term;
-  outgoing(best, false).__set_hand_over_request(request);
+  add_message(best_voter, false).__set_hand_over_request(request);
   return true;
 }
 
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -23,13 +23,13 @@
   Duration election_timeout_max = milliseconds(1700);
   /// A restarted voter asks for votes after this long, again and again, until its restart check is over: where all
   /// restarted at once, nobody's lease is left to wait for.
-  Duration restart_campaign_min = milliseconds(60);
-  Duration restart_campaign_max = milliseconds(200);
+  Duration restart_election_timeout_min = milliseconds(60);
+  Duration restart_election_timeout_max = milliseconds(200);
   /// Longest wait of a restarted voter for its peers' word on what it had acknowledged before.
-  Duration restart_check = milliseconds(1200);
-  size_t entries_per_append = 256;
-  size_t bytes_per_append = 512 * 1024;
-  size_t appends_in_flight = 16;
+  Duration restart_check_timeout = milliseconds(1200);
+  size_t max_entries_per_append = 256;
+  size_t max_bytes_per_append = 512 * 1024;
+  size_t max_appends_in_flight = 16;
 };
 
 /// What a replica finds in its data folder at start.
@@ -68,10 +68,10 @@
 struct RaftStats {
   uint64_t elections_started = 0;
   uint64_t terms_led = 0;
-  uint64_t stepped_down_without_quorum = 0;
+  uint64_t quorum_losses = 0;
   uint64_t snapshots_sent = 0;
   uint64_t snapshots_installed = 0;
-  uint64_t messages_for_other_identity = 0;
+  uint64_t messages_to_other_identity = 0;
   uint64_t rollbacks_detected = 0;
 };
 
@@ -97,7 +97,7 @@
   void tick(TimePoint now);
   void step(TimePoint now, const wire::RaftMessage& message);
   /// The batch with this ticket, and all before it, are on disk.
-  void synced(TimePoint now, int64_t ticket);
+  void mark_synced(TimePoint now, int64_t ticket);
 
   /// Appends a command to the leader's log. Returns its index; nothing when this replica does not lead.
   std::optional<int64_t> propose(TimePoint now, std::string payload);
@@ -105,7 +105,7 @@
   /// an earlier change is uncommitted, or when more than one voter would change.
   std::optional<int64_t> propose_replicas(TimePoint now, const wire::ReplicaSet& replicas);
   /// Gives leadership to the most complete other voter. The lease ends at once. False when nobody is fit.
-  bool hand_over(TimePoint now);
+  bool transfer_leadership(TimePoint now);
 
   RaftOutput take_output();
   /// Committed entries not taken before, in order. After an installed snapshot see `take_installed_snapshot`.
@@ -136,13 +136,13 @@
   bool may_vote() const { return !restart_check_pending_ && !identity_rejected_; }
   /// Restarted a moment ago and not heard from a leader since. A leader that counted an earlier answer of ours may hold
   /// its lease; unless every voter votes, which a leader that holds one does not, it must run out first.
-  bool in_restart_silence(TimePoint now) const;
-  TimePoint restart_silence_end() const;
+  bool in_restart_grace_period(TimePoint now) const;
+  TimePoint restart_grace_end() const;
   /// No leader was heard since the start, and others may have started as late: campaigns follow each other quickly.
-  bool restarts_with_others(TimePoint now) const;
+  bool may_be_cluster_restart(TimePoint now) const;
   /// Answers a candidate that asked an identity which this address had before it lost its disk. Data folders do not
   /// move between addresses, so that replica runs nowhere.
-  void disown_identity(const wire::RaftMessage& message);
+  void reply_voter_gone(const wire::RaftMessage& message);
   /// A leader proved that this replica's disk lost acknowledged entries. The owner must give the data folder a new
   /// identity and come back as a learner; this object takes part in nothing any more.
   bool identity_rejected() const { return identity_rejected_; }
@@ -174,26 +174,26 @@
   void tally_votes(TimePoint now);
   void reset_election_timer(TimePoint now);
   /// A leader spoke; to be noted before its term is taken over, which sets the election timer by it.
-  void note_leader_contact(TimePoint now);
+  void record_leader_contact(TimePoint now);
   void handle_vote_request(TimePoint now, int64_t from, const wire::VoteRequest& request);
   void handle_vote_reply(TimePoint now, int64_t from, const wire::VoteReply& reply);
   void handle_append_request(TimePoint now, int64_t from, const wire::AppendRequest& request);
   void handle_append_reply(TimePoint now, int64_t from, const wire::AppendReply& reply);
   void handle_snapshot_request(TimePoint now, int64_t from, const wire::SnapshotRequest& request);
-  void handle_hand_over(TimePoint now, const wire::HandOverRequest& request);
+  void handle_hand_over_request(TimePoint now, const wire::HandOverRequest& request);
   bool log_is_up_to_date(const wire::VoteRequest& request) const;
-  void append_local(wire::EntryKind::type kind, std::string payload);
+  void append_own_entry(wire::EntryKind::type kind, std::string payload);
   void persist_hard_state();
   void send_append(TimePoint now, int64_t to, bool heartbeat);
   void send_snapshot(TimePoint now, int64_t to, Progress& progress);
   void replicate(TimePoint now);
   void advance_commit();
   void check_quorum(TimePoint now);
-  void sync_progress_table();
-  TimePoint quorum_contact(TimePoint now) const;
-  bool heard_leader_recently(TimePoint now) const;
-  wire::RaftMessage& outgoing(int64_t to, bool after_sync);
-  wire::AppendReply& append_reply_to(int64_t to, bool success, int64_t match, int64_t sent_at_us);
+  void update_progress_table();
+  TimePoint quorum_contact_time(TimePoint now) const;
+  bool has_recent_leader_contact(TimePoint now) const;
+  wire::RaftMessage& add_message(int64_t to, bool after_sync);
+  wire::AppendReply& add_append_reply(int64_t to, bool success, int64_t match, int64_t sent_at_us);
 
   ReplicaId id_;
   Incarnation boot_;
@@ -202,23 +202,23 @@
   std::mt19937_64 random_;
   ReplicatedLog log_;
   Snapshot snapshot_;
-  std::optional<Snapshot> installed_;
+  std::optional<Snapshot> installed_snapshot_;
   wire::HardState hard_state_;
   Role role_ = Role::kFollower;
   int64_t leader_ = 0;
   int64_t commit_index_ = 0;
-  int64_t taken_index_ = 0;
+  int64_t delivered_index_ = 0;
   TimePoint election_deadline_{};
   TimePoint last_leader_contact_{};
   TimePoint started_{};
-  bool heard_leader_since_start_ = false;
+  bool leader_contacted_since_start_ = false;
   bool restart_check_pending_ = false;
   TimePoint restart_check_deadline_{};
   bool identity_rejected_ = false;
   TimePoint next_heartbeat_{};
   TimePoint quorum_deadline_{};
   int64_t term_start_index_ = 0;
-  bool lease_given_up_ = false;
+  bool lease_released_ = false;
   /// Votes granted, by replica; true when they hold only if all voters grant theirs.
   std::map<int64_t, bool> votes_;
   /// Voters at whose address another identity answered in this campaign.
@@ -226,7 +226,7 @@
   std::map<int64_t, Progress> progress_;
   std::set<int64_t> rolled_back_;
   int64_t synced_index_ = 0;
-  std::deque<std::pair<int64_t, int64_t>> unsynced_;  ///< (ticket, last index of that batch)
+  std::deque<std::pair<int64_t, int64_t>> unsynced_batches_;  ///< (ticket, last index of that batch)
   int64_t next_ticket_ = 1;
   RaftOutput output_;
   RaftStats stats_;
--- a/src/consensus/replica_routes.cc
+++ b/src/consensus/replica_routes.cc
@@ -4,15 +4,15 @@
 
 namespace larchlever::consensus {
 
-void ReplicaRoutes::note_all(const wire::ReplicaSet& replicas) {
+void ReplicaRoutes::set_nodes(const wire::ReplicaSet& replicas) {
   for (const auto* list : {&replicas.voters, &replicas.learners}) {
     for (const auto& replica : *list) {
-      note(replica.replica_id, replica.node);
+      set_node(replica.replica_id, replica.node);
     }
   }
 }
 
-std::vector<wire::Envelope> ReplicaRoutes::address(std::vector<wire::RaftMessage> messages) const {
+std::vector<wire::Envelope> ReplicaRoutes::make_envelopes(std::vector<wire::RaftMessage> messages) const {
   std::vector<wire::Envelope> envelopes;
   envelopes.reserve(messages.size());
   for (auto& message : messages) {
--- a/src/consensus/replica_routes.h
+++ b/src/consensus/replica_routes.h
@@ -13,12 +13,12 @@
 /// Single-threaded, deterministic.
 class ReplicaRoutes {
  public:
-  void note(int64_t replica, const std::string& node) { nodes_[replica] = node; }
+  void set_node(int64_t replica, const std::string& node) { nodes_[replica] = node; }
   /// Learns the addresses of all voters and learners.
-  void note_all(const wire::ReplicaSet& replicas);
+  void set_nodes(const wire::ReplicaSet& replicas);
   /// One envelope a message, addressed to the recipient's node. Messages to unknown replicas are dropped: what matters
   /// is sent again.
-  std::vector<wire::Envelope> address(std::vector<wire::RaftMessage> messages) const;
+  std::vector<wire::Envelope> make_envelopes(std::vector<wire::RaftMessage> messages) const;
 
  private:
   std::map<int64_t, std::string> nodes_;
--- a/src/consensus/replicated_log.cc
+++ b/src/consensus/replicated_log.cc
@@ -27,12 +27,12 @@
   return entries_[static_cast<size_t>(index - first_index())];
 }
 
-std::vector<wire::LogEntry> ReplicatedLog::slice(int64_t from, size_t limit, size_t byte_limit) const {
+std::vector<wire::LogEntry> ReplicatedLog::slice(int64_t from, size_t max_entries, size_t max_bytes) const {
   std::vector<wire::LogEntry> result;
   size_t bytes = 0;
-  for (int64_t index = from; index <= last_index() && result.size() < limit; ++index) {
+  for (int64_t index = from; index <= last_index() && result.size() < max_entries; ++index) {
     bytes += at(index).payload.size();
-    if (!result.empty() && bytes > byte_limit) {
+    if (!result.empty() && bytes > max_bytes) {
       break;
     }
     result.push_back(at(index));
@@ -41,7 +41,7 @@
 }
 
 void ReplicatedLog::append(wire::LogEntry entry) {
-  note_replica_set(entry);
+  record_replica_set(entry);
   entries_.push_back(std::move(entry));
 }
 
@@ -90,7 +90,7 @@
   return replica_sets_.empty() ? snapshot_.index : replica_sets_.back().first;
 }
 
-void ReplicatedLog::note_replica_set(const wire::LogEntry& entry) {
+void ReplicatedLog::record_replica_set(const wire::LogEntry& entry) {
   if (entry.kind != wire::EntryKind::REPLICA_SET) {
     return;
   }
--- a/src/consensus/replicated_log.h
+++ b/src/consensus/replicated_log.h
@@ -27,8 +27,8 @@
   int64_t term_at(int64_t index) const;
   /// Precondition: first_index() <= index <= last_index().
   const wire::LogEntry& at(int64_t index) const;
-  /// At most `limit` entries from `from` on, and at most about `byte_limit` payload bytes (at least one entry).
-  std::vector<wire::LogEntry> slice(int64_t from, size_t limit, size_t byte_limit) const;
+  /// At most `limit` entries from `from` on, and at most about `max_bytes` payload bytes (at least one entry).
+  std::vector<wire::LogEntry> slice(int64_t from, size_t max_entries, size_t max_bytes) const;
 
   /// Appends an entry whose index is last_index() + 1.
   void append(wire::LogEntry entry);
@@ -47,7 +47,7 @@
   int64_t replicas_index() const;
 
  private:
-  void note_replica_set(const wire::LogEntry& entry);
+  void record_replica_set(const wire::LogEntry& entry);
 
   wire::SnapshotHeader snapshot_;
   std::deque<wire::LogEntry> entries_;
--- a/src/core/fleet/fleet_controller.cc
+++ b/src/core/fleet/fleet_controller.cc
@@ -103,7 +103,7 @@
     subscription_.set_leader_hint(leader_node());
     if (is_leaving_ && raft_->is_leader() && now >= next_leadership_transfer_) {
       next_leadership_transfer_ = now + kLeadershipTransferRetryInterval;
-      raft_->hand_over(now);
+      raft_->transfer_leadership(now);
     }
   }
   wire::FleetHeartbeat content;
@@ -129,7 +129,7 @@
 void FleetController::receive(TimePoint now, const wire::Envelope& envelope) {
   if (envelope.__isset.raft) {
     if (raft_) {
-      replica_routes_.note(envelope.raft.from_replica, envelope.from_node);
+      replica_routes_.set_node(envelope.raft.from_replica, envelope.from_node);
       raft_->step(now, envelope.raft);
     }
   } else if (envelope.__isset.formation) {
@@ -344,13 +344,13 @@
 }
 
 void FleetController::send_raft(std::vector<wire::RaftMessage> messages) {
-  for (auto& envelope : replica_routes_.address(std::move(messages))) {
+  for (auto& envelope : replica_routes_.make_envelopes(std::move(messages))) {
     send(std::move(envelope));
   }
 }
 
 void FleetController::record_replica_addresses() {
-  replica_routes_.note_all(raft_->replicas());
+  replica_routes_.set_nodes(raft_->replicas());
   subscription_.add_peers(control_peers_of(raft_->replicas()));
 }
 
--- a/src/core/node/node_controller.cc
+++ b/src/core/node/node_controller.cc
@@ -42,7 +42,7 @@
   }
   if (leaving_ && raft_ && raft_->is_leader() && now >= next_hand_over_at_) {
     next_hand_over_at_ = now + kHandOverRetryInterval;
-    raft_->hand_over(now);
+    raft_->transfer_leadership(now);
   }
   if (auto heartbeat = entry_.tick(now, raft_ ? raft_->id() : ReplicaId())) {
     send(now, std::move(*heartbeat));
@@ -57,7 +57,7 @@
 void NodeController::receive(TimePoint now, wire::Envelope envelope) {
   if (envelope.__isset.raft) {
     if (raft_) {
-      replica_routes_.note(envelope.raft.from_replica, envelope.from_node);
+      replica_routes_.set_node(envelope.raft.from_replica, envelope.from_node);
       raft_->step(now, envelope.raft);
     }
   } else if (envelope.__isset.heartbeat) {
@@ -89,7 +89,7 @@
 }
 
 void NodeController::send_raft(TimePoint now, std::vector<wire::RaftMessage> messages) {
-  for (auto& envelope : replica_routes_.address(std::move(messages))) {
+  for (auto& envelope : replica_routes_.make_envelopes(std::move(messages))) {
     send(now, std::move(envelope));
   }
 }
@@ -291,7 +291,7 @@
     }
     apply_committed(now);
     carry_out_leader_outputs(now);
-    replica_routes_.note_all(raft_->replicas());
+    replica_routes_.set_nodes(raft_->replicas());
     auto output = raft_->take_output();
     send_raft(now, std::exchange(output.messages, {}));
     if (!output.empty()) {
--- a/src/emulator/emulated_machine.cc
+++ b/src/emulator/emulated_machine.cc
@@ -392,7 +392,7 @@
   auto stream = std::make_shared<Stream>(executor_);
   const uint64_t id = work.id;
   streams_[id] = stream;
-  exchange.watch_caller([this, id, stream, token = alive_token_] {
+  exchange.notify_on_disconnect([this, id, stream, token = alive_token_] {
     stream->failed = true;
     stream->wake.cancel();
     if (*token) {
--- a/src/load/load_generator.cc
+++ b/src/load/load_generator.cc
@@ -153,7 +153,7 @@
   const auto began = Clock::now();
   net::OpenOptions open;
   open.timeout = options_.timeout;
-  open.fresh_connection = work.random_number(0, 3) == 0;
+  open.require_new_connection = work.random_number(0, 3) == 0;
   auto opened = co_await client_.open(record.node, work.request, open);
   record.was_sent = opened.state != net::SendState::kNotSent;
   if (opened.stream != nullptr) {
--- a/src/net/frame.cc
+++ b/src/net/frame.cc
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr uint32_t kMagic = 0x4C4C4531;  // "LLE1"
-constexpr size_t kFrameHeaderSize = 16;
-constexpr uint32_t kLargestFrame = 128U << 20U;
+constexpr size_t kFrameHeaderBytes = 16;
+constexpr uint32_t kMaxPayloadBytes = 128U << 20U;
 
 }  // namespace
 
 std::string encode_frame(std::string_view payload) {
-  std::string frame(kFrameHeaderSize, '\0');
+  std::string frame(kFrameHeaderBytes, '\0');
   const auto length = static_cast<uint32_t>(payload.size());
   const uint64_t checksum = XXH3_64bits(payload.data(), payload.size());
   std::memcpy(frame.data(), &kMagic, sizeof(kMagic));
@@ -27,7 +27,7 @@
 }
 
 FrameStatus decode_frame(std::string_view bytes, std::string_view& payload, size_t& size) {
-  if (bytes.size() < kFrameHeaderSize) {
+  if (bytes.size() < kFrameHeaderBytes) {
     return FrameStatus::kIncomplete;
   }
   uint32_t magic = 0;
@@ -36,15 +36,15 @@
   std::memcpy(&magic, bytes.data(), sizeof(magic));
   std::memcpy(&length, bytes.data() + 4, sizeof(length));
   std::memcpy(&checksum, bytes.data() + 8, sizeof(checksum));
-  if (magic != kMagic || length > kLargestFrame) {
-    return FrameStatus::kBad;
+  if (magic != kMagic || length > kMaxPayloadBytes) {
+    return FrameStatus::kInvalid;
   }
-  if (bytes.size() - kFrameHeaderSize < length) {
+  if (bytes.size() - kFrameHeaderBytes < length) {
     return FrameStatus::kIncomplete;
   }
-  payload = bytes.substr(kFrameHeaderSize, length);
-  size = kFrameHeaderSize + length;
-  return XXH3_64bits(payload.data(), payload.size()) == checksum ? FrameStatus::kComplete : FrameStatus::kBad;
+  payload = bytes.substr(kFrameHeaderBytes, length);
+  size = kFrameHeaderBytes + length;
+  return XXH3_64bits(payload.data(), payload.size()) == checksum ? FrameStatus::kComplete : FrameStatus::kInvalid;
 }
 
 }  // namespace larchlever::net
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -21,9 +21,9 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kIdlePerEndpoint = 64;
-constexpr size_t kPieceSize = 16 * 1024;
-constexpr uint64_t kLargestHead = 64 * 1024;
+constexpr size_t kMaxIdleConnectionsPerEndpoint = 64;
+constexpr size_t kReadBufferBytes = 16 * 1024;
+constexpr uint64_t kMaxResponseHeadBytes = 64 * 1024;
 
 using Parser = http::response_parser<http::buffer_body>;
 
@@ -32,7 +32,7 @@
 /// Kept connections are not used after this long when the server names no time.
 constexpr auto kDefaultKeepAlive = std::chrono::seconds(20);
 /// A peer that acknowledges nothing for this long is taken for gone.
-constexpr unsigned int kUserTimeoutMs = 4000;
+constexpr unsigned int kTcpUserTimeoutMs = 4000;
 
 struct Connection {
   explicit Connection(const asio::any_io_executor& executor) : stream(executor) {}
@@ -53,9 +53,9 @@
 }
 
 /// While the request is under way, a cancellation drops its connection.
-void watch_cancellation(const OpenOptions& options, Connection& connection) {
+void drop_connection_on_cancel(const OpenOptions& options, Connection& connection) {
   if (options.cancellation) {
-    options.cancellation->set_action([&connection] { connection.stream.cancel(); });
+    options.cancellation->set_cancel_callback([&connection] { connection.stream.cancel(); });
   }
 }
 
@@ -79,7 +79,7 @@
 }
 
 /// True when the peer closed an idle connection, or sent something nobody asked for.
-bool is_stale(asio::ip::tcp::socket& socket) {
+bool is_unusable(asio::ip::tcp::socket& socket) {
   char byte = 0;
   socket.non_blocking(true);
   beast::error_code error;
@@ -98,17 +98,17 @@
       auto connection = std::move(list.back());
       list.pop_back();
       const bool expired = monotonic_now() >= connection->usable_until;
-      if (!expired && !is_stale(connection->stream.socket())) {
-        ++stats.reused;
+      if (!expired && !is_unusable(connection->stream.socket())) {
+        ++stats.connections_reused;
         return connection;
       }
     }
     return nullptr;
   }
 
-  void keep(const std::string& endpoint, std::unique_ptr<Connection> connection) {
+  void keep_idle(const std::string& endpoint, std::unique_ptr<Connection> connection) {
     auto& list = idle[endpoint];
-    if (list.size() < kIdlePerEndpoint) {
+    if (list.size() < kMaxIdleConnectionsPerEndpoint) {
       connection->stream.expires_never();
       list.push_back(std::move(connection));
     }
@@ -126,8 +126,8 @@
 
 class BeastClientStream : public ClientStream {
  public:
-  BeastClientStream(std::unique_ptr<Connection> connection, std::unique_ptr<Parser> parser, KeepConnection keep)
-      : connection_(std::move(connection)), parser_(std::move(parser)), keep_(std::move(keep)) {
+  BeastClientStream(std::unique_ptr<Connection> connection, std::unique_ptr<Parser> parser, KeepConnection keep_idle)
+      : connection_(std::move(connection)), parser_(std::move(parser)), keep_idle_(std::move(keep_idle)) {
     const auto& message = parser_->get();
     head_.status = static_cast<int>(message.result_int());
     head_.reason = std::string(message.reason());
@@ -143,7 +143,7 @@
   asio::awaitable<std::string> read_some(std::chrono::milliseconds timeout) override {
     std::string piece;
     while (piece.empty() && connection_ != nullptr && !parser_->is_done()) {
-      piece.resize(kPieceSize);
+      piece.resize(kReadBufferBytes);
       auto& body = parser_->get().body();
       body.data = piece.data();
       body.size = piece.size();
@@ -167,32 +167,32 @@
   void close() override {
     if (connection_ != nullptr) {
       connection_->stream.close();
-      reading_done_ = true;
+      reading_finished_ = true;
     }
   }
 
  private:
   void finish_if_done() {
     delimited_by_close_ = delimited_by_close_ || parser_->need_eof();
-    if (!parser_->is_done() || complete_ || reading_done_) {
+    if (!parser_->is_done() || complete_ || reading_finished_) {
       return;
     }
     complete_ = true;
-    reading_done_ = true;
+    reading_finished_ = true;
     // Bytes behind a whole answer belong to no request: such a connection is not used again.
-    if (parser_->keep_alive() && keep_ && connection_->buffer.size() == 0) {
+    if (parser_->keep_alive() && keep_idle_ && connection_->buffer.size() == 0) {
       connection_->usable_until = usable_until(head_.headers.find("keep-alive"));
-      keep_(std::move(connection_));
+      keep_idle_(std::move(connection_));
     }
   }
 
   std::unique_ptr<Connection> connection_;
   std::unique_ptr<Parser> parser_;
-  KeepConnection keep_;
+  KeepConnection keep_idle_;
   HttpResponse head_;
   std::string error_;
   bool complete_ = false;
-  bool reading_done_ = false;
+  bool reading_finished_ = false;
   bool delimited_by_close_ = false;
 };
 
@@ -211,39 +211,39 @@
   auto self = implementation_;
   OpenResult result;
   std::unique_ptr<Connection> connection;
-  const ScopeExit forget([&options] {
+  const ScopeExit clear_cancel_callback([&options] {
     if (options.cancellation) {
-      options.cancellation->set_action(nullptr);
+      options.cancellation->set_cancel_callback(nullptr);
     }
   });
-  if (!options.fresh_connection) {
+  if (!options.require_new_connection) {
     connection = self->take_idle(endpoint);
   }
   if (connection == nullptr) {
     const auto [host, port] = split_endpoint(endpoint);
-    beast::error_code invalid;
-    const auto address = asio::ip::make_address(host, invalid);
-    if (host.empty() || invalid) {
+    beast::error_code address_error;
+    const auto address = asio::ip::make_address(host, address_error);
+    if (host.empty() || address_error) {
       result.error = "bad endpoint '" + endpoint + "'; endpoints are IP:PORT";
       co_return result;
     }
     connection = std::make_unique<Connection>(self->executor);
     connection->stream.expires_after(std::min(timeout, options.connect_timeout));
-    watch_cancellation(options, *connection);
+    drop_connection_on_cancel(options, *connection);
     const asio::ip::tcp::endpoint target(address, static_cast<uint16_t>(std::stoi(port)));
     auto [error] = co_await connection->stream.async_connect(target, kAwait);
     if (error) {
-      ++self->stats.failures;
+      ++self->stats.failed_requests;
       result.error = "cannot connect to " + endpoint + ": " + error.message();
       co_return result;
     }
     ++self->stats.connections;
     beast::error_code ignored;
     connection->stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
-    ::setsockopt(connection->stream.socket().native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs,
-                 sizeof(kUserTimeoutMs));
+    ::setsockopt(connection->stream.socket().native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kTcpUserTimeoutMs,
+                 sizeof(kTcpUserTimeoutMs));
   }
-  watch_cancellation(options, *connection);
+  drop_connection_on_cancel(options, *connection);
   if (options.cancellation && options.cancellation->cancelled()) {
     result.error = "cancelled before anything was sent to " + endpoint;
     co_return result;
@@ -257,23 +257,25 @@
   result.state = SendState::kMaybeSent;
   auto [write_error, written] = co_await http::async_write(connection->stream, message, kAwait);
   if (write_error) {
-    ++self->stats.failures;
+    ++self->stats.failed_requests;
     result.error = "sending to " + endpoint + " failed: " + write_error.message();
     co_return result;
   }
   auto parser = std::make_unique<Parser>();
   parser->body_limit(boost::none);
-  parser->header_limit(kLargestHead);
+  parser->header_limit(kMaxResponseHeadBytes);
   parser->skip(request.method == "HEAD");
   auto [read_error, count] = co_await http::async_read_header(connection->stream, connection->buffer, *parser, kAwait);
   if (read_error) {
-    ++self->stats.failures;
+    ++self->stats.failed_requests;
     result.error = "no answer from " + endpoint + ": " + read_error.message();
     co_return result;
   }
   result.state = SendState::kAnswered;
-  KeepConnection keep = [self, endpoint](std::unique_ptr<Connection> kept) { self->keep(endpoint, std::move(kept)); };
-  result.stream = std::make_unique<BeastClientStream>(std::move(connection), std::move(parser), std::move(keep));
+  KeepConnection keep_idle = [self, endpoint](std::unique_ptr<Connection> kept) {
+    self->keep_idle(endpoint, std::move(kept));
+  };
+  result.stream = std::make_unique<BeastClientStream>(std::move(connection), std::move(parser), std::move(keep_idle));
   co_return result;
 }
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -24,8 +24,8 @@
 
 struct HttpClientStats {
   uint64_t connections = 0;
-  uint64_t reused = 0;
-  uint64_t failures = 0;
+  uint64_t connections_reused = 0;
+  uint64_t failed_requests = 0;
 };
 
 /// One request whose answer is read piece by piece. Closing it (or destroying it) before the end drops the connection,
@@ -63,7 +63,7 @@
   }
   bool cancelled() const { return cancelled_; }
   /// What drops the connection at hand; set by the client.
-  void set_action(std::function<void()> on_cancel) { on_cancel_ = std::move(on_cancel); }
+  void set_cancel_callback(std::function<void()> on_cancel) { on_cancel_ = std::move(on_cancel); }
 
  private:
   bool cancelled_ = false;
@@ -78,7 +78,7 @@
   std::shared_ptr<Cancellation> cancellation;
   /// Avoid kept connections, whose peer may close them just as the request leaves: then a failure to connect proves
   /// that nothing was sent.
-  bool fresh_connection = false;
+  bool require_new_connection = false;
   /// If set, asked once the connection stands, right before the first byte leaves; when it says no, nothing is sent.
   std::function<bool()> may_send;
 };
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -22,30 +22,32 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 using RequestParser = http::request_parser<http::string_body>;
 
-std::string problem_body(int status, std::string_view title, std::string_view remedy) {
+std::string make_problem_body(int status, std::string_view title, std::string_view remedy) {
   return "{\"type\":\"about:blank\",\"status\":" + std::to_string(status) + ",\"title\":\"" + std::string(title) +
          "\",\"remedy\":\"" + std::string(remedy) + "\",\"outcome\":\"not-run\"}";
 }
 
-constexpr size_t kHeadReadSize = 4096;
+constexpr size_t kHeadReadBytes = 4096;
 /// How long the rest of a refused request is read and dropped, so that closing does not reset the answer away.
-constexpr auto kDiscardTime = std::chrono::milliseconds(300);
+constexpr auto kDiscardTimeout = std::chrono::milliseconds(300);
 
-std::string_view bytes_of(const beast::flat_buffer& buffer) {
+std::string_view buffered_bytes(const beast::flat_buffer& buffer) {
   return {static_cast<const char*>(buffer.data().data()), buffer.size()};
 }
 
 /// Position of the empty line that ends a head; npos while it is incomplete.
-size_t head_end(const beast::flat_buffer& buffer) { return bytes_of(buffer).find("\r\n\r\n"); }
+size_t find_head_end(const beast::flat_buffer& buffer) { return buffered_bytes(buffer).find("\r\n\r\n"); }
 
-std::string_view head_of(const beast::flat_buffer& buffer) { return bytes_of(buffer).substr(0, head_end(buffer)); }
+std::string_view buffered_head(const beast::flat_buffer& buffer) {
+  return buffered_bytes(buffer).substr(0, find_head_end(buffer));
+}
 
-HttpResponse problem(int status, std::string_view title, std::string_view remedy) {
+HttpResponse make_problem_response(int status, std::string_view title, std::string_view remedy) {
   HttpResponse response;
   response.status = status;
   response.headers.add("Content-Type", "application/problem+json");
   response.headers.add("Larchlever-Outcome", "not-run");
-  response.body = problem_body(status, title, remedy);
+  response.body = make_problem_body(status, title, remedy);
   return response;
 }
 
@@ -59,7 +61,7 @@
   asio::awaitable<void> accept_loop(std::shared_ptr<Implementation> self);
   asio::awaitable<void> serve(std::shared_ptr<TimedStream> stream);
   asio::awaitable<beast::error_code> read_head_bytes(TimedStream& stream, beast::flat_buffer& buffer, bool is_first);
-  asio::awaitable<void> refuse(std::shared_ptr<TimedStream> stream, int status, std::string title);
+  asio::awaitable<void> reject_request(std::shared_ptr<TimedStream> stream, int status, std::string title);
 
   asio::any_io_executor executor;
   HttpServerOptions options;
@@ -113,15 +115,15 @@
     } else {
       std::tie(error, std::ignore) = co_await http::async_write(*stream_, serializer, kAwait);
     }
-    finished_ = !error;
-    gone_ = gone_ || static_cast<bool>(error);
+    response_sent_ = !error;
+    disconnected_ = disconnected_ || static_cast<bool>(error);
   }
 
   asio::awaitable<bool> begin_stream(const HttpResponse& head) override {
     const bool has_length = head.headers.contains("content-length");
     if (version_ < 11 && !has_length) {
-      gathered_ = head;
-      co_return !gone_;
+      buffered_response_ = head;
+      co_return !disconnected_;
     }
     http::response<http::empty_body> message;
     fill_head(head, message);
@@ -134,16 +136,16 @@
     http::response_serializer<http::empty_body> serializer(message);
     stream_->expires_after(options_.write_timeout);
     auto [error, count] = co_await http::async_write_header(*stream_, serializer, kAwait);
-    gone_ = gone_ || static_cast<bool>(error);
-    co_return !gone_;
+    disconnected_ = disconnected_ || static_cast<bool>(error);
+    co_return !disconnected_;
   }
 
   asio::awaitable<bool> write_piece(std::string_view piece) override {
-    if (gathered_) {
-      gathered_->body.append(piece);
-      co_return !gone_;
+    if (buffered_response_) {
+      buffered_response_->body.append(piece);
+      co_return !disconnected_;
     }
-    if (!gone_ && !piece.empty()) {
+    if (!disconnected_ && !piece.empty()) {
       stream_->expires_after(options_.write_timeout);
       const asio::const_buffer data(piece.data(), piece.size());
       beast::error_code error;
@@ -152,66 +154,70 @@
       } else {
         std::tie(error, std::ignore) = co_await asio::async_write(*stream_, data, kAwait);
       }
-      gone_ = gone_ || static_cast<bool>(error);
+      disconnected_ = disconnected_ || static_cast<bool>(error);
     }
-    co_return !gone_;
+    co_return !disconnected_;
   }
 
   asio::awaitable<void> end_stream() override {
-    if (gathered_) {
-      HttpResponse whole = std::move(*gathered_);
-      gathered_.reset();
+    if (buffered_response_) {
+      HttpResponse whole = std::move(*buffered_response_);
+      buffered_response_.reset();
       co_await respond(std::move(whole));
       co_return;
     }
-    if (gone_) {
+    if (disconnected_) {
       co_return;
     }
-    finished_ = true;
+    response_sent_ = true;
     if (chunked_) {
       stream_->expires_after(options_.write_timeout);
       auto [error, count] = co_await asio::async_write(*stream_, http::make_chunk_last(), kAwait);
-      finished_ = !error;
+      response_sent_ = !error;
     }
   }
 
-  void watch_caller(std::function<void()> on_gone) override {
-    asio::co_spawn(stream_->get_executor(), watch(shared_from_this(), std::move(on_gone)), asio::detached);
+  void notify_on_disconnect(std::function<void()> on_disconnect) override {
+    asio::co_spawn(stream_->get_executor(), watch_for_disconnect(shared_from_this(), std::move(on_disconnect)),
+                   asio::detached);
   }
 
-  bool caller_gone() const override { return gone_; }
+  bool caller_disconnected() const override { return disconnected_; }
   /// A whole answer was sent, so the connection can carry another request.
-  bool finished() const { return finished_; }
+  bool response_sent() const { return response_sent_; }
   bool keep_alive() const { return keep_alive_; }
-  void close_after() { keep_alive_ = false; }
-  void end_watch() {
-    watching_ended_ = true;
+  void close_after_response() { keep_alive_ = false; }
+  void stop_disconnect_watch() {
+    disconnect_watch_stopped_ = true;
     beast::error_code ignored;
-    if (watch_pending_) {
-      watch_signal_->cancel(ignored);
+    if (disconnect_watch_pending_) {
+      disconnect_watch_descriptor_->cancel(ignored);
     }
   }
 
  private:
-  static asio::awaitable<void> watch(std::shared_ptr<BeastExchange> self, std::function<void()> on_gone) {
+  static asio::awaitable<void> watch_for_disconnect(std::shared_ptr<BeastExchange> self,
+                                                    std::function<void()> on_disconnect) {
     // A second descriptor for the same socket, so that waiting here never disturbs the stream's own operations.
-    const int copy = ::dup(self->stream_->socket().native_handle());
-    if (copy < 0) {
+    const int duplicate_descriptor = ::dup(self->stream_->socket().native_handle());
+    if (duplicate_descriptor < 0) {
       co_return;
     }
-    self->watch_signal_ = std::make_unique<asio::posix::stream_descriptor>(self->stream_->get_executor(), copy);
-    self->watch_pending_ = true;
-    auto [error] = co_await self->watch_signal_->async_wait(asio::posix::stream_descriptor::wait_read, kAwait);
-    self->watch_pending_ = false;
-    if (error || self->watching_ended_) {
+    self->disconnect_watch_descriptor_ =
+        std::make_unique<asio::posix::stream_descriptor>(self->stream_->get_executor(), duplicate_descriptor);
+    self->disconnect_watch_pending_ = true;
+    auto [error] =
+        co_await self->disconnect_watch_descriptor_->async_wait(asio::posix::stream_descriptor::wait_read, kAwait);
+    self->disconnect_watch_pending_ = false;
+    if (error || self->disconnect_watch_stopped_) {
       co_return;
     }
     char byte = 0;
-    const ssize_t count = ::recv(copy, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    const ssize_t count = ::recv(duplicate_descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     const bool closed = count == 0 || (count < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
     if (closed) {
-      self->gone_ = true;
-      on_gone();
+      self->disconnected_ = true;
+      on_disconnect();
     }
   }
 
@@ -240,13 +246,13 @@
   HttpRequest request_;
   bool keep_alive_ = false;
   unsigned version_ = 11;
-  bool gone_ = false;
+  bool disconnected_ = false;
   bool chunked_ = true;
-  std::optional<HttpResponse> gathered_;
-  bool finished_ = false;
-  bool watching_ended_ = false;
-  bool watch_pending_ = false;
-  std::unique_ptr<asio::posix::stream_descriptor> watch_signal_;
+  std::optional<HttpResponse> buffered_response_;
+  bool response_sent_ = false;
+  bool disconnect_watch_stopped_ = false;
+  bool disconnect_watch_pending_ = false;
+  std::unique_ptr<asio::posix::stream_descriptor> disconnect_watch_descriptor_;
 };
 
 }  // namespace
@@ -260,11 +266,11 @@
     }
     if (error) {
       // Out of descriptors, most likely: breathe instead of spinning.
-      asio::steady_timer pause(executor, std::chrono::milliseconds(50));
-      co_await pause.async_wait(kAwait);
+      asio::steady_timer retry_timer(executor, std::chrono::milliseconds(50));
+      co_await retry_timer.async_wait(kAwait);
       continue;
     }
-    if (stats.open_connections >= static_cast<int64_t>(options.most_connections)) {
+    if (stats.open_connections >= static_cast<int64_t>(options.max_connections)) {
       ++stats.refused_connections;
       continue;
     }
@@ -290,15 +296,15 @@
                                                                                bool is_first) {
   stream.expires_after(is_first ? options.head_timeout : options.idle_timeout);
   bool started = buffer.size() > 0;
-  while (head_end(buffer) == std::string_view::npos) {
-    if (buffer.size() > options.largest_head) {
+  while (find_head_end(buffer) == std::string_view::npos) {
+    if (buffer.size() > options.head_limit_bytes) {
       co_return http::error::header_limit;
     }
     if (!started && buffer.size() > 0) {
       started = true;
       stream.expires_after(options.head_timeout);
     }
-    const auto space = buffer.prepare(kHeadReadSize);
+    const auto space = buffer.prepare(kHeadReadBytes);
     auto [error, count] = co_await stream.async_read_some(space, kAwait);
     buffer.commit(count);
     if (error) {
@@ -308,19 +314,19 @@
   co_return beast::error_code();
 }
 
-asio::awaitable<void> HttpServer::Implementation::refuse(std::shared_ptr<TimedStream> stream, int status,
-                                                         std::string title) {
+asio::awaitable<void> HttpServer::Implementation::reject_request(std::shared_ptr<TimedStream> stream, int status,
+                                                                 std::string title) {
   http::request<http::string_body> empty;
   auto exchange = std::make_shared<BeastExchange>(stream, options, draining, std::move(empty));
-  exchange->close_after();
-  auto answer = problem(status, title, "send a valid HTTP/1.1 request within the limits");
+  exchange->close_after_response();
+  auto answer = make_problem_response(status, title, "send a valid HTTP/1.1 request within the limits");
   co_await exchange->respond(std::move(answer));
   beast::error_code error;
   stream->socket().shutdown(asio::ip::tcp::socket::shutdown_send, error);
-  stream->expires_after(kDiscardTime);
-  std::array<char, kHeadReadSize> dropped{};
+  stream->expires_after(kDiscardTimeout);
+  std::array<char, kHeadReadBytes> discarded_bytes{};
   while (!error) {
-    const asio::mutable_buffer space(dropped.data(), dropped.size());
+    const asio::mutable_buffer space(discarded_bytes.data(), discarded_bytes.size());
     std::tie(error, std::ignore) = co_await stream->async_read_some(space, kAwait);
   }
 }
@@ -330,16 +336,16 @@
   bool first = true;
   while (!closed) {
     RequestParser parser;
-    parser.header_limit(static_cast<uint32_t>(options.largest_head));
-    parser.body_limit(options.largest_body);
+    parser.header_limit(static_cast<uint32_t>(options.head_limit_bytes));
+    parser.body_limit(options.body_limit_bytes);
     idle.emplace(stream, std::chrono::steady_clock::now());
     beast::error_code error = co_await read_head_bytes(*stream, buffer, first);
     idle.erase(stream);
     first = false;
     if (!error) {
-      if (const auto fault = find_head_fault(head_of(buffer))) {
-        ++stats.malformed;
-        co_await refuse(stream, http_status::kBadRequest, *fault);
+      if (const auto head_error = find_head_error(buffered_head(buffer))) {
+        ++stats.malformed_requests;
+        co_await reject_request(stream, http_status::kBadRequest, *head_error);
         break;
       }
       stream->expires_after(options.body_timeout);
@@ -350,20 +356,20 @@
       break;
     }
     if (error) {
-      const bool large_body = error == http::error::body_limit;
-      const bool large_head = error == http::error::header_limit || error == http::error::buffer_overflow;
-      const bool late = error == beast::error::timeout;
-      const bool malformed =
-          !large_body && !large_head && error.category() == http::make_error_code(http::error::bad_target).category();
-      stats.too_large += large_body || large_head ? 1 : 0;
-      stats.timeouts += late ? 1 : 0;
-      stats.malformed += malformed ? 1 : 0;
-      if (large_body) {
-        co_await refuse(stream, http_status::kPayloadTooLarge, "request body too large");
-      } else if (large_head) {
-        co_await refuse(stream, http_status::kPayloadTooLarge, "request head too large");
+      const bool body_too_large = error == http::error::body_limit;
+      const bool head_too_large = error == http::error::header_limit || error == http::error::buffer_overflow;
+      const bool timed_out = error == beast::error::timeout;
+      const bool malformed = !body_too_large && !head_too_large &&
+                             error.category() == http::make_error_code(http::error::bad_target).category();
+      stats.oversized_requests += body_too_large || head_too_large ? 1 : 0;
+      stats.timed_out_requests += timed_out ? 1 : 0;
+      stats.malformed_requests += malformed ? 1 : 0;
+      if (body_too_large) {
+        co_await reject_request(stream, http_status::kPayloadTooLarge, "request body too large");
+      } else if (head_too_large) {
+        co_await reject_request(stream, http_status::kPayloadTooLarge, "request head too large");
       } else if (malformed) {
-        co_await refuse(stream, http_status::kBadRequest, "malformed HTTP request");
+        co_await reject_request(stream, http_status::kBadRequest, "malformed HTTP request");
       }
       break;
     }
@@ -377,9 +383,9 @@
     } catch (const std::exception&) {
       failed = true;
     }
-    exchange->end_watch();
+    exchange->stop_disconnect_watch();
     --stats.active_requests;
-    if (failed || !exchange->finished() || !exchange->keep_alive()) {
+    if (failed || !exchange->response_sent() || !exchange->keep_alive()) {
       break;
     }
   }
@@ -424,11 +430,11 @@
 
 void HttpServer::begin_draining() { implementation_->draining = true; }
 
-void HttpServer::close_idle(std::chrono::milliseconds idle_for) {
-  const auto resting_since = std::chrono::steady_clock::now() - idle_for;
+void HttpServer::close_idle_connections(std::chrono::milliseconds min_idle_time) {
+  const auto latest_idle_start = std::chrono::steady_clock::now() - min_idle_time;
   const auto idle = implementation_->idle;
   for (const auto& [stream, since] : idle) {
-    if (since <= resting_since) {
+    if (since <= latest_idle_start) {
       stream->cancel();
     }
   }
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -30,9 +30,9 @@
   virtual boost::asio::awaitable<bool> write_piece(std::string_view piece) = 0;
   /// Ends the stream properly. Without this call the connection is cut, so the caller sees that the answer broke off.
   virtual boost::asio::awaitable<void> end_stream() = 0;
-  /// Calls `on_gone` once if the caller closes its connection while the request is being served.
-  virtual void watch_caller(std::function<void()> on_gone) = 0;
-  virtual bool caller_gone() const = 0;
+  /// Calls `on_disconnect` once if the caller closes its connection while the request is being served.
+  virtual void notify_on_disconnect(std::function<void()> on_disconnect) = 0;
+  virtual bool caller_disconnected() const = 0;
 };
 
 /// Serves requests. Called on the server's executor; several requests interleave.
@@ -43,21 +43,21 @@
 };
 
 struct HttpServerOptions {
-  size_t largest_head = 16 * 1024;
-  size_t largest_body = 8 * 1024 * 1024;
+  size_t head_limit_bytes = 16 * 1024;
+  size_t body_limit_bytes = 8 * 1024 * 1024;
   std::chrono::milliseconds head_timeout{10'000};
   std::chrono::milliseconds body_timeout{30'000};
   std::chrono::milliseconds idle_timeout{60'000};
   std::chrono::milliseconds write_timeout{60'000};
-  size_t most_connections = 20'000;
+  size_t max_connections = 20'000;
 };
 
 struct HttpServerStats {
   uint64_t connections = 0;
   uint64_t requests = 0;
-  uint64_t malformed = 0;
-  uint64_t too_large = 0;
-  uint64_t timeouts = 0;
+  uint64_t malformed_requests = 0;
+  uint64_t oversized_requests = 0;
+  uint64_t timed_out_requests = 0;
   uint64_t refused_connections = 0;
   int64_t open_connections = 0;
   int64_t active_requests = 0;
@@ -66,7 +66,7 @@
 /// A head that must not be forwarded, because servers may read it differently; the text names the fault.
 /// Refused: folded header lines, transfer codings other than chunked, HTTP/1.1 without exactly one Host, a
 /// Content-Length beside a transfer coding.
-std::optional<std::string> find_head_fault(std::string_view head);
+std::optional<std::string> find_head_error(std::string_view head);
 
 /// Minimal HTTP/1.1 server on Asio and Beast: keep-alive, limits on heads, bodies and times, one request at a time per
 /// connection (pipelined ones wait their turn). Malformed input gets a typed 4xx answer and the connection is closed.
@@ -86,7 +86,7 @@
   /// new connections are still served.
   void begin_draining();
   /// Closes connections on which no request has been read or served for this long.
-  void close_idle(std::chrono::milliseconds idle_for = {});
+  void close_idle_connections(std::chrono::milliseconds min_idle_time = {});
   /// The same as draining, and new connections are refused.
   void stop_accepting();
   /// Drops everything at once, as when the process dies.
--- a/src/net/http_types.cc
+++ b/src/net/http_types.cc
@@ -35,16 +35,17 @@
 }
 
 bool is_hop_by_hop(std::string_view name, const Headers& headers) {
-  static constexpr std::array<std::string_view, 9> kNames = {
+  static constexpr std::array<std::string_view, 9> kHopByHopHeaders = {
       "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te",
       "trailer",    "upgrade",    "transfer-encoding",  "proxy-connection"};
-  if (std::any_of(kNames.begin(), kNames.end(), [name](auto known) { return equals_ignoring_case(name, known); })) {
+  if (std::any_of(kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
+                  [name](auto known) { return equals_ignoring_case(name, known); })) {
     return true;
   }
-  std::string_view listed = headers.find("connection");
-  while (!listed.empty()) {
-    const size_t comma = listed.find(',');
-    std::string_view token = listed.substr(0, comma);
+  std::string_view remaining_tokens = headers.find("connection");
+  while (!remaining_tokens.empty()) {
+    const size_t comma = remaining_tokens.find(',');
+    std::string_view token = remaining_tokens.substr(0, comma);
     while (!token.empty() && token.front() == ' ') {
       token.remove_prefix(1);
     }
@@ -54,7 +55,7 @@
     if (equals_ignoring_case(token, name)) {
       return true;
     }
-    listed = comma == std::string_view::npos ? std::string_view() : listed.substr(comma + 1);
+    remaining_tokens = comma == std::string_view::npos ? std::string_view() : remaining_tokens.substr(comma + 1);
   }
   return false;
 }
--- a/src/net/listener_probe.cc
+++ b/src/net/listener_probe.cc
@@ -14,7 +14,7 @@
 namespace {
 
 /// Who does not serve closes within a round trip or two.
-constexpr auto kCloseTime = std::chrono::milliseconds(15);
+constexpr auto kCloseWait = std::chrono::milliseconds(15);
 
 }  // namespace
 
@@ -36,12 +36,12 @@
     co_return ListenerState::kUnknown;
   }
   // A server that takes the connection says nothing before it was asked.
-  stream.expires_after(kCloseTime);
+  stream.expires_after(kCloseWait);
   char byte = 0;
   const auto space = asio::buffer(&byte, 1);
   std::tie(error, std::ignore) = co_await stream.async_read_some(space, asio::as_tuple(asio::use_awaitable));
-  const bool was_kept = !error || error == beast::error::timeout;
-  co_return was_kept ? ListenerState::kListening : ListenerState::kClosed;
+  const bool stayed_open = !error || error == beast::error::timeout;
+  co_return stayed_open ? ListenerState::kListening : ListenerState::kClosed;
 }
 
 }  // namespace larchlever::net
--- a/src/net/peer_transport.cc
+++ b/src/net/peer_transport.cc
@@ -20,15 +20,15 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kLargestQueue = 96U << 20U;
-constexpr size_t kReadSize = 64 * 1024;
-constexpr auto kRedialPause = std::chrono::milliseconds(60);
+constexpr size_t kMaxQueuedBytes = 96U << 20U;
+constexpr size_t kReadBufferBytes = 64 * 1024;
+constexpr auto kReconnectDelay = std::chrono::milliseconds(60);
 /// A connection that takes longer is begun anew: the opening packet was lost, perhaps since the machine was just
 /// starting, and the kernel sends it again only after a second.
 constexpr auto kConnectTimeout = std::chrono::milliseconds(300);
 /// Peers answer within milliseconds. A link that carries our messages but brings nothing back is dead in one direction,
 /// which TCP does not notice when a box in between swallows the bytes: it is dropped and dialled anew.
-constexpr auto kSilenceLimit = std::chrono::milliseconds(2000);
+constexpr auto kReplyTimeout = std::chrono::milliseconds(2000);
 
 struct Link {
   explicit Link(const asio::any_io_executor& executor) : socket(executor) {}
@@ -46,7 +46,7 @@
 using LinkPointer = std::shared_ptr<Link>;
 
 /// No delay for small messages; and a peer that vanished without a word is noticed by its missing acknowledgements.
-void configure(tcp::socket& socket) {
+void set_socket_options(tcp::socket& socket) {
   boost::system::error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   const unsigned int timeout_ms = 5000;
@@ -67,7 +67,7 @@
   asio::awaitable<void> write_loop(Self self, LinkPointer link);
   asio::awaitable<void> dial(Self self, LinkPointer link, std::string endpoint);
   /// False when the link sent something that is no frame of ours.
-  bool consume(const LinkPointer& link, std::string& buffer);
+  bool process_frames(const LinkPointer& link, std::string& buffer);
   void close(const LinkPointer& link);
   void enqueue(const LinkPointer& link, std::string frame);
 
@@ -75,8 +75,8 @@
   Receiver receiver;
   tcp::acceptor acceptor;
   std::map<std::string, std::string> addresses;
-  std::map<std::string, LinkPointer> by_node;
-  std::map<std::string, TimePoint> redial_after;
+  std::map<std::string, LinkPointer> links_by_node;
+  std::map<std::string, TimePoint> reconnect_not_before;
   std::set<LinkPointer> links;
   bool stopped = false;
   PeerStats stats;
@@ -90,18 +90,18 @@
       co_return;
     }
     if (error) {
-      asio::steady_timer pause(executor, std::chrono::milliseconds(50));
-      co_await pause.async_wait(kAwait);
+      asio::steady_timer retry_timer(executor, std::chrono::milliseconds(50));
+      co_await retry_timer.async_wait(kAwait);
       continue;
     }
-    configure(link->socket);
+    set_socket_options(link->socket);
     link->connected = true;
     links.insert(link);
     asio::co_spawn(executor, read_loop(self, link), asio::detached);
   }
 }
 
-bool PeerTransport::Implementation::consume(const LinkPointer& link, std::string& buffer) {
+bool PeerTransport::Implementation::process_frames(const LinkPointer& link, std::string& buffer) {
   size_t consumed = 0;
   while (true) {
     std::string_view payload;
@@ -119,7 +119,7 @@
     consumed += size;
     if (link->node != envelope->from_node) {
       link->node = envelope->from_node;
-      by_node[link->node] = link;
+      links_by_node[link->node] = link;
     }
     receiver(std::move(*envelope));
   }
@@ -129,7 +129,7 @@
 
 asio::awaitable<void> PeerTransport::Implementation::read_loop(Self self, LinkPointer link) {
   std::string buffer;
-  std::string piece(kReadSize, '\0');
+  std::string piece(kReadBufferBytes, '\0');
   while (!link->closed) {
     auto [error, count] = co_await link->socket.async_read_some(asio::buffer(piece), kAwait);
     if (error) {
@@ -138,7 +138,7 @@
     self->stats.bytes_received += count;
     link->unanswered_since.reset();
     buffer.append(piece.data(), count);
-    if (!consume(link, buffer)) {
+    if (!process_frames(link, buffer)) {
       break;
     }
   }
@@ -173,19 +173,19 @@
     return;
   }
   link->closed = true;
-  stats.dropped += link->queue.size();
+  stats.messages_dropped += link->queue.size();
   boost::system::error_code ignored;
   link->socket.close(ignored);
-  const auto found = by_node.find(link->node);
-  if (found != by_node.end() && found->second == link) {
-    by_node.erase(found);
+  const auto found = links_by_node.find(link->node);
+  if (found != links_by_node.end() && found->second == link) {
+    links_by_node.erase(found);
   }
   links.erase(link);
 }
 
 void PeerTransport::Implementation::enqueue(const LinkPointer& link, std::string frame) {
-  if (link->queued_bytes + frame.size() > kLargestQueue) {
-    ++stats.dropped;
+  if (link->queued_bytes + frame.size() > kMaxQueuedBytes) {
+    ++stats.messages_dropped;
     return;
   }
   link->queued_bytes += frame.size();
@@ -198,9 +198,9 @@
 
 asio::awaitable<void> PeerTransport::Implementation::dial(Self self, LinkPointer link, std::string endpoint) {
   const auto [host, port] = split_endpoint(endpoint);
-  boost::system::error_code invalid;
-  const auto address = asio::ip::make_address(host, invalid);
-  if (invalid) {
+  boost::system::error_code address_error;
+  const auto address = asio::ip::make_address(host, address_error);
+  if (address_error) {
     close(link);
     co_return;
   }
@@ -216,12 +216,12 @@
   timer.cancel();
   if (error || link->closed) {
     ++stats.connect_failures;
-    redial_after[link->node] = monotonic_now() + kRedialPause;
+    reconnect_not_before[link->node] = monotonic_now() + kReconnectDelay;
     close(link);
     co_return;
   }
-  ++stats.connects;
-  configure(link->socket);
+  ++stats.connections_opened;
+  set_socket_options(link->socket);
   link->connected = true;
   if (!link->queue.empty() && !link->writing) {
     link->writing = true;
@@ -256,29 +256,29 @@
   }
   const std::string& node = envelope.to_node;
   const auto now = monotonic_now();
-  auto found = self.by_node.find(node);
-  if (found != self.by_node.end() && found->second->unanswered_since &&
-      now - *found->second->unanswered_since > kSilenceLimit) {
+  auto found = self.links_by_node.find(node);
+  if (found != self.links_by_node.end() && found->second->unanswered_since &&
+      now - *found->second->unanswered_since > kReplyTimeout) {
     ++self.stats.silent_links;
     self.close(LinkPointer(found->second));
-    found = self.by_node.end();
+    found = self.links_by_node.end();
   }
-  if (found == self.by_node.end()) {
-    const auto named = self.addresses.find(node);
+  if (found == self.links_by_node.end()) {
+    const auto known_address = self.addresses.find(node);
     // Where no address was set, the node may be named by its endpoint.
-    const std::string endpoint = named != self.addresses.end()        ? named->second
-                                 : split_endpoint(node).first.empty() ? std::string()
-                                                                      : node;
-    const auto pause = self.redial_after.find(node);
-    const bool too_soon = pause != self.redial_after.end() && now < pause->second;
-    if (endpoint.empty() || too_soon) {
-      ++self.stats.dropped;
+    const std::string endpoint = known_address != self.addresses.end() ? known_address->second
+                                 : split_endpoint(node).first.empty()  ? std::string()
+                                                                       : node;
+    const auto retry_timer = self.reconnect_not_before.find(node);
+    const bool reconnect_delayed = retry_timer != self.reconnect_not_before.end() && now < retry_timer->second;
+    if (endpoint.empty() || reconnect_delayed) {
+      ++self.stats.messages_dropped;
       return;
     }
     auto link = std::make_shared<Link>(self.executor);
     link->node = node;
     self.links.insert(link);
-    found = self.by_node.emplace(node, link).first;
+    found = self.links_by_node.emplace(node, link).first;
     asio::co_spawn(self.executor, self.dial(implementation_, link, endpoint), asio::detached);
   }
   if (!found->second->unanswered_since) {
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -18,8 +18,8 @@
   uint64_t bytes_sent = 0;
   uint64_t bytes_received = 0;
   uint64_t bad_frames = 0;
-  uint64_t dropped = 0;
-  uint64_t connects = 0;
+  uint64_t messages_dropped = 0;
+  uint64_t connections_opened = 0;
   uint64_t connect_failures = 0;
   uint64_t silent_links = 0;
 };
--- a/src/net/timed_stream.cc
+++ b/src/net/timed_stream.cc
@@ -14,23 +14,23 @@
 namespace {
 
 /// How long after a deadline what had arrived by then may still be taken.
-constexpr auto kArrivedDataGrace = std::chrono::milliseconds(200);
+constexpr auto kReadyGracePeriod = std::chrono::milliseconds(200);
 /// Pause between two looks at a socket that was ready at its deadline; its operation ends with the next poll.
-constexpr auto kReadyRecheck = std::chrono::milliseconds(1);
+constexpr auto kReadyRecheckInterval = std::chrono::milliseconds(1);
 
 }  // namespace
 
 TimedStream::State::State(asio::ip::tcp::socket given) : socket(std::move(given)), timer_(socket.get_executor()) {}
 
-void TimedStream::State::begin(Direction direction) {
+void TimedStream::State::begin_operation(Direction direction) {
   timed_out_ = false;
   if (deadline) {
-    arm(direction, *deadline);
+    start_timer(direction, *deadline);
   }
 }
 
-TimedStream::ErrorCode TimedStream::State::end(ErrorCode error) {
-  ++operation_;
+TimedStream::ErrorCode TimedStream::State::end_operation(ErrorCode error) {
+  ++operation_number_;
   timer_.cancel();
   return timed_out_ ? ErrorCode(beast::error::timeout) : error;
 }
@@ -40,22 +40,22 @@
   socket.close(ignored);
 }
 
-void TimedStream::State::arm(Direction direction, steady_clock::time_point at) {
-  timer_.expires_at(at);
-  timer_.async_wait([weak = weak_from_this(), direction, operation = operation_](ErrorCode error) {
+void TimedStream::State::start_timer(Direction direction, steady_clock::time_point expiry) {
+  timer_.expires_at(expiry);
+  timer_.async_wait([weak = weak_from_this(), direction, operation = operation_number_](ErrorCode error) {
     const auto self = weak.lock();
-    if (!error && self != nullptr && self->operation_ == operation) {
-      self->expire(direction);
+    if (!error && self != nullptr && self->operation_number_ == operation) {
+      self->on_timer(direction);
     }
   });
 }
 
-void TimedStream::State::expire(Direction direction) {
+void TimedStream::State::on_timer(Direction direction) {
   const auto now = steady_clock::now();
   if (is_ready(direction)) {
-    grace_end = grace_end.value_or(now + kArrivedDataGrace);
+    grace_end = grace_end.value_or(now + kReadyGracePeriod);
     if (now < *grace_end) {
-      arm(direction, now + kReadyRecheck);
+      start_timer(direction, now + kReadyRecheckInterval);
       return;
     }
   }
--- a/src/net/timed_stream.h
+++ b/src/net/timed_stream.h
@@ -43,18 +43,18 @@
   template <typename MutableBuffers, typename CompletionToken>
   auto async_read_some(const MutableBuffers& buffers, CompletionToken&& token) {
     return boost::asio::async_compose<CompletionToken, void(ErrorCode, size_t)>(
-        Transfer<Direction::kRead, MutableBuffers>{state_, buffers}, token, state_->socket);
+        TransferOperation<Direction::kRead, MutableBuffers>{state_, buffers}, token, state_->socket);
   }
 
   template <typename ConstBuffers, typename CompletionToken>
   auto async_write_some(const ConstBuffers& buffers, CompletionToken&& token) {
     return boost::asio::async_compose<CompletionToken, void(ErrorCode, size_t)>(
-        Transfer<Direction::kWrite, ConstBuffers>{state_, buffers}, token, state_->socket);
+        TransferOperation<Direction::kWrite, ConstBuffers>{state_, buffers}, token, state_->socket);
   }
 
   template <typename CompletionToken>
   auto async_connect(const boost::asio::ip::tcp::endpoint& endpoint, CompletionToken&& token) {
-    return boost::asio::async_compose<CompletionToken, void(ErrorCode)>(Connect{state_, endpoint}, token,
+    return boost::asio::async_compose<CompletionToken, void(ErrorCode)>(ConnectOperation{state_, endpoint}, token,
                                                                         state_->socket);
   }
 
@@ -65,9 +65,9 @@
   struct State : std::enable_shared_from_this<State> {
     explicit State(boost::asio::ip::tcp::socket given);
 
-    void begin(Direction direction);
+    void begin_operation(Direction direction);
     /// What the operation ended with: a timeout if its deadline closed the socket.
-    ErrorCode end(ErrorCode error);
+    ErrorCode end_operation(ErrorCode error);
     void close();
 
     boost::asio::ip::tcp::socket socket;
@@ -76,18 +76,18 @@
     std::optional<std::chrono::steady_clock::time_point> grace_end;
 
    private:
-    void arm(Direction direction, std::chrono::steady_clock::time_point at);
-    void expire(Direction direction);
+    void start_timer(Direction direction, std::chrono::steady_clock::time_point expiry);
+    void on_timer(Direction direction);
     bool is_ready(Direction direction);
 
     boost::asio::steady_timer timer_;
     /// Tells a timer of an earlier operation from the present one's.
-    uint64_t operation_ = 0;
+    uint64_t operation_number_ = 0;
     bool timed_out_ = false;
   };
 
   template <Direction direction, typename Buffers>
-  struct Transfer {
+  struct TransferOperation {
     std::shared_ptr<State> state;
     Buffers buffers;
     bool started = false;
@@ -95,11 +95,11 @@
     template <typename Self>
     void operator()(Self& self, ErrorCode error = {}, size_t count = 0) {
       if (started) {
-        self.complete(state->end(error), count);
+        self.complete(state->end_operation(error), count);
         return;
       }
       started = true;
-      state->begin(direction);
+      state->begin_operation(direction);
       auto& socket = state->socket;
       if constexpr (direction == Direction::kRead) {
         socket.async_read_some(buffers, std::move(self));
@@ -109,7 +109,7 @@
     }
   };
 
-  struct Connect {
+  struct ConnectOperation {
     std::shared_ptr<State> state;
     boost::asio::ip::tcp::endpoint endpoint;
     bool started = false;
@@ -117,11 +117,11 @@
     template <typename Self>
     void operator()(Self& self, ErrorCode error = {}) {
       if (started) {
-        self.complete(state->end(error));
+        self.complete(state->end_operation(error));
         return;
       }
       started = true;
-      state->begin(Direction::kWrite);
+      state->begin_operation(Direction::kWrite);
       auto& socket = state->socket;
       const auto target = endpoint;
       socket.async_connect(target, std::move(self));
--- a/src/node/entry_process.cc
+++ b/src/node/entry_process.cc
@@ -185,8 +185,8 @@
   state_.dispatcher.update_services(parsed.document->services);
   const auto& limits = parsed.document->limits;
   net::HttpServerOptions options;
-  options.largest_head = limits.max_header_bytes;
-  options.largest_body = limits.max_body_bytes;
+  options.head_limit_bytes = limits.max_header_bytes;
+  options.body_limit_bytes = limits.max_body_bytes;
   options.head_timeout = std::chrono::duration_cast<std::chrono::milliseconds>(limits.header_timeout);
   options.idle_timeout = std::chrono::duration_cast<std::chrono::milliseconds>(limits.idle_timeout);
   // A caller that reads nothing for this long is treated as disconnected.
@@ -257,7 +257,7 @@
   co_await timer.async_wait(kAwaitWithError);
   caller_server_.stop_accepting();
   while (caller_server_.stats().open_connections > 0 && monotonic_now() < deadline) {
-    caller_server_.close_idle(kIdleBeforeClose);
+    caller_server_.close_idle_connections(kIdleBeforeClose);
     timer.expires_after(kTickInterval);
     co_await timer.async_wait(kAwaitWithError);
   }
--- a/src/node/metrics.cc
+++ b/src/node/metrics.cc
@@ -70,9 +70,10 @@
   metrics.add_counter("claims_refused_total", "Idempotency keys refused", stats.claims_refused);
   metrics.add_counter("answers_replayed_total", "Stored responses replayed", stats.replayed_responses);
   metrics.add_gauge("requests_active", "Requests being served", static_cast<double>(caller_api.active_requests()));
-  metrics.add_counter("http_malformed_total", "Malformed HTTP requests", server_stats.malformed);
-  metrics.add_counter("http_too_large_total", "Requests over a size limit", server_stats.too_large);
-  metrics.add_counter("http_timeouts_total", "Requests not received completely in time", server_stats.timeouts);
+  metrics.add_counter("http_malformed_total", "Malformed HTTP requests", server_stats.malformed_requests);
+  metrics.add_counter("http_too_large_total", "Requests over a size limit", server_stats.oversized_requests);
+  metrics.add_counter("http_timeouts_total", "Requests not received completely in time",
+                      server_stats.timed_out_requests);
   metrics.add_gauge("http_connections", "Open connections from callers",
                     static_cast<double>(server_stats.open_connections));
 }
--- a/src/node/model_request_handler.cc
+++ b/src/node/model_request_handler.cc
@@ -102,7 +102,7 @@
                         std::to_string(next_request_number_++);
   retry_budget_.request_started(context->model_request.tenant);
   const std::weak_ptr<RequestContext> weak_context = context;
-  exchange.watch_caller([weak_context] {
+  exchange.notify_on_disconnect([weak_context] {
     if (const auto locked_context = weak_context.lock()) {
       locked_context->caller_disconnected = true;
       if (locked_context->upstream_stream != nullptr) {
@@ -239,7 +239,7 @@
   // zones may have changed.
   net::OpenOptions options;
   options.timeout = limits.first_byte_timeout;
-  options.fresh_connection = true;
+  options.require_new_connection = true;
   options.may_send = [&router, &context, id = group.id, epoch = group.epoch, zone = group.zone] {
     const auto* tenant = router.table().find_tenant(context.model_request.tenant);
     return router.may_dispatch(NodeRuntime::now(), id, epoch) && tenant != nullptr && tenant->permits_zone(zone) &&
--- a/src/node/node_process.cc
+++ b/src/node/node_process.cc
@@ -13,9 +13,9 @@
 
 net::HttpServerOptions server_options(const settings::RequestSettings& requests) {
   net::HttpServerOptions options;
-  options.largest_body = requests.largest_body;
-  options.largest_head = requests.largest_head;
-  options.most_connections = requests.most_connections;
+  options.body_limit_bytes = requests.largest_body;
+  options.head_limit_bytes = requests.largest_head;
+  options.max_connections = requests.most_connections;
   return options;
 }
 
--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -92,7 +92,7 @@
     log_event(settings_.name, "replica_identity_assigned", {{"replica", std::to_string(folder->replica_id().value())}});
   }
   const ReplicaId id = folder->replica_id();
-  controller_->start_replica(now(), id, folder->take_recovered());
+  controller_->start_replica(now(), id, folder->take_recovered_state());
   start_worker(std::move(folder));
   return true;
 }
@@ -350,7 +350,7 @@
   // Send only while this node leads with a valid lease; engines that do not check fencing tokens depend on this.
   net::OpenOptions options;
   options.timeout = kOrderTimeout;
-  options.fresh_connection = true;
+  options.require_new_connection = true;
   options.may_send = [this, alive] { return *alive && controller_->acts_as_leader(now()); };
   auto opened = co_await client_.open(order.endpoint, request, options);
   if (!*alive) {
--- a/src/node/replica_storage.cc
+++ b/src/node/replica_storage.cc
@@ -72,8 +72,8 @@
       return std::nullopt;
     }
   } else {
-    opened.persisted = folder->take_recovered();
-    opened.state_copy = folder->read_copy();
+    opened.persisted = folder->take_recovered_state();
+    opened.state_copy = folder->read_state_copy();
   }
   opened.replica_id = folder->replica_id();
   if (opened.holds_log()) {
--- a/src/node/request_relay.cc
+++ b/src/node/request_relay.cc
@@ -62,7 +62,7 @@
   request.received_at = monotonic_now();
   ++state_.counters.requests;
   state_.traffic_seen = true;
-  exchange.watch_caller([&request] {
+  exchange.notify_on_disconnect([&request] {
     request.caller_disconnected = true;
     if (request.cancellation) {
       request.cancellation->cancel();
@@ -343,8 +343,9 @@
     }
     co_return DispatchResult::kNotRun;
   }
-  request.cancellation->set_action([stream = opened.stream.get()] { stream->close(); });
-  const ScopeExit clear_cancellation([cancellation = request.cancellation] { cancellation->set_action(nullptr); });
+  request.cancellation->set_cancel_callback([stream = opened.stream.get()] { stream->close(); });
+  const ScopeExit clear_cancellation(
+      [cancellation = request.cancellation] { cancellation->set_cancel_callback(nullptr); });
   const bool is_stream = request.route->repeatability == document::Repeatability::kStreaming && is_success(head.status);
   if (is_stream) {
     co_return co_await relay_events(request, target, *opened.stream);
--- a/src/node/service_request_handler.cc
+++ b/src/node/service_request_handler.cc
@@ -76,7 +76,7 @@
   context.is_repeatable = parse_repeat_header(request).value_or(is_read_only(request.method));
   context.forwarded = without_hop_by_hop(request);
   context.options.timeout = runtime_.settings().requests.first_byte_timeout;
-  context.options.fresh_connection = !context.is_repeatable;
+  context.options.require_new_connection = !context.is_repeatable;
   context.options.may_send = [&entry] { return entry.has_configuration_lease(NodeRuntime::now()); };
   context.key_claim.tenant = "service/" + context.service.name;
   context.key_claim.key = std::string(request.headers.find("idempotency-key"));
--- a/src/node/storage_worker.cc
+++ b/src/node/storage_worker.cc
@@ -82,7 +82,7 @@
       return;
     }
     if (copy) {
-      folder_->save_copy(*copy);  // A lost copy only makes the next start slower.
+      folder_->save_state_copy(*copy);  // A lost copy only makes the next start slower.
     }
   }
 }
--- a/src/settings/fleet_settings.cc
+++ b/src/settings/fleet_settings.cc
@@ -144,7 +144,7 @@
   settings.options.raft.heartbeat_interval = kLogHeartbeat;
   settings.options.raft.election_timeout_min = kElectionTimeout;
   settings.options.raft.election_timeout_max = kElectionTimeout + kElectionTimeout / 2;
-  settings.options.raft.restart_check = kElectionTimeout + kElectionTimeout / 5;
+  settings.options.raft.restart_check_timeout = kElectionTimeout + kElectionTimeout / 5;
   return errors.size() > faults_before ? std::nullopt : std::optional(std::move(settings));
 }
 
--- a/src/settings/node_settings.cc
+++ b/src/settings/node_settings.cc
@@ -86,7 +86,7 @@
   raft.heartbeat_interval = to_duration(reader.integer("heartbeat_ms", 100, 10, 10'000));
   raft.election_timeout_min = to_duration(reader.integer("election_timeout_min_ms", 1000, 50, kMinute));
   raft.election_timeout_max = to_duration(reader.integer("election_timeout_max_ms", 1700, 60, 2 * kMinute));
-  raft.restart_check = raft.election_timeout_min + raft.election_timeout_min / 5;
+  raft.restart_check_timeout = raft.election_timeout_min + raft.election_timeout_min / 5;
   if (raft.election_timeout_max <= raft.election_timeout_min) {
     reader.fault("election_timeout_max_ms", std::to_string(raft.election_timeout_max.count() / 1000),
                  "must exceed election_timeout_min_ms, else candidates collide; raise it");
--- a/src/storage/data_folder.cc
+++ b/src/storage/data_folder.cc
@@ -21,10 +21,10 @@
 namespace fs = std::filesystem;
 
 constexpr const char* kIdentityFile = "identity";
-constexpr const char* kCopyFile = "copy";
+constexpr const char* kStateCopyFile = "copy";
 constexpr const char* kSnapshotPrefix = "snapshot-";
 constexpr const char* kSegmentPrefix = "log-";
-constexpr size_t kChecksumSize = 16;
+constexpr size_t kChecksumDigits = 16;
 
 StorageError make_error(StorageErrorKind kind, std::string message) { return StorageError{kind, std::move(message)}; }
 
@@ -35,22 +35,23 @@
   return content.str();
 }
 
-std::string with_checksum(std::string_view content) {
-  char digest[kChecksumSize + 1];
+std::string prepend_checksum(std::string_view content) {
+  char digest[kChecksumDigits + 1];
   std::snprintf(digest, sizeof(digest), "%016llx",
                 static_cast<unsigned long long>(XXH3_64bits(content.data(), content.size())));
-  return std::string(digest, kChecksumSize) + std::string(content);
+  return std::string(digest, kChecksumDigits) + std::string(content);
 }
 
-std::optional<std::string> without_checksum(const std::string& content) {
-  if (content.size() < kChecksumSize || with_checksum(std::string_view(content).substr(kChecksumSize)) != content) {
+std::optional<std::string> verify_and_strip_checksum(const std::string& content) {
+  if (content.size() < kChecksumDigits ||
+      prepend_checksum(std::string_view(content).substr(kChecksumDigits)) != content) {
     return std::nullopt;
   }
-  return content.substr(kChecksumSize);
+  return content.substr(kChecksumDigits);
 }
 
 /// Numbers of the files called `prefix`NUMBER, ascending.
-std::vector<uint64_t> numbered_files(const fs::path& folder, std::string_view prefix) {
+std::vector<uint64_t> list_numbered_files(const fs::path& folder, std::string_view prefix) {
   std::vector<uint64_t> numbers;
   for (const auto& item : fs::directory_iterator(folder)) {
     const std::string name = item.path().filename().string();
@@ -112,7 +113,7 @@
     return nullptr;
   }
   std::unique_ptr<DataFolder> folder(new DataFolder(path, file_system));
-  auto failure = folder->lock();
+  auto failure = folder->acquire_lock();
   if (!failure) {
     failure = folder->recover();
   }
@@ -123,7 +124,7 @@
   return folder;
 }
 
-std::optional<StorageError> DataFolder::lock() {
+std::optional<StorageError> DataFolder::acquire_lock() {
   lock_descriptor_ = ::open((path_ / "lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (lock_descriptor_ < 0) {
     return make_error(StorageErrorKind::kCannotOpen,
@@ -146,7 +147,7 @@
   if (auto error = recover_snapshot()) {
     return error;
   }
-  const auto segments = numbered_files(path_, kSegmentPrefix);
+  const auto segments = list_numbered_files(path_, kSegmentPrefix);
   for (size_t position = 0; position < segments.size(); ++position) {
     if (position > 0 && segments[position] != segments[position - 1] + 1) {
       return make_error(StorageErrorKind::kMissingSegment,
@@ -170,7 +171,7 @@
   if (!fs::exists(file)) {
     return std::nullopt;
   }
-  const auto content = without_checksum(read_file(file));
+  const auto content = verify_and_strip_checksum(read_file(file));
   if (!content) {
     return make_error(StorageErrorKind::kCorruptRecord, "identity file in " + path_.string() +
                                                             " is damaged; move the folder away and restart: the " +
@@ -181,12 +182,13 @@
 }
 
 std::optional<StorageError> DataFolder::recover_snapshot() {
-  const auto snapshots = numbered_files(path_, kSnapshotPrefix);
+  const auto snapshots = list_numbered_files(path_, kSnapshotPrefix);
   if (snapshots.empty()) {
     return std::nullopt;
   }
   // Older snapshots are no substitute: the log behind the newest one may be gone already.
-  const auto content = without_checksum(read_file(path_ / (kSnapshotPrefix + std::to_string(snapshots.back()))));
+  const auto content =
+      verify_and_strip_checksum(read_file(path_ / (kSnapshotPrefix + std::to_string(snapshots.back()))));
   const auto stored = content ? wire::decode<wire::SnapshotRequest>(*content) : std::nullopt;
   if (!stored) {
     return make_error(StorageErrorKind::kCorruptSnapshot,
@@ -207,7 +209,7 @@
     if (!record) {
       break;
     }
-    if (auto error = apply_record(*record, number)) {
+    if (auto error = replay_record(*record, number)) {
       return error;
     }
     offset += record->size_on_disk;
@@ -217,17 +219,17 @@
   }
   // A later intact record that was written after `offset` had been synced proves that the damage is no unfinished
   // write: the replica may have acknowledged what is gone, so it must not take part.
-  bool acknowledged = !is_last;
-  for (uint64_t probe = offset + 1; probe < file.size() && !acknowledged; ++probe) {
-    const auto record = decode_record(file, probe);
-    acknowledged = record && record->synced_before > offset;
+  bool may_be_acknowledged = !is_last;
+  for (uint64_t later_offset = offset + 1; later_offset < file.size() && !may_be_acknowledged; ++later_offset) {
+    const auto record = decode_record(file, later_offset);
+    may_be_acknowledged = record && record->synced_before > offset;
   }
-  if (acknowledged) {
+  if (may_be_acknowledged) {
     return make_error(StorageErrorKind::kCorruptRecord,
                       "record at byte " + std::to_string(offset) + " of " + segment_path(number).string() +
                           " is damaged; move the folder away and restart: the replica returns under a new identity");
   }
-  ++stats_.torn_tails_cut;
+  ++stats_.torn_tails_truncated;
   std::error_code code;
   fs::resize_file(segment_path(number), offset, code);
   if (code) {
@@ -237,8 +239,8 @@
   return std::nullopt;
 }
 
-std::optional<StorageError> DataFolder::apply_record(const StoredRecord& record, uint64_t segment) {
-  const auto damaged = [this, segment] {
+std::optional<StorageError> DataFolder::replay_record(const StoredRecord& record, uint64_t segment) {
+  const auto make_corrupt_record_error = [this, segment] {
     return make_error(StorageErrorKind::kCorruptRecord,
                       "unreadable record in " + segment_path(segment).string() +
                           "; move the folder away and restart: the replica returns under a new identity");
@@ -250,14 +252,14 @@
   if (record.type == RecordType::kHardState) {
     const auto state = wire::decode<wire::HardState>(record.payload);
     if (!state) {
-      return damaged();
+      return make_corrupt_record_error();
     }
     recovered_.hard_state = *state;
     return std::nullopt;
   }
   auto entry = wire::decode<wire::LogEntry>(record.payload);
   if (!entry) {
-    return damaged();
+    return make_corrupt_record_error();
   }
   last_entry_of_segment_[segment] = std::max(last_entry_of_segment_[segment], entry->index);
   auto& entries = recovered_.entries;
@@ -266,7 +268,7 @@
   }
   const int64_t expected = entries.empty() ? recovered_.snapshot.index + 1 : entries.back().index + 1;
   if (entry->index > expected) {
-    return damaged();
+    return make_corrupt_record_error();
   }
   if (entry->index == expected) {
     entries.push_back(std::move(*entry));
@@ -294,22 +296,22 @@
   // Every segment begins with the hard state, so that older ones can be removed.
   std::string bytes;
   encode_record(bytes, 0, RecordType::kHardState, 0, wire::encode(hard_state_));
-  if (auto error = flush(bytes)) {
+  if (auto error = append_and_sync(bytes)) {
     return error;
   }
   return sync_folder();
 }
 
 std::optional<StorageError> DataFolder::write(const std::vector<const consensus::RaftOutput*>& batch) {
-  if (fatal_) {
-    return fatal_;
+  if (fatal_error_) {
+    return fatal_error_;
   }
   ++stats_.batches;
   std::string bytes;
   for (const auto* output : batch) {
     if (output->snapshot) {
       // What came before belongs to the old segment; the snapshot then opens a new one.
-      std::optional<StorageError> error = bytes.empty() ? std::nullopt : flush(bytes);
+      std::optional<StorageError> error = bytes.empty() ? std::nullopt : append_and_sync(bytes);
       bytes.clear();
       if (!error) {
         error = write_snapshot(*output->snapshot);
@@ -334,13 +336,13 @@
   if (bytes.empty()) {
     return std::nullopt;
   }
-  if (auto error = flush(bytes)) {
+  if (auto error = append_and_sync(bytes)) {
     return error;
   }
-  return segment_offset_ >= kSegmentSize ? start_segment(segment_number_ + 1) : std::nullopt;
+  return segment_offset_ >= kSegmentRotationBytes ? start_segment(segment_number_ + 1) : std::nullopt;
 }
 
-std::optional<StorageError> DataFolder::flush(std::string_view bytes) {
+std::optional<StorageError> DataFolder::append_and_sync(std::string_view bytes) {
   size_t written = 0;
   while (written < bytes.size()) {
     const ssize_t count = file_system_.write(segment_descriptor_, bytes.data() + written, bytes.size() - written);
@@ -348,14 +350,14 @@
       continue;
     }
     if (count <= 0) {
-      const bool full = errno == ENOSPC || errno == EDQUOT;
+      const bool disk_full = errno == ENOSPC || errno == EDQUOT;
       // The half-written batch must not be read back as a record, nor must the next one follow a gap.
-      const bool cut = ::ftruncate(segment_descriptor_, static_cast<off_t>(segment_offset_)) == 0;
-      auto error = make_error(full ? StorageErrorKind::kDiskFull : StorageErrorKind::kWriteFailed,
+      const bool truncated = ::ftruncate(segment_descriptor_, static_cast<off_t>(segment_offset_)) == 0;
+      auto error = make_error(disk_full ? StorageErrorKind::kDiskFull : StorageErrorKind::kWriteFailed,
                               "cannot append to " + segment_path(segment_number_).string() + ": " +
                                   std::strerror(errno) + "; free space on the data disk, then restart the node");
-      if (!cut || !full) {
-        fatal_ = error;
+      if (!truncated || !disk_full) {
+        fatal_error_ = error;
       }
       return error;
     }
@@ -370,13 +372,13 @@
   return std::nullopt;
 }
 
-std::optional<StorageError> DataFolder::sync_descriptor(int descriptor, const std::string& what) {
+std::optional<StorageError> DataFolder::sync_descriptor(int descriptor, const std::string& file_name) {
   ++stats_.syncs;
   if (file_system_.sync(descriptor) != 0) {
-    fatal_ = make_error(StorageErrorKind::kSyncFailed,
-                        "cannot sync " + what + ": " + std::strerror(errno) +
-                            "; check the disk; the replica stays out until the node is restarted");
-    return fatal_;
+    fatal_error_ = make_error(StorageErrorKind::kSyncFailed,
+                              "cannot sync " + file_name + ": " + std::strerror(errno) +
+                                  "; check the disk; the replica stays out until the node is restarted");
+    return fatal_error_;
   }
   return std::nullopt;
 }
@@ -384,12 +386,13 @@
 std::optional<StorageError> DataFolder::sync_folder() {
   const int descriptor = ::open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (descriptor < 0 || ::fsync(descriptor) != 0) {
-    fatal_ = make_error(StorageErrorKind::kSyncFailed, "cannot sync folder " + path_.string() + "; check the disk");
+    fatal_error_ =
+        make_error(StorageErrorKind::kSyncFailed, "cannot sync folder " + path_.string() + "; check the disk");
   }
   if (descriptor >= 0) {
     ::close(descriptor);
   }
-  return fatal_;
+  return fatal_error_;
 }
 
 std::optional<StorageError> DataFolder::write_file_atomically(const fs::path& target, std::string_view content) {
@@ -431,7 +434,7 @@
   stored.header = snapshot.header;
   stored.state = snapshot.state;
   const fs::path target = path_ / (kSnapshotPrefix + std::to_string(snapshot.header.index));
-  if (auto error = write_file_atomically(target, with_checksum(wire::encode(stored)))) {
+  if (auto error = write_file_atomically(target, prepend_checksum(wire::encode(stored)))) {
     return error;
   }
   ++stats_.snapshots;
@@ -444,7 +447,7 @@
     // entries that this replica has acknowledged. Stale entries behind it are recognised by their term instead.
     std::string bytes;
     encode_record(bytes, segment_offset_, RecordType::kReset, synced_offset_, "");
-    if (auto error = flush(bytes)) {
+    if (auto error = append_and_sync(bytes)) {
       return error;
     }
   }
@@ -452,26 +455,26 @@
   return std::nullopt;
 }
 
-std::optional<StorageError> DataFolder::save_copy(std::string_view content) {
-  return write_file_atomically(path_ / kCopyFile, with_checksum(content));
+std::optional<StorageError> DataFolder::save_state_copy(std::string_view content) {
+  return write_file_atomically(path_ / kStateCopyFile, prepend_checksum(content));
 }
 
-std::string DataFolder::read_copy() const {
-  const fs::path file = path_ / kCopyFile;
-  return fs::exists(file) ? without_checksum(read_file(file)).value_or("") : "";
+std::string DataFolder::read_state_copy() const {
+  const fs::path file = path_ / kStateCopyFile;
+  return fs::exists(file) ? verify_and_strip_checksum(read_file(file)).value_or("") : "";
 }
 
 void DataFolder::remove_obsolete_files() {
   std::error_code code;
-  for (const uint64_t number : numbered_files(path_, kSegmentPrefix)) {
-    const bool covered = number < segment_number_ && last_entry_of_segment_[number] <= snapshot_index_;
-    if (!covered) {
+  for (const uint64_t number : list_numbered_files(path_, kSegmentPrefix)) {
+    const bool covered_by_snapshot = number < segment_number_ && last_entry_of_segment_[number] <= snapshot_index_;
+    if (!covered_by_snapshot) {
       break;
     }
     fs::remove(segment_path(number), code);
     last_entry_of_segment_.erase(number);
   }
-  for (const uint64_t number : numbered_files(path_, kSnapshotPrefix)) {
+  for (const uint64_t number : list_numbered_files(path_, kSnapshotPrefix)) {
     if (static_cast<int64_t>(number) < snapshot_index_) {
       fs::remove(path_ / (kSnapshotPrefix + std::to_string(number)), code);
     }
@@ -485,7 +488,7 @@
     std::error_code code;
     fs::create_directories(retired, code);
     for (const char* prefix : {kSegmentPrefix, kSnapshotPrefix}) {
-      for (const uint64_t number : numbered_files(path_, prefix)) {
+      for (const uint64_t number : list_numbered_files(path_, prefix)) {
         const std::string name = prefix + std::to_string(number);
         fs::rename(path_ / name, retired / name, code);
       }
@@ -498,7 +501,7 @@
       return error;
     }
   }
-  if (auto error = write_file_atomically(path_ / kIdentityFile, with_checksum(std::to_string(replica_id.value())))) {
+  if (auto error = write_file_atomically(path_ / kIdentityFile, prepend_checksum(std::to_string(replica_id.value())))) {
     return error;
   }
   replica_id_ = replica_id;
--- a/src/storage/data_folder.h
+++ b/src/storage/data_folder.h
@@ -22,7 +22,7 @@
   uint64_t bytes = 0;
   uint64_t syncs = 0;
   uint64_t snapshots = 0;
-  uint64_t torn_tails_cut = 0;
+  uint64_t torn_tails_truncated = 0;
 };
 
 /// The durable state of one control replica: an identity, a segmented log with checksums and the newest snapshot,
@@ -36,7 +36,7 @@
 /// Thread rules: one thread at a time; blocks on the disk.
 class DataFolder {
  public:
-  static constexpr uint64_t kSegmentSize = 8U << 20U;
+  static constexpr uint64_t kSegmentRotationBytes = 8U << 20U;
 
   /// Opens `path`, creating it when absent, and recovers its content. On failure returns null and fills `error`.
   /// `file_system` must outlive the folder.
@@ -51,31 +51,31 @@
   /// Gives a fresh folder its identity, synced. Old content under another identity is set aside first.
   std::optional<StorageError> assign_identity(ReplicaId replica_id);
   /// What recovery found; moves it out, so call once.
-  consensus::PersistedState take_recovered() { return std::move(recovered_); }
+  consensus::PersistedState take_recovered_state() { return std::move(recovered_); }
 
   /// Writes a batch and syncs it once. Several outputs may share one sync: group commit.
   std::optional<StorageError> write(const std::vector<const consensus::RaftOutput*>& batch);
   /// Keeps `content` as it is, replacing what was kept before; it survives a restart whole or not at all. For state
   /// that is only a convenience: a failure here says nothing about the log.
-  std::optional<StorageError> save_copy(std::string_view content);
-  /// What `save_copy` kept last; empty when there is none.
-  std::string read_copy() const;
+  std::optional<StorageError> save_state_copy(std::string_view content);
+  /// What `save_state_copy` kept last; empty when there is none.
+  std::string read_state_copy() const;
   const StorageStats& stats() const { return stats_; }
 
  private:
   DataFolder(std::filesystem::path path, FileSystem& file_system);
 
-  std::optional<StorageError> lock();
+  std::optional<StorageError> acquire_lock();
   std::optional<StorageError> recover();
   std::optional<StorageError> read_identity();
   std::optional<StorageError> recover_snapshot();
   std::optional<StorageError> recover_segment(uint64_t number, bool is_last);
-  std::optional<StorageError> apply_record(const StoredRecord& record, uint64_t segment);
+  std::optional<StorageError> replay_record(const StoredRecord& record, uint64_t segment);
   std::optional<StorageError> start_segment(uint64_t number);
   std::optional<StorageError> write_snapshot(const consensus::Snapshot& snapshot);
   std::optional<StorageError> write_file_atomically(const std::filesystem::path& target, std::string_view content);
-  std::optional<StorageError> flush(std::string_view bytes);
-  std::optional<StorageError> sync_descriptor(int descriptor, const std::string& what);
+  std::optional<StorageError> append_and_sync(std::string_view bytes);
+  std::optional<StorageError> sync_descriptor(int descriptor, const std::string& file_name);
   std::optional<StorageError> sync_folder();
   void remove_obsolete_files();
   std::filesystem::path segment_path(uint64_t number) const;
@@ -92,7 +92,7 @@
   wire::HardState hard_state_;
   ReplicaId replica_id_;
   consensus::PersistedState recovered_;
-  std::optional<StorageError> fatal_;
+  std::optional<StorageError> fatal_error_;
   StorageStats stats_;
 };
 
--- a/src/storage/record_format.h
+++ b/src/storage/record_format.h
@@ -20,16 +20,16 @@
   RecordType type = RecordType::kEntry;
   /// File offset known to be synced when this record was written. A damaged record before that offset had been
   /// acknowledged (corruption); one at or after it may be an unfinished write (torn tail).
-  uint64_t synced_before = 0;
+  uint64_t synced_offset = 0;
   std::string_view payload;
   size_t size_on_disk = 0;
 };
 
-constexpr size_t kRecordHeaderSize = 4 + 1 + 8 + 8;
-constexpr uint32_t kMaximumRecordPayload = 64U << 20U;
+constexpr size_t kRecordHeaderBytes = 4 + 1 + 8 + 8;
+constexpr uint32_t kMaxRecordPayloadBytes = 64U << 20U;
 
 /// Appends the encoded record, which will stand at `offset` of its file, to `out`.
-void encode_record(std::string& out, uint64_t offset, RecordType type, uint64_t synced_before,
+void encode_record(std::string& out, uint64_t offset, RecordType type, uint64_t synced_offset,
                    std::string_view payload);
 
 /// Decodes the record at `offset` of `file`; nothing when it is incomplete or its checksum fails.
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -14,8 +14,8 @@
 using apache::thrift::protocol::TCompactProtocolT;
 using apache::thrift::transport::TMemoryBuffer;
 
-constexpr int kMaximumDepth = 32;
-constexpr int kMinimumMessageSize = 64;
+constexpr int kMaxNestingDepth = 32;
+constexpr int kMinMessageLimitBytes = 64;
 
 }  // namespace
 
@@ -30,13 +30,14 @@
 template <typename Message>
 std::optional<Message> decode(std::string_view bytes) {
   try {
-    const int limit = std::max<int>(kMinimumMessageSize, static_cast<int>(bytes.size()) + kMinimumMessageSize);
-    auto configuration = std::make_shared<TConfiguration>(limit, limit, kMaximumDepth);
+    const int max_message_bytes =
+        std::max<int>(kMinMessageLimitBytes, static_cast<int>(bytes.size()) + kMinMessageLimitBytes);
+    auto configuration = std::make_shared<TConfiguration>(max_message_bytes, max_message_bytes, kMaxNestingDepth);
     // The buffer only observes the bytes: TMemoryBuffer never writes under the OBSERVE policy.
     auto* data = reinterpret_cast<uint8_t*>(const_cast<char*>(bytes.data()));
     auto buffer = std::make_shared<TMemoryBuffer>(data, static_cast<uint32_t>(bytes.size()), TMemoryBuffer::OBSERVE,
                                                   configuration);
-    TCompactProtocolT<TMemoryBuffer> protocol(buffer, limit, limit);
+    TCompactProtocolT<TMemoryBuffer> protocol(buffer, max_message_bytes, max_message_bytes);
     Message message;
     message.read(&protocol);
     return message;
--- a/tests/node/http_test.cc
+++ b/tests/node/http_test.cc
@@ -14,7 +14,7 @@
 
 namespace asio = boost::asio;
 
-class Echo : public HttpHandler {
+class OkHandler : public HttpHandler {
  public:
   asio::awaitable<void> handle(HttpExchange& exchange) override {
     ++requests;
@@ -26,10 +26,10 @@
 };
 
 /// Sends raw bytes to a server and returns everything it answers until it closes.
-std::string raw_exchange(const std::string& bytes) {
+std::string send_raw_request(const std::string& bytes) {
   asio::io_context context(1);
-  Echo echo;
-  HttpServer server(context.get_executor(), HttpServerOptions(), echo);
+  OkHandler ok_handler;
+  HttpServer server(context.get_executor(), HttpServerOptions(), ok_handler);
   std::string error;
   const auto port = server.listen("127.0.0.1", 0, error);
   asio::ip::tcp::socket socket(context);
@@ -41,25 +41,26 @@
   return answer;
 }
 
-TEST(HttpServer, RefusesHeadsThatServersMayReadDifferently) {
-  EXPECT_TRUE(raw_exchange("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").starts_with("HTTP/1.1 200"));
-  EXPECT_NE(raw_exchange("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n").find(" 400 "),
-            std::string::npos);
-  EXPECT_NE(raw_exchange("GET / HTTP/1.1\r\nHost: a\r\nX: 1\r\n 2\r\n\r\n").find(" 400 "), std::string::npos);
-  EXPECT_NE(raw_exchange("GET / HTTP/1.1\r\nX: 1\r\n\r\n").find(" 400 "), std::string::npos);
-  EXPECT_NE(raw_exchange("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n").find(" 400 "), std::string::npos);
+TEST(HttpServer, RejectsAmbiguousHeads) {
+  EXPECT_TRUE(send_raw_request("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").starts_with("HTTP/1.1 200"));
+  EXPECT_NE(
+      send_raw_request("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\n").find(" 400 "),
+      std::string::npos);
+  EXPECT_NE(send_raw_request("GET / HTTP/1.1\r\nHost: a\r\nX: 1\r\n 2\r\n\r\n").find(" 400 "), std::string::npos);
+  EXPECT_NE(send_raw_request("GET / HTTP/1.1\r\nX: 1\r\n\r\n").find(" 400 "), std::string::npos);
+  EXPECT_NE(send_raw_request("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n").find(" 400 "), std::string::npos);
   EXPECT_NE(
-      raw_exchange("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+      send_raw_request("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
           .find(" 400 "),
       std::string::npos);
-  EXPECT_NE(raw_exchange("GET / HTTP/1.1\r\nHost: a\r\nX: " + std::string(20'000, 'x') + "\r\n\r\n").find(" 413 "),
+  EXPECT_NE(send_raw_request("GET / HTTP/1.1\r\nHost: a\r\nX: " + std::string(20'000, 'x') + "\r\n\r\n").find(" 413 "),
             std::string::npos);
 }
 
-TEST(HttpServer, ClosesRestingConnectionsWhenAsked) {
+TEST(HttpServer, ClosesIdleConnectionsOnRequest) {
   asio::io_context context(1);
-  Echo echo;
-  HttpServer server(context.get_executor(), HttpServerOptions(), echo);
+  OkHandler ok_handler;
+  HttpServer server(context.get_executor(), HttpServerOptions(), ok_handler);
   std::string error;
   const auto port = server.listen("127.0.0.1", 0, error);
   asio::ip::tcp::socket socket(context);
@@ -72,24 +73,24 @@
   });
   context.run_for(std::chrono::milliseconds(100));
   EXPECT_FALSE(closed);
-  server.close_idle();
+  server.close_idle_connections();
   context.restart();
   context.run_for(std::chrono::seconds(5));
   EXPECT_TRUE(closed);
 }
 
 /// Answers after a while: whole, or as a stream whose head goes out at once.
-class SlowAnswers : public HttpHandler {
+class DelayedResponseHandler : public HttpHandler {
  public:
-  explicit SlowAnswers(bool streams) : streams_(streams) {}
+  explicit DelayedResponseHandler(bool use_stream) : use_stream_(use_stream) {}
   asio::awaitable<void> handle(HttpExchange& exchange) override {
     HttpResponse response;
-    if (streams_) {
+    if (use_stream_) {
       co_await exchange.begin_stream(response);
     }
     asio::steady_timer timer(co_await asio::this_coro::executor, std::chrono::milliseconds(100));
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    if (streams_) {
+    if (use_stream_) {
       co_await exchange.write_piece("piece");
       co_await exchange.end_stream();
       co_return;
@@ -99,14 +100,14 @@
   }
 
  private:
-  bool streams_;
+  bool use_stream_;
 };
 
 /// Sends a request, lets the server drain while it is answered, and then another on the same connection. All that was
 /// answered until the server closed it.
-std::string answers_around_draining(bool streams) {
+std::string responses_around_drain(bool use_stream) {
   asio::io_context context(1);
-  SlowAnswers handler(streams);
+  DelayedResponseHandler handler(use_stream);
   HttpServer server(context.get_executor(), HttpServerOptions(), handler);
   std::string error;
   const auto port = server.listen("127.0.0.1", 0, error);
@@ -114,14 +115,14 @@
   socket.connect({asio::ip::make_address("127.0.0.1"), *port});
   const std::string request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
   asio::write(socket, asio::buffer(request));
-  asio::steady_timer drain(context, std::chrono::milliseconds(50));
-  drain.async_wait([&server](boost::system::error_code) { server.begin_draining(); });
+  asio::steady_timer drain_timer(context, std::chrono::milliseconds(50));
+  drain_timer.async_wait([&server](boost::system::error_code) { server.begin_draining(); });
   std::string answers;
   asio::async_read(socket, asio::dynamic_buffer(answers),
                    [&context](boost::system::error_code, size_t) { context.stop(); });
   context.run_for(std::chrono::milliseconds(400));
-  const bool is_told = answers.find("Connection: close") != std::string::npos;
-  if (!is_told && !context.stopped()) {
+  const bool close_announced = answers.find("Connection: close") != std::string::npos;
+  if (!close_announced && !context.stopped()) {
     boost::system::error_code closed;
     asio::write(socket, asio::buffer(request), closed);
     context.run_for(std::chrono::seconds(5));
@@ -129,7 +130,7 @@
   return answers;
 }
 
-size_t count_of(const std::string& text, const std::string& part) {
+size_t count_occurrences(const std::string& text, const std::string& part) {
   size_t count = 0;
   for (size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) {
     ++count;
@@ -139,21 +140,23 @@
 
 // A caller's next request crossed the close of a connection that it was not told of: 9 of 12 kept connections were
 // closed so when their entries stopped. A request that may not run twice cannot be sent again then.
-TEST(HttpServer, ClosesNoKeptConnectionWithoutSayingSo) {
-  const auto whole = answers_around_draining(false);
-  EXPECT_EQ(count_of(whole, "HTTP/1.1 200"), 1U);
-  EXPECT_EQ(count_of(whole, "Connection: close"), 1U) << "its head was written when the server drained already";
-  const auto streams = answers_around_draining(true);
-  EXPECT_EQ(count_of(streams, "HTTP/1.1 200"), 2U) << "the first head went out before: one more request is served";
-  EXPECT_EQ(count_of(streams, "Connection: close"), 1U);
+TEST(HttpServer, AnnouncesConnectionCloseWhileDraining) {
+  const auto whole = responses_around_drain(false);
+  EXPECT_EQ(count_occurrences(whole, "HTTP/1.1 200"), 1U);
+  EXPECT_EQ(count_occurrences(whole, "Connection: close"), 1U)
+      << "its head was written when the server drained already";
+  const auto use_stream = responses_around_drain(true);
+  EXPECT_EQ(count_occurrences(use_stream, "HTTP/1.1 200"), 2U)
+      << "the first head went out before: one more request is served";
+  EXPECT_EQ(count_occurrences(use_stream, "Connection: close"), 1U);
 }
 
 /// A cancellation outlives the attempt to connect: it must not touch the connection that was given up.
-TEST(HttpClient, ACancellationAfterAFailedConnectTouchesNothing) {
+TEST(HttpClient, CancelAfterFailedConnectIsHarmless) {
   asio::io_context context(1);
-  asio::ip::tcp::acceptor unused(context, {asio::ip::make_address("127.0.0.1"), 0});
-  const auto endpoint = "127.0.0.1:" + std::to_string(unused.local_endpoint().port());
-  unused.close();
+  asio::ip::tcp::acceptor unused_port_acceptor(context, {asio::ip::make_address("127.0.0.1"), 0});
+  const auto endpoint = "127.0.0.1:" + std::to_string(unused_port_acceptor.local_endpoint().port());
+  unused_port_acceptor.close();
   HttpClient client(context.get_executor());
   OpenOptions options;
   options.cancellation = std::make_shared<Cancellation>();
@@ -172,10 +175,10 @@
   EXPECT_TRUE(done);
 }
 
-TEST(HttpClient, ACancelledRequestEndsAtOnce) {
+TEST(HttpClient, CancelEndsRequestImmediately) {
   asio::io_context context(1);
-  asio::ip::tcp::acceptor silent(context, {asio::ip::make_address("127.0.0.1"), 0});
-  const auto endpoint = "127.0.0.1:" + std::to_string(silent.local_endpoint().port());
+  asio::ip::tcp::acceptor silent_acceptor(context, {asio::ip::make_address("127.0.0.1"), 0});
+  const auto endpoint = "127.0.0.1:" + std::to_string(silent_acceptor.local_endpoint().port());
   HttpClient client(context.get_executor());
   OpenOptions options;
   options.cancellation = std::make_shared<Cancellation>();
@@ -206,7 +209,7 @@
 
   std::string endpoint() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
   /// Takes one connection and answers with `bytes` before it has read anything.
-  void answer_with(const std::string& bytes) {
+  void accept_and_write(const std::string& bytes) {
     acceptor_.async_accept(socket_, [this, bytes](boost::system::error_code error) {
       ASSERT_FALSE(error);
       write(bytes);
@@ -219,14 +222,14 @@
   asio::ip::tcp::socket socket_;
 };
 
-constexpr auto kTimeout = std::chrono::milliseconds(100);
+constexpr auto kShortTimeout = std::chrono::milliseconds(100);
 
 /// Stands still until a timeout set just before is over. `arrival` happens as the first thing afterwards: before the
 /// timeout is judged, and before the sockets are looked at.
-void stand_still(asio::steady_timer& timer, const std::function<void()>& arrival) {
-  timer.expires_after(kTimeout / 2);
-  timer.async_wait([arrival](boost::system::error_code) { arrival(); });
-  std::this_thread::sleep_for(kTimeout * 3 / 2);
+void block_past_timeout(asio::steady_timer& timer, const std::function<void()>& on_resume) {
+  timer.expires_after(kShortTimeout / 2);
+  timer.async_wait([on_resume](boost::system::error_code) { on_resume(); });
+  std::this_thread::sleep_for(kShortTimeout * 3 / 2);
 }
 
 /// Runs a coroutine on the context until it has ended, or for five seconds; false when it has not.
@@ -238,10 +241,10 @@
 }
 
 // A process that stood still closed its streams as too slow although their next events lay in its sockets.
-TEST(HttpClient, ReadsWhatArrivedWhileItsProcessStoodStill) {
+TEST(HttpClient, ReadsBodyThatArrivedDuringProcessPause) {
   asio::io_context context(1);
   ManualServer server(context);
-  server.answer_with("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst");
+  server.accept_and_write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst");
   HttpClient client(context.get_executor());
   const std::string endpoint = server.endpoint();
   const HttpRequest request;
@@ -249,56 +252,57 @@
   asio::steady_timer timer(context);
   std::string body;
   std::string error;
-  const auto read_around_pause = [&]() -> asio::awaitable<void> {
+  const auto read_across_pause = [&]() -> asio::awaitable<void> {
     auto opened = co_await client.open(endpoint, request, options);
-    body = co_await opened.stream->read_some(kTimeout);
-    asio::post(context, [&] { stand_still(timer, [&] { server.write(" rest"); }); });
-    body += co_await opened.stream->read_some(kTimeout);
+    body = co_await opened.stream->read_some(kShortTimeout);
+    asio::post(context, [&] { block_past_timeout(timer, [&] { server.write(" rest"); }); });
+    body += co_await opened.stream->read_some(kShortTimeout);
     error = opened.stream->error();
   };
-  EXPECT_TRUE(run(context, read_around_pause()));
+  EXPECT_TRUE(run(context, read_across_pause()));
   EXPECT_EQ(body, "first rest") << error;
 }
 
 // The same on a connection that is just made: the head of the answer was there.
-TEST(HttpClient, ReadsAHeadThatArrivedWhileItsProcessStoodStill) {
+TEST(HttpClient, ReadsHeadThatArrivedDuringProcessPause) {
   asio::io_context context(1);
   ManualServer server(context);
-  server.answer_with("");
+  server.accept_and_write("");
   HttpClient client(context.get_executor());
   const std::string endpoint = server.endpoint();
   const HttpRequest request;
   OpenOptions options;
-  options.timeout = kTimeout;
+  options.timeout = kShortTimeout;
   asio::steady_timer timer(context);
   options.may_send = [&] {
-    const auto arrival = [&] { server.write("HTTP/1.1 204 No Content\r\n\r\n"); };
-    asio::post(context, [&, arrival] { asio::post(context, [&, arrival] { stand_still(timer, arrival); }); });
+    const auto on_resume = [&] { server.write("HTTP/1.1 204 No Content\r\n\r\n"); };
+    asio::post(context,
+               [&, on_resume] { asio::post(context, [&, on_resume] { block_past_timeout(timer, on_resume); }); });
     return true;
   };
   int status = 0;
   std::string error;
-  const auto open_around_pause = [&]() -> asio::awaitable<void> {
+  const auto open_across_pause = [&]() -> asio::awaitable<void> {
     const auto opened = co_await client.open(endpoint, request, options);
     status = opened.stream == nullptr ? 0 : opened.stream->head().status;
     error = opened.error;
   };
-  EXPECT_TRUE(run(context, open_around_pause()));
+  EXPECT_TRUE(run(context, open_across_pause()));
   EXPECT_EQ(status, 204) << error;
 }
 
-TEST(HttpClient, GivesUpOnAServerThatSendsNothing) {
+TEST(HttpClient, TimesOutWhenServerSendsNothing) {
   asio::io_context context(1);
   ManualServer server(context);
-  server.answer_with("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst");
+  server.accept_and_write("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst");
   HttpClient client(context.get_executor());
   const std::string endpoint = server.endpoint();
   const HttpRequest request;
   const OpenOptions options;
   const auto read_until_timeout = [&]() -> asio::awaitable<void> {
     auto opened = co_await client.open(endpoint, request, options);
-    EXPECT_EQ(co_await opened.stream->read_some(kTimeout), "first");
-    EXPECT_EQ(co_await opened.stream->read_some(kTimeout), "");
+    EXPECT_EQ(co_await opened.stream->read_some(kShortTimeout), "first");
+    EXPECT_EQ(co_await opened.stream->read_some(kShortTimeout), "");
     EXPECT_FALSE(opened.stream->complete());
     EXPECT_FALSE(opened.stream->error().empty());
   };
@@ -306,12 +310,12 @@
 }
 
 // A kept connection was closed as idle although the caller's next request lay in its socket.
-TEST(HttpServer, ServesARequestThatArrivedWhileItsProcessStoodStill) {
+TEST(HttpServer, ServesRequestThatArrivedDuringProcessPause) {
   asio::io_context context(1);
-  Echo echo;
+  OkHandler ok_handler;
   HttpServerOptions options;
-  options.idle_timeout = kTimeout;
-  HttpServer server(context.get_executor(), options, echo);
+  options.idle_timeout = kShortTimeout;
+  HttpServer server(context.get_executor(), options, ok_handler);
   std::string error;
   const auto port = server.listen("127.0.0.1", 0, error);
   asio::ip::tcp::socket socket(context);
@@ -321,10 +325,10 @@
   asio::steady_timer timer(context);
   std::array<char, 4096> answer{};
   socket.async_read_some(asio::buffer(answer), [&](boost::system::error_code, size_t) {
-    stand_still(timer, [&] { asio::write(socket, asio::buffer(request)); });
+    block_past_timeout(timer, [&] { asio::write(socket, asio::buffer(request)); });
   });
   context.run_for(std::chrono::seconds(1));
-  EXPECT_EQ(echo.requests, 2);
+  EXPECT_EQ(ok_handler.requests, 2);
 }
 
 }  // namespace
--- a/tests/node/listener_lifetime_test.cc
+++ b/tests/node/listener_lifetime_test.cc
@@ -9,7 +9,7 @@
 namespace larchlever::net {
 namespace {
 
-class NoHandler : public HttpHandler {
+class NoOpHandler : public HttpHandler {
  public:
   boost::asio::awaitable<void> handle(HttpExchange& /*exchange*/) override { co_return; }
 };
@@ -17,7 +17,7 @@
 // A node whose start fails on its second address drops the listener of its first one, which accepts nothing yet: its
 // coroutine has not begun. It then began on freed memory. The reports of the sanitizer:
 //   heap-use-after-free in std::__shared_count ... PeerTransport::Implementation::accept_loop
-TEST(ListenerLifetime, ATransportMayEndBeforeItAccepts) {
+TEST(ListenerLifetime, TransportDestroyedBeforeAcceptLoopStarts) {
   boost::asio::io_context context;
   std::string error;
   auto transport = std::make_unique<PeerTransport>(context.get_executor(), [](const wire::Envelope&) {});
@@ -26,9 +26,9 @@
   context.run();
 }
 
-TEST(ListenerLifetime, AServerMayEndBeforeItAccepts) {
+TEST(ListenerLifetime, ServerDestroyedBeforeAcceptLoopStarts) {
   boost::asio::io_context context;
-  NoHandler handler;
+  NoOpHandler handler;
   std::string error;
   auto server = std::make_unique<HttpServer>(context.get_executor(), HttpServerOptions(), handler);
   ASSERT_TRUE(server->listen("127.0.0.1", 0, error)) << error;
@@ -37,7 +37,7 @@
 }
 
 // A message to a peer starts a coroutine that dials; the transport may end first.
-TEST(ListenerLifetime, ATransportMayEndBeforeItDials) {
+TEST(ListenerLifetime, TransportDestroyedBeforeConnectStarts) {
   boost::asio::io_context context;
   auto transport = std::make_unique<PeerTransport>(context.get_executor(), [](const wire::Envelope&) {});
   wire::Envelope envelope;
--- a/tests/unit/data_folder_test.cc
+++ b/tests/unit/data_folder_test.cc
@@ -14,10 +14,10 @@
 class FailingFileSystem : public FileSystem {
  public:
   ssize_t write(int descriptor, const void* data, size_t size) override {
-    if (full) {
+    if (disk_full) {
       // A full disk takes a part before it refuses.
-      if (partial) {
-        partial = false;
+      if (allow_partial_write) {
+        allow_partial_write = false;
         return FileSystem::write(descriptor, data, size / 2);
       }
       errno = ENOSPC;
@@ -32,8 +32,8 @@
     }
     return FileSystem::sync(descriptor);
   }
-  bool full = false;
-  bool partial = false;
+  bool disk_full = false;
+  bool allow_partial_write = false;
   bool sync_fails = false;
 };
 
@@ -45,9 +45,10 @@
   }
   void TearDown() override { fs::remove_all(path_); }
 
-  std::unique_ptr<DataFolder> open() { return DataFolder::open(path_, files_, error_); }
+  std::unique_ptr<DataFolder> open() { return DataFolder::open(path_, file_system_, error_); }
 
-  static consensus::RaftOutput batch(int64_t first, int64_t last, int64_t term, const std::string& payload = "x") {
+  static consensus::RaftOutput make_output(int64_t first, int64_t last, int64_t term,
+                                           const std::string& payload = "x") {
     consensus::RaftOutput output;
     for (int64_t index = first; index <= last; ++index) {
       wire::LogEntry entry;
@@ -79,75 +80,75 @@
     auto folder = open();
     ASSERT_NE(folder, nullptr) << error_.message;
     for (int64_t index = 1; index <= 20; index += 5) {
-      const auto output = batch(index, index + 4, 3);
+      const auto output = make_output(index, index + 4, 3);
       ASSERT_FALSE(folder->write({&output}));
     }
   }
 
   fs::path path_;
-  FailingFileSystem files_;
+  FailingFileSystem file_system_;
   StorageError error_;
 };
 
-TEST_F(DataFolderTest, ReturnsWhatWasWritten) {
+TEST_F(DataFolderTest, RecoversWrittenEntriesAndHardState) {
   write_entries();
   auto folder = open();
   ASSERT_NE(folder, nullptr) << error_.message;
-  const auto state = folder->take_recovered();
+  const auto state = folder->take_recovered_state();
   ASSERT_EQ(state.entries.size(), 20U);
   EXPECT_EQ(state.entries.back().payload, "x20");
   EXPECT_EQ(state.hard_state.term, 3);
   EXPECT_EQ(state.hard_state.voted_for, 7);
 }
 
-TEST_F(DataFolderTest, KeepsTheNewestCopyAndIgnoresADamagedOne) {
+TEST_F(DataFolderTest, KeepsNewestStateCopyAndIgnoresDamagedOne) {
   {
     auto folder = open();
     ASSERT_NE(folder, nullptr) << error_.message;
-    EXPECT_EQ(folder->read_copy(), "");
-    EXPECT_FALSE(folder->save_copy("first"));
-    EXPECT_FALSE(folder->save_copy("second"));
-    files_.full = true;
-    EXPECT_TRUE(folder->save_copy("third"));
-    files_.full = false;
-    EXPECT_EQ(folder->read_copy(), "second") << "a failed one leaves the one before";
+    EXPECT_EQ(folder->read_state_copy(), "");
+    EXPECT_FALSE(folder->save_state_copy("first"));
+    EXPECT_FALSE(folder->save_state_copy("second"));
+    file_system_.disk_full = true;
+    EXPECT_TRUE(folder->save_state_copy("third"));
+    file_system_.disk_full = false;
+    EXPECT_EQ(folder->read_state_copy(), "second") << "a failed one leaves the one before";
   }
   std::ofstream(path_ / "copy", std::ios::app) << "x";
   auto folder = open();
   ASSERT_NE(folder, nullptr) << "damage to the copy says nothing about the log";
-  EXPECT_EQ(folder->read_copy(), "");
+  EXPECT_EQ(folder->read_state_copy(), "");
 }
 
-TEST_F(DataFolderTest, OverwrittenSuffixStaysOverwritten) {
+TEST_F(DataFolderTest, RecoversOverwrittenLogSuffix) {
   write_entries();
   {
     auto folder = open();
-    const auto output = batch(11, 12, 4, "new");
+    const auto output = make_output(11, 12, 4, "new");
     ASSERT_FALSE(folder->write({&output}));
   }
-  const auto state = open()->take_recovered();
+  const auto state = open()->take_recovered_state();
   ASSERT_EQ(state.entries.size(), 12U);
   EXPECT_EQ(state.entries[10].payload, "new11");
   EXPECT_EQ(state.entries[10].term, 4);
 }
 
-TEST_F(DataFolderTest, CutsATornTailAndGoesOn) {
+TEST_F(DataFolderTest, TruncatesTornTailAndAcceptsWrites) {
   write_entries();
   const auto segment = newest_segment();
   fs::resize_file(segment, fs::file_size(segment) - 5);
   {
     auto folder = open();
     ASSERT_NE(folder, nullptr) << error_.message;
-    EXPECT_EQ(folder->stats().torn_tails_cut, 1U);
-    const auto state = folder->take_recovered();
+    EXPECT_EQ(folder->stats().torn_tails_truncated, 1U);
+    const auto state = folder->take_recovered_state();
     EXPECT_EQ(state.entries.size(), 19U);
-    const auto output = batch(20, 21, 5);
+    const auto output = make_output(20, 21, 5);
     ASSERT_FALSE(folder->write({&output}));
   }
-  EXPECT_EQ(open()->take_recovered().entries.size(), 21U);
+  EXPECT_EQ(open()->take_recovered_state().entries.size(), 21U);
 }
 
-TEST_F(DataFolderTest, RefusesDamageBeforeWhatWasAcknowledged) {
+TEST_F(DataFolderTest, RejectsDamagedAcknowledgedRecord) {
   write_entries();
   const auto segment = newest_segment();
   {
@@ -160,10 +161,10 @@
   EXPECT_NE(error_.message.find("new identity"), std::string::npos) << error_.message;
 }
 
-TEST_F(DataFolderTest, RefusesADamagedSnapshotAndAMissingSegment) {
+TEST_F(DataFolderTest, RejectsDamagedSnapshot) {
   {
     auto folder = open();
-    auto output = batch(1, 10, 1);
+    auto output = make_output(1, 10, 1);
     ASSERT_FALSE(folder->write({&output}));
     consensus::RaftOutput snapshot;
     snapshot.snapshot.emplace();
@@ -173,7 +174,7 @@
     ASSERT_FALSE(folder->write({&snapshot}));
   }
   {
-    const auto state = open()->take_recovered();
+    const auto state = open()->take_recovered_state();
     EXPECT_EQ(state.snapshot.index, 8);
     EXPECT_EQ(state.snapshot_state, "state at eight");
     ASSERT_EQ(state.entries.size(), 2U);
@@ -188,7 +189,7 @@
   EXPECT_EQ(error_.kind, StorageErrorKind::kCorruptSnapshot);
 }
 
-TEST_F(DataFolderTest, ASnapshotFromTheLeaderVoidsWhatItReplaced) {
+TEST_F(DataFolderTest, InstalledSnapshotDiscardsEarlierEntries) {
   write_entries();
   {
     auto folder = open();
@@ -199,43 +200,43 @@
     install.snapshot->replaces_log = true;
     ASSERT_FALSE(folder->write({&install}));
   }
-  const auto state = open()->take_recovered();
+  const auto state = open()->take_recovered_state();
   EXPECT_EQ(state.snapshot.index, 15);
   EXPECT_TRUE(state.entries.empty());
 }
 
-TEST_F(DataFolderTest, AFullDiskLeavesNothingOfTheBatch) {
+TEST_F(DataFolderTest, DiskFullDiscardsPartialBatch) {
   write_entries();
   {
     auto folder = open();
-    files_.full = true;
-    files_.partial = true;
-    const auto output = batch(21, 40, 3);
+    file_system_.disk_full = true;
+    file_system_.allow_partial_write = true;
+    const auto output = make_output(21, 40, 3);
     const auto failure = folder->write({&output});
     ASSERT_TRUE(failure);
     EXPECT_EQ(failure->kind, StorageErrorKind::kDiskFull);
-    files_.full = false;
+    file_system_.disk_full = false;
   }
-  EXPECT_EQ(open()->take_recovered().entries.size(), 20U);
+  EXPECT_EQ(open()->take_recovered_state().entries.size(), 20U);
 }
 
-TEST_F(DataFolderTest, AFailedSyncIsFinal) {
+TEST_F(DataFolderTest, RejectsWritesAfterFailedSync) {
   auto folder = open();
-  const auto output = batch(1, 2, 1);
-  files_.sync_fails = true;
+  const auto output = make_output(1, 2, 1);
+  file_system_.sync_fails = true;
   ASSERT_TRUE(folder->write({&output}));
-  files_.sync_fails = false;
+  file_system_.sync_fails = false;
   const auto again = folder->write({&output});
   ASSERT_TRUE(again);
   EXPECT_EQ(again->kind, StorageErrorKind::kSyncFailed);
 }
 
-TEST_F(DataFolderTest, KeepsItsIdentityAndSetsRetiredLogsAside) {
+TEST_F(DataFolderTest, PersistsIdentityAndRetiresOldLog) {
   {
     auto folder = open();
     EXPECT_EQ(folder->replica_id(), ReplicaId());
     ASSERT_FALSE(folder->assign_identity(ReplicaId(41)));
-    const auto output = batch(1, 5, 2);
+    const auto output = make_output(1, 5, 2);
     ASSERT_FALSE(folder->write({&output}));
   }
   {
@@ -245,11 +246,11 @@
   }
   auto folder = open();
   EXPECT_EQ(folder->replica_id(), ReplicaId(42));
-  EXPECT_TRUE(folder->take_recovered().entries.empty());
+  EXPECT_TRUE(folder->take_recovered_state().entries.empty());
   EXPECT_TRUE(fs::exists(path_ / "retired-41"));
 }
 
-TEST_F(DataFolderTest, OneProcessAtATime) {
+TEST_F(DataFolderTest, RejectsSecondOpen) {
   auto folder = open();
   EXPECT_EQ(open(), nullptr);
   EXPECT_EQ(error_.kind, StorageErrorKind::kLocked);
--- a/tests/unit/raft_node_test.cc
+++ b/tests/unit/raft_node_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Three voters whose messages are carried by hand.
-class RaftTrio : public testing::Test {
+class RaftNodeTest : public testing::Test {
  protected:
   void SetUp() override {
     wire::ReplicaSet voters;
@@ -21,7 +21,7 @@
     PersistedState state;
     state.snapshot.replicas = voters;
     for (int64_t id = 1; id <= 3; ++id) {
-      stored_[id] = state;
+      persisted_[id] = state;
       nodes_.emplace(id, RaftNode(ReplicaId(id), Incarnation(1), options_, state, static_cast<uint64_t>(id), now_));
     }
   }
@@ -44,14 +44,14 @@
     std::vector<wire::RaftMessage> messages;
     for (auto& [id, node] : nodes_) {
       auto output = node.take_output();
-      store(stored_[id], output);
+      store(persisted_[id], output);
       messages.insert(messages.end(), output.messages.begin(), output.messages.end());
       messages.insert(messages.end(), output.messages_after_sync.begin(), output.messages_after_sync.end());
-      node.synced(now_, output.ticket);
+      node.mark_synced(now_, output.ticket);
       node.take_committed();
     }
     for (const auto& message : messages) {
-      if (!cut_.contains(message.from_replica) && !cut_.contains(message.to_replica)) {
+      if (!isolated_.contains(message.from_replica) && !isolated_.contains(message.to_replica)) {
         nodes_.at(message.to_replica).step(now_, message);
       }
     }
@@ -68,18 +68,18 @@
   /// Starts a replica anew on what it had stored.
   void restart(int64_t id) {
     nodes_.at(id) =
-        RaftNode(ReplicaId(id), Incarnation(++boots_), options_, stored_[id], static_cast<uint64_t>(id), now_);
+        RaftNode(ReplicaId(id), Incarnation(++last_boot_), options_, persisted_[id], static_cast<uint64_t>(id), now_);
   }
 
   /// The replica comes back at its address with an empty disk, under a new identity.
   void lose_disk(int64_t id) {
-    stored_[id] = PersistedState();
+    persisted_[id] = PersistedState();
     nodes_.at(id) = RaftNode(ReplicaId(id + 100), Incarnation(1), options_, PersistedState(), 7, now_);
   }
 
   RaftNode* leader() {
     for (auto& [id, node] : nodes_) {
-      if (!cut_.contains(id) && node.has_lease(now_)) {
+      if (!isolated_.contains(id) && node.has_lease(now_)) {
         return &node;
       }
     }
@@ -89,60 +89,60 @@
   RaftOptions options_;
   TimePoint now_ = TimePoint(seconds(100));
   std::map<int64_t, RaftNode> nodes_;
-  std::map<int64_t, PersistedState> stored_;
-  int64_t boots_ = 1;
-  std::set<int64_t> cut_;
+  std::map<int64_t, PersistedState> persisted_;
+  int64_t last_boot_ = 1;
+  std::set<int64_t> isolated_;
 };
 
 /// Starts a replica anew on what it had stored.
-TEST_F(RaftTrio, ElectsAtOnceWhenAllRestartedTogether) {
+TEST_F(RaftNodeTest, ElectsLeaderQuicklyAfterFullRestart) {
   // The fixture's three have just started.
   run(milliseconds(450));
   EXPECT_NE(leader(), nullptr) << "before any election timeout has passed";
 }
 
-TEST_F(RaftTrio, ARestartedVoterWaitsForALeaseItMayHaveGranted) {
-  cut_.insert(3);
+TEST_F(RaftNodeTest, RestartedVotersWaitOutPossibleLease) {
+  isolated_.insert(3);
   run(options_.election_timeout_min - milliseconds(50));
   EXPECT_EQ(leader(), nullptr) << "the one that does not answer may hold a lease";
   run(seconds(4));
   EXPECT_NE(leader(), nullptr);
 }
 
-TEST_F(RaftTrio, AVoterThatLostItsDiskIsNotWaitedForAndNotCounted) {
+TEST_F(RaftNodeTest, ElectsWithoutWaitingForVoterThatLostItsDisk) {
   // Another identity answers at its address.
   lose_disk(3);
   run(milliseconds(450));
   EXPECT_NE(leader(), nullptr) << "the two that are left are a majority, and nobody can hold a lease";
 }
 
-TEST_F(RaftTrio, AMajorityOfLostDisksIsNoMajority) {
+TEST_F(RaftNodeTest, NoElectionAfterMajorityLostTheirDisks) {
   lose_disk(2);
   lose_disk(3);
   run(seconds(5));
   EXPECT_EQ(leader(), nullptr);
 }
 
-TEST_F(RaftTrio, RestartedVotersDoNotDeposeALeader) {
+TEST_F(RaftNodeTest, RestartedFollowersKeepCurrentLeader) {
   run(seconds(5));
-  auto* chosen = leader();
-  ASSERT_NE(chosen, nullptr);
-  const int64_t term = chosen->term();
+  auto* elected = leader();
+  ASSERT_NE(elected, nullptr);
+  const int64_t term = elected->term();
   for (auto& [id, node] : nodes_) {
-    if (&node != chosen) {
+    if (&node != elected) {
       restart(id);
     }
   }
   run(seconds(3));
-  EXPECT_EQ(leader(), chosen);
-  EXPECT_EQ(chosen->term(), term);
+  EXPECT_EQ(leader(), elected);
+  EXPECT_EQ(elected->term(), term);
 }
 
-TEST_F(RaftTrio, ElectsOneLeaderAndCommits) {
+TEST_F(RaftNodeTest, ElectsLeaderAndCommitsEntry) {
   run(seconds(5));
-  auto* chosen = leader();
-  ASSERT_NE(chosen, nullptr);
-  const auto index = chosen->propose(now_, "command");
+  auto* elected = leader();
+  ASSERT_NE(elected, nullptr);
+  const auto index = elected->propose(now_, "command");
   ASSERT_TRUE(index);
   run(milliseconds(500));
   for (auto& [id, node] : nodes_) {
@@ -150,30 +150,30 @@
   }
 }
 
-TEST_F(RaftTrio, ACutOffLeaderLosesItsLeaseBeforeAnotherIsElected) {
+TEST_F(RaftNodeTest, IsolatedLeaderLosesLeaseBeforeNextElection) {
   run(seconds(5));
   auto* old_leader = leader();
   ASSERT_NE(old_leader, nullptr);
-  cut_.insert(old_leader->id().value());
-  bool both = false;
+  isolated_.insert(old_leader->id().value());
+  bool both_hold_lease = false;
   for (int step = 0; step < 500; ++step) {
     run(milliseconds(10));
-    both = both || (old_leader->has_lease(now_) && leader() != nullptr);
+    both_hold_lease = both_hold_lease || (old_leader->has_lease(now_) && leader() != nullptr);
   }
-  EXPECT_FALSE(both);
+  EXPECT_FALSE(both_hold_lease);
   ASSERT_NE(leader(), nullptr);
   EXPECT_FALSE(old_leader->is_leader());
   const int64_t term = leader()->term();
-  cut_.clear();
+  isolated_.clear();
   run(seconds(3));
   // Pre-vote: the one that was cut off did not raise its term, so its return deposes nobody.
   EXPECT_EQ(leader()->term(), term);
 }
 
-TEST_F(RaftTrio, ARestartedVoterDoesNotVoteAtOnce) {
+TEST_F(RaftNodeTest, RestartedVoterDelaysItsVote) {
   run(seconds(5));
-  auto* chosen = leader();
-  const int64_t voter = chosen->id().value() == 1 ? 2 : 1;
+  auto* elected = leader();
+  const int64_t voter = elected->id().value() == 1 ? 2 : 1;
   RaftNode restarted(ReplicaId(voter), Incarnation(2), options_, PersistedState(), 9, now_);
   wire::RaftMessage message;
   message.from_replica = 3;
@@ -189,58 +189,58 @@
   EXPECT_FALSE(output.messages_after_sync[0].vote_reply.granted);
 }
 
-TEST_F(RaftTrio, HandsOverWithoutALeaderlessWait) {
+TEST_F(RaftNodeTest, TransfersLeadershipWithoutElectionTimeout) {
   run(seconds(5));
   auto* old_leader = leader();
   ASSERT_NE(old_leader, nullptr);
-  ASSERT_TRUE(old_leader->hand_over(now_));
+  ASSERT_TRUE(old_leader->transfer_leadership(now_));
   EXPECT_FALSE(old_leader->has_lease(now_));
   run(milliseconds(200));
   ASSERT_NE(leader(), nullptr);
   EXPECT_NE(leader()->id(), old_leader->id());
 }
 
-TEST_F(RaftTrio, ALateRefusalIsNotARollback) {
+TEST_F(RaftNodeTest, LateRejectionIsNotARollback) {
   run(seconds(5));
-  auto* chosen = leader();
-  ASSERT_NE(chosen, nullptr);
-  const int64_t follower = chosen->id().value() == 1 ? 2 : 1;
-  chosen->propose(now_, "command");
+  auto* elected = leader();
+  ASSERT_NE(elected, nullptr);
+  const int64_t follower = elected->id().value() == 1 ? 2 : 1;
+  elected->propose(now_, "command");
   run(milliseconds(300));
-  wire::RaftMessage late;
-  late.from_replica = follower;
-  late.to_replica = chosen->id().value();
+  wire::RaftMessage late_message;
+  late_message.from_replica = follower;
+  late_message.to_replica = elected->id().value();
   wire::AppendReply reply;
-  reply.term = chosen->term();
+  reply.term = elected->term();
   reply.success = false;
   reply.match_index = 0;
   reply.last_index = 0;
   reply.sent_at_us = to_microseconds(now_);
   reply.boot = 1;
   reply.order = 1;  // Given before the acknowledgements that the leader already has.
-  late.__set_append_reply(reply);
-  chosen->step(now_, late);
-  EXPECT_TRUE(chosen->rolled_back().empty());
+  late_message.__set_append_reply(reply);
+  elected->step(now_, late_message);
+  EXPECT_TRUE(elected->rolled_back().empty());
   reply.boot = 2;  // Given by a later start of the same identity: its disk has lost entries.
-  late.__set_append_reply(reply);
-  chosen->step(now_, late);
-  EXPECT_TRUE(chosen->rolled_back().contains(follower));
+  late_message.__set_append_reply(reply);
+  elected->step(now_, late_message);
+  EXPECT_TRUE(elected->rolled_back().contains(follower));
 }
 
-TEST_F(RaftTrio, ChangesOneReplicaAtATime) {
+TEST_F(RaftNodeTest, AllowsOneReplicaChangeAtATime) {
   run(seconds(5));
-  auto* chosen = leader();
-  ASSERT_NE(chosen, nullptr);
-  auto two_gone = chosen->replicas();
-  two_gone.voters.resize(1);
-  EXPECT_FALSE(chosen->propose_replicas(now_, two_gone));
-  auto one_more = chosen->replicas();
+  auto* elected = leader();
+  ASSERT_NE(elected, nullptr);
+  auto without_two_voters = elected->replicas();
+  without_two_voters.voters.resize(1);
+  EXPECT_FALSE(elected->propose_replicas(now_, without_two_voters));
+  auto with_learner = elected->replicas();
   wire::ReplicaAddress learner;
   learner.replica_id = 9;
   learner.node = "n9";
-  one_more.learners.push_back(learner);
-  EXPECT_TRUE(chosen->propose_replicas(now_, one_more));
-  EXPECT_FALSE(chosen->propose_replicas(now_, one_more)) << "a second change while one is open";
+  with_learner.learners.push_back(learner);
+  EXPECT_TRUE(elected->propose_replicas(now_, with_learner));
+  EXPECT_FALSE(elected->propose_replicas(now_, with_learner)) << "a second change while one is open";
 }
 
 }  // namespace
--- a/tests/unit/replica_supervisor_test.cc
+++ b/tests/unit/replica_supervisor_test.cc
@@ -19,7 +19,7 @@
       now += milliseconds(20);
       raft.tick(now);
       const auto output = raft.take_output();
-      raft.synced(now, output.ticket);
+      raft.mark_synced(now, output.ticket);
       raft.take_committed();
     }
   };
