--- a/src/core/fleet/fleet_controller.cc
+++ b/src/core/fleet/fleet_controller.cc
@@ -158,7 +158,7 @@
 void FleetController::handle_storage_synced(TimePoint now, consensus::RaftOutput batch) {
   if (raft_) {
     send_raft(std::move(batch.messages_after_sync));
-    raft_->synced(now, batch.ticket);
+    raft_->mark_synced(now, batch.ticket);
     process_replica_outputs(now);
   }
 }
--- a/src/core/node/node_controller.cc
+++ b/src/core/node/node_controller.cc
@@ -83,7 +83,7 @@
 void NodeController::on_storage_written(TimePoint now, consensus::RaftOutput batch) {
   if (raft_) {
     send_raft(now, std::move(batch.messages_after_sync));
-    raft_->synced(now, batch.ticket);
+    raft_->mark_synced(now, batch.ticket);
     process_pending_work(now);
   }
 }
