--- a/src/consensus/quorum.h
+++ b/src/consensus/quorum.h
@@ -4,7 +4,7 @@
 
 namespace larchlever::consensus {
 
-/// Smallest number of `voters` that any two such numbers share a voter of.
+/// Smallest size at which any two subsets of `voters` voters have a common member.
 constexpr size_t majority(size_t voters) { return voters / 2 + 1; }
 
 }  // namespace larchlever::consensus
--- a/src/consensus/raft_elections.cc
+++ b/src/consensus/raft_elections.cc
@@ -3,13 +3,14 @@
 #include "consensus/quorum.h"
 #include "consensus/raft_node.h"
 
-// The part of RaftNode that decides who leads: timers, pre-vote, votes.
+// Elections of RaftNode: timers, pre-vote and votes.
 
 namespace larchlever::consensus {
 
 void RaftNode::tick(TimePoint now) {
   if (restart_check_pending_ && now >= restart_check_deadline_) {
-    // No leader spoke up within the check: the whole set may be restarting, and waiting longer would stop it for good.
+    // No leader contacted this replica within the timeout. All replicas may be restarting, and if all kept waiting,
+    // none could ever be elected.
     restart_check_pending_ = false;
   }
   if (role_ == Role::kLeader) {
@@ -69,7 +70,7 @@
     if (voter.replica_id == id_.value()) {
       continue;
     }
-    // Our own vote must be on disk before anybody counts on it, so real vote requests wait for the sync.
+    // The candidate's own vote must be on disk before it is counted, so real vote requests are sent after the sync.
     auto& message = add_message(voter.replica_id, !pre_vote);
     wire::VoteRequest request;
     request.term = pre_vote ? hard_state_.term + 1 : hard_state_.term;
@@ -80,7 +81,7 @@
     message.__set_vote_request(request);
   }
   if (!pre_vote && log_.replicas().voters.size() == 1) {
-    // A single voter may lead once its own vote is stored; `synced` tallies again.
+    // A single voter becomes leader once its own vote is stored: `mark_synced` tallies the votes again.
     return;
   }
   tally_votes(now);
@@ -95,7 +96,8 @@
     granted += vote != votes_.end() ? 1 : 0;
     granted_unconditionally += vote != votes_.end() && !vote->second ? 1 : 0;
   }
-  // Who is gone holds no lease, yet its vote is not replaced: what was committed stands on a majority.
+  // A voter that lost its identity holds no lease, but still counts towards the majority: committed entries are only
+  // guaranteed to be on a majority of the voters.
   const auto gone = static_cast<size_t>(std::count_if(
       voters.begin(), voters.end(), [this](const auto& voter) { return gone_voters_.contains(voter.replica_id); }));
   const bool unanimous = granted + gone == voters.size() && granted >= majority(voters.size());
@@ -121,9 +123,9 @@
 }
 
 void RaftNode::handle_vote_request(TimePoint now, int64_t from, const wire::VoteRequest& request) {
-  // Deaf to candidates while a leader is in touch: this is what makes the leader's lease sound, and it keeps a
-  // replica that was cut off from disturbing the rest on its return. A planned hand-over is exempt because the old
-  // leader gave its lease up before it asked.
+  // Candidates are ignored while a leader is in contact. This makes the leader's lease safe and prevents a replica that
+  // was partitioned from disrupting the others when it returns. A leadership transfer is exempt because the old leader
+  // released its lease before requesting it.
   const bool must_not_vote = !may_vote() || (!request.transfer && has_recent_leader_contact(now));
   const bool only_if_unanimous = must_not_vote && in_restart_grace_period(now);
   const bool ignores_request = must_not_vote && !only_if_unanimous;
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -13,7 +13,7 @@
   return std::any_of(list.begin(), list.end(), [id](const auto& item) { return item.replica_id == id; });
 }
 
-/// Number of voters that stand in exactly one of the two sets.
+/// Returns the number of voters that are in exactly one of the two sets.
 size_t count_changed_voters(const wire::ReplicaSet& before, const wire::ReplicaSet& after) {
   size_t changed = 0;
   for (const auto& voter : before.voters) {
@@ -42,8 +42,9 @@
   if (persisted.snapshot.index > 0) {
     installed_snapshot_ = snapshot_;
   }
-  // A restarted replica has forgotten which leader it heard last, so it grants no vote for one election timeout:
-  // a leader that counted its answer may still hold the lease.
+  // A restarted replica does not remember its last contact with a leader. A leader that counted its last reply may
+  // still hold the lease, so the replica acts as if the contact had been now and grants no vote for one election
+  // timeout.
   last_leader_contact_ = now;
   started_ = now;
   const bool has_peers = is_voter() && log_.replicas().voters.size() > 1;
@@ -51,7 +52,7 @@
   restart_check_deadline_ = now + options_.restart_check_timeout;
   reset_election_timer(now);
   if (is_voter() && !has_peers) {
-    election_deadline_ = now;  // The only voter: nobody else can lead, so there is nothing to wait for.
+    election_deadline_ = now;  // A single voter need not wait: no other replica can be the leader.
   }
 }
 
@@ -134,8 +135,8 @@
 }
 
 std::optional<int64_t> RaftNode::propose_replicas(TimePoint now, const wire::ReplicaSet& replicas) {
-  // Two safeguards: no second change while one is open, and none before this term's first entry is committed,
-  // else a deposed leader's change and ours could each find a majority that the other does not see.
+  // Reject a change while another is uncommitted, and before this term's first entry is committed. Otherwise the change
+  // of a deposed leader and this one could each be committed by disjoint majorities.
   const bool change_allowed = !replica_change_pending() && commit_index_ >= term_start_index_;
   if (role_ != Role::kLeader || lease_released_ || !change_allowed ||
       count_changed_voters(log_.replicas(), replicas) > 1) {
@@ -182,7 +183,7 @@
     return;
   }
   if (heartbeat) {
-    // Nothing came back since the last beat: what was in flight counts as lost and is sent again.
+    // No reply since the last heartbeat: treat appends in flight as lost and send them again.
     const bool stalled = progress.appends_in_flight > 0 && now - progress.last_reply > 2 * options_.heartbeat_interval;
     if (stalled) {
       progress.appends_in_flight = 0;
@@ -206,7 +207,7 @@
     request.entries = log_.slice(progress.next_index, options_.max_entries_per_append, options_.max_bytes_per_append);
   }
   if (!request.entries.empty()) {
-    // Optimistic: the next append continues from here, a refusal takes it back.
+    // Pipelining: the next append continues after these entries. A rejection moves next_index back.
     progress.next_index += static_cast<int64_t>(request.entries.size());
     ++progress.appends_in_flight;
   }
@@ -232,7 +233,7 @@
 }
 
 wire::AppendReply& RaftNode::add_append_reply(int64_t to, bool success, int64_t match, int64_t sent_at_us) {
-  // After the sync, always: a success promises that the entries survive a restart.
+  // Always sent after the sync, because a success guarantees that the entries survive a restart.
   auto& message = add_message(to, true);
   wire::AppendReply reply;
   reply.term = hard_state_.term;
@@ -249,7 +250,7 @@
 void RaftNode::record_leader_contact(TimePoint now) {
   last_leader_contact_ = now;
   leader_contacted_since_start_ = true;
-  // The leader will say whether our disk lost anything: give it time to.
+  // Give the leader time to report whether this replica's disk lost entries.
   restart_check_deadline_ = now + options_.restart_check_timeout;
 }
 
@@ -261,7 +262,7 @@
   record_leader_contact(now);
   become_follower(now, request.term, from);
   if (request.previous_index < log_.snapshot().index) {
-    // Everything up to our snapshot is committed, so it matches by definition.
+    // All entries up to the snapshot are committed, so they match.
     add_append_reply(from, true, log_.snapshot().index, request.sent_at_us);
     return;
   }
@@ -289,7 +290,8 @@
   const int64_t match = request.previous_index + static_cast<int64_t>(request.entries.size());
   commit_index_ = std::max(commit_index_, std::min(request.commit_index, match));
   if (match >= request.commit_index) {
-    // The leader has seen us hold all that was committed when it sent this: nothing acknowledged is missing.
+    // This replica holds everything that was committed when the leader sent the request, so no acknowledged entry is
+    // missing.
     restart_check_pending_ = false;
   }
   add_append_reply(from, true, match, request.sent_at_us);
@@ -309,9 +311,9 @@
   progress.last_reply = now;
   progress.replied = true;
   if (!reply.success && reply_number > progress.match_reply && reply.last_index < progress.match_index) {
-    // It acknowledged more, on disk, than it held when it gave this later reply: the disk was rolled back. Its
-    // acknowledgements and votes are worth nothing any more; only a new identity may come back. The replies' numbers
-    // matter: a refusal given before the acknowledgement may arrive after it.
+    // The replica had acknowledged more entries than it held when it sent this later reply, so its disk was rolled
+    // back. Its acknowledgements and votes no longer count, and it may rejoin only under a new identity. Replies are
+    // compared by number because a rejection sent before the acknowledgement may arrive after it.
     ++stats_.rollbacks_detected;
     rolled_back_.insert(from);
     progress.match_index = 0;
@@ -347,7 +349,7 @@
   }
   std::sort(matches.begin(), matches.end(), std::greater<>());
   const int64_t candidate = matches[majority(matches.size()) - 1];
-  // Only an entry of our own term commits by counting; older ones commit with it.
+  // Only entries of the current term are committed by counting replicas; earlier entries are committed with them.
   if (candidate > commit_index_ && log_.term_at(candidate) == hard_state_.term) {
     commit_index_ = candidate;
   }
@@ -361,7 +363,7 @@
   record_leader_contact(now);
   become_follower(now, request.term, from);
   if (log_.term_at(request.header.index) == request.header.term) {
-    // Our log already contains what the snapshot covers, and perhaps acknowledged entries after it: keep them.
+    // The log already contains what the snapshot covers, and possibly acknowledged entries after it: keep it.
     commit_index_ = std::max(commit_index_, request.header.index);
   } else if (request.header.index > commit_index_) {
     ++stats_.snapshots_installed;
@@ -494,7 +496,8 @@
   if (contact == TimePoint::min()) {
     return false;
   }
-  // Counted from the send time of what a quorum answered, and shorter than the voters' silence by the drift bound.
+  // The lease starts at the send time of the append that a quorum answered. It is shorter than the time for which
+  // voters grant no vote, to allow for clock drift.
   const auto lease =
       static_cast<int64_t>(static_cast<double>(options_.election_timeout_min.count()) * (1.0 - 2 * kMaximumClockDrift));
   return now < contact + Duration(lease);
@@ -506,7 +509,8 @@
 
 void RaftNode::check_quorum(TimePoint now) {
   const TimePoint contact = quorum_contact_time(now);
-  // A leader that gave its lease up and was not succeeded in time steps down, and an ordinary election follows.
+  // A leader that transferred its leadership, but whose successor was not elected in time, steps down, and a regular
+  // election follows.
   if (contact != TimePoint::min() && !lease_released_) {
     quorum_deadline_ = std::max(quorum_deadline_, contact + options_.election_timeout_max);
   }
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -18,21 +18,22 @@
 
 struct RaftOptions {
   Duration heartbeat_interval = milliseconds(100);
-  /// A voter that heard a leader within this time votes for nobody else; the leader's lease is this long.
+  /// A voter that received a message from a leader within this time grants no vote to other replicas. The leader's
+  /// lease has this length.
   Duration election_timeout_min = milliseconds(1000);
   Duration election_timeout_max = milliseconds(1700);
-  /// A restarted voter asks for votes after this long, again and again, until its restart check is over: where all
-  /// restarted at once, nobody's lease is left to wait for.
+  /// Election timeout of a restarted voter until its grace period ends. It is short because after a restart of all
+  /// replicas there is no lease to wait for.
   Duration restart_election_timeout_min = milliseconds(60);
   Duration restart_election_timeout_max = milliseconds(200);
-  /// Longest wait of a restarted voter for its peers' word on what it had acknowledged before.
+  /// How long a restarted voter waits for a leader to confirm that its disk still holds everything it acknowledged.
   Duration restart_check_timeout = milliseconds(1200);
   size_t max_entries_per_append = 256;
   size_t max_bytes_per_append = 512 * 1024;
   size_t max_appends_in_flight = 16;
 };
 
-/// What a replica finds in its data folder at start.
+/// State that a replica reads from its data folder at start.
 struct PersistedState {
   wire::HardState hard_state;
   wire::SnapshotHeader snapshot;
@@ -43,18 +44,19 @@
 struct Snapshot {
   wire::SnapshotHeader header;
   std::string state;
-  /// Received from the leader: everything stored before it is void. Otherwise entries after it stay valid.
+  /// True if the snapshot was received from the leader and invalidates everything stored before it. Otherwise stored
+  /// entries after the snapshot stay valid.
   bool replaces_log = false;
 };
 
-/// One step's work for the owner of the node. The order is binding: everything in `hard_state`, `snapshot` and
-/// `entries` reaches the disk, synced, before any of `messages_after_sync` leaves and before
-/// `RaftNode::synced(ticket)` is called. `messages` may leave at once: they promise nothing about our disk.
+/// Work that a step leaves to the owner of the node. The order is mandatory: `hard_state`, `snapshot` and `entries`
+/// must be written and synced before any of `messages_after_sync` is sent and before `RaftNode::mark_synced(ticket)` is
+/// called. `messages` may be sent immediately because they do not depend on the disk of this replica.
 struct RaftOutput {
   int64_t ticket = 0;
   std::optional<wire::HardState> hard_state;
   std::optional<Snapshot> snapshot;
-  /// Entries to store; the first one replaces whatever is stored at its index and after.
+  /// Entries to store. The first one replaces the stored entry at its index and all that follow.
   std::vector<wire::LogEntry> entries;
   std::vector<wire::RaftMessage> messages;
   std::vector<wire::RaftMessage> messages_after_sync;
@@ -75,55 +77,59 @@
   uint64_t rollbacks_detected = 0;
 };
 
-/// A member of the replicated log, as a deterministic state machine: Raft with pre-vote, check-quorum, a leader
-/// lease, learners and single-replica membership changes.
+/// A member of the replicated log, as a deterministic state machine: Raft with pre-vote, check-quorum, a leader lease,
+/// learners and membership changes of one replica at a time. \n\p Guarantees, provided that the owner keeps the order
+/// of RaftOutput and that clocks drift by at most kMaximumClockDrift:
 ///
-/// Guarantees, given that the owner keeps RaftOutput's order and that clocks drift by at most kMaximumClockDrift:
-/// - an entry handed out by `take_committed` is never lost nor replaced;
-/// - `has_lease` is true on at most one replica at any moment;
-/// - a replica acknowledges only what is synced, and votes only under the identity of its data folder.
-///
-/// Thread rules: none of its own; the owner serialises all calls.
+/// - an entry returned by `take_committed` is never lost or replaced;
+/// - `has_lease` is true on at most one replica at any time;
+/// - a replica acknowledges only what is synced, and votes only under the identity of its data folder. \n\p Not
+/// thread-safe; the owner serializes all calls.
 class RaftNode {
  public:
-  /// `replica_id` is the identity stored in the data folder, `boot` must rise with every start of this replica. `seed`
-  /// feeds the election timer only.
+  /// `replica_id` is the identity stored in the data folder. `boot` must increase with every start of this replica.
+  /// `seed` is used only for the election timer.
   RaftNode(ReplicaId replica_id, Incarnation boot, const RaftOptions& options, PersistedState persisted, uint64_t seed,
            TimePoint now);
 
-  /// Makes the first log of a new fleet: one voter. To be persisted before the node is constructed.
+  /// Creates the first log of a new fleet, with one voter. It must be persisted before the node is constructed.
   static PersistedState bootstrap(const wire::ReplicaAddress& first_voter);
 
   void tick(TimePoint now);
   void step(TimePoint now, const wire::RaftMessage& message);
-  /// The batch with this ticket, and all before it, are on disk.
+  /// Reports that the output with this ticket and all earlier ones are synced to disk.
   void mark_synced(TimePoint now, int64_t ticket);
 
-  /// Appends a command to the leader's log. Returns its index; nothing when this replica does not lead.
+  /// Appends a command to the leader's log. Returns its index, or nothing if this replica is not the leader.
   std::optional<int64_t> propose(TimePoint now, std::string payload);
-  /// Proposes a replica set that differs from the current one in one replica. Returns nothing when not leading, when
-  /// an earlier change is uncommitted, or when more than one voter would change.
+  /// Proposes a replica set that differs from the current one by at most one voter. Returns nothing if this replica is
+  /// not the leader, an earlier change is uncommitted, or more than one voter would change.
   std::optional<int64_t> propose_replicas(TimePoint now, const wire::ReplicaSet& replicas);
-  /// Gives leadership to the most complete other voter. The lease ends at once. False when nobody is fit.
+  /// Transfers leadership to the other voter with the most complete log. The lease ends immediately. Returns false if
+  /// no voter is suitable.
   bool transfer_leadership(TimePoint now);
 
   RaftOutput take_output();
-  /// Committed entries not taken before, in order. After an installed snapshot see `take_installed_snapshot`.
+  /// Returns the committed entries that were not returned before, in order. After a snapshot was installed, see
+  /// `take_installed_snapshot`.
   std::vector<wire::LogEntry> take_committed();
-  /// A snapshot that replaced this replica's log; its state must replace the owner's before more is applied.
+  /// Returns a snapshot that replaced this replica's log. The owner must replace its state by the snapshot's before it
+  /// applies further entries.
   std::optional<Snapshot> take_installed_snapshot();
-  /// Stores `state`, the owner's state right after entry `index`, and keeps `trailing` entries before it.
+  /// Takes a snapshot: `state` is the owner's state right after entry `index`. Keeps `trailing` log entries before it.
   void compact(int64_t index, std::string state, int64_t trailing);
 
   Role role() const { return role_; }
   bool is_leader() const { return role_ == Role::kLeader; }
-  /// Leads, and no other replica can lead before `now`: reads and grants are safe.
+  /// True if this replica is the leader and no other replica can be one before `now`, so that reads and grants are
+  /// safe.
   bool has_lease(TimePoint now) const;
-  /// Leads, holds the lease and has committed an entry of its own term, hence knows all that was ever committed.
+  /// True if this replica is the leader, holds the lease and has committed an entry of its own term, so that it knows
+  /// all committed entries.
   bool is_ready_leader(TimePoint now) const;
   ReplicaId id() const { return id_; }
   ReplicaId leader() const { return ReplicaId(leader_); }
-  /// Peer address of the leader; empty while none is known.
+  /// Returns the peer address of the leader, or an empty string while it is unknown.
   std::string leader_node() const;
   int64_t term() const { return hard_state_.term; }
   int64_t commit_index() const { return commit_index_; }
@@ -132,25 +138,28 @@
   const wire::ReplicaSet& replicas() const { return log_.replicas(); }
   bool replica_change_pending() const { return log_.replicas_index() > commit_index_; }
   bool is_voter() const;
-  /// False while a restarted voter still waits to learn whether its disk lost acknowledged entries.
+  /// False while a restarted voter does not know yet whether its disk lost acknowledged entries.
   bool may_vote() const { return !restart_check_pending_ && !identity_rejected_; }
-  /// Restarted a moment ago and not heard from a leader since. A leader that counted an earlier answer of ours may hold
-  /// its lease; unless every voter votes, which a leader that holds one does not, it must run out first.
+  /// True if this replica restarted recently and no leader has contacted it since. A leader that counted a reply sent
+  /// before the restart may still hold its lease. Therefore a vote given in this period counts only if all voters grant
+  /// theirs, which a lease holder does not do.
   bool in_restart_grace_period(TimePoint now) const;
   TimePoint restart_grace_end() const;
-  /// No leader was heard since the start, and others may have started as late: campaigns follow each other quickly.
+  /// True if no leader has contacted this replica since its start and the other replicas may have restarted at about
+  /// the same time. Election timeouts are short in this period.
   bool may_be_cluster_restart(TimePoint now) const;
-  /// Answers a candidate that asked an identity which this address had before it lost its disk. Data folders do not
-  /// move between addresses, so that replica runs nowhere.
+  /// Replies to a vote request sent to an identity that this address had before it lost its disk. Data folders do not
+  /// move between addresses, so that identity no longer runs anywhere.
   void reply_voter_gone(const wire::RaftMessage& message);
-  /// A leader proved that this replica's disk lost acknowledged entries. The owner must give the data folder a new
-  /// identity and come back as a learner; this object takes part in nothing any more.
+  /// True once a leader found that this replica's disk lost acknowledged entries. This object then no longer takes part
+  /// in the protocol; the owner must give the data folder a new identity and rejoin as a learner.
   bool identity_rejected() const { return identity_rejected_; }
-  /// Highest entry that `replica` is known to hold; only meaningful on the leader.
+  /// Highest index that `replica` is known to hold. Meaningful only on the leader.
   int64_t match_index(ReplicaId replica) const;
-  /// When `replica` last answered this leader; nothing if it never did.
+  /// Returns when `replica` last replied to this leader, or nothing if it never did.
   std::optional<TimePoint> last_contact(ReplicaId replica) const;
-  /// Replicas that acknowledged entries and later turned out not to hold them: their disks were rolled back.
+  /// Replicas that acknowledged entries and later reported that they do not hold them, because their disks were rolled
+  /// back.
   const std::set<int64_t>& rolled_back() const { return rolled_back_; }
   const RaftStats& stats() const { return stats_; }
 
@@ -158,10 +167,10 @@
   struct Progress {
     int64_t next_index = 1;
     int64_t match_index = 0;
-    /// Start and number of the reply that last confirmed a match.
+    /// Boot number and reply number of the reply that last confirmed a match.
     std::pair<int64_t, int64_t> match_reply{0, 0};
     size_t appends_in_flight = 0;
-    int64_t lease_contact_us = -1;  ///< Our clock when the newest answered append was sent.
+    int64_t lease_contact_us = -1;  ///< Send time, on this replica's clock, of the newest append that was answered.
     TimePoint last_reply{};
     bool replied = false;
     TimePoint snapshot_sent{};
@@ -173,7 +182,8 @@
   void campaign(TimePoint now, bool pre_vote, bool transfer);
   void tally_votes(TimePoint now);
   void reset_election_timer(TimePoint now);
-  /// A leader spoke; to be noted before its term is taken over, which sets the election timer by it.
+  /// Records contact from a leader. Must be called before the leader's term is adopted, because that sets the election
+  /// timer, which depends on the contact.
   void record_leader_contact(TimePoint now);
   void handle_vote_request(TimePoint now, int64_t from, const wire::VoteRequest& request);
   void handle_vote_reply(TimePoint now, int64_t from, const wire::VoteReply& reply);
@@ -219,14 +229,14 @@
   TimePoint quorum_deadline_{};
   int64_t term_start_index_ = 0;
   bool lease_released_ = false;
-  /// Votes granted, by replica; true when they hold only if all voters grant theirs.
+  /// Granted votes by replica. True if the vote counts only if all voters grant theirs.
   std::map<int64_t, bool> votes_;
-  /// Voters at whose address another identity answered in this campaign.
+  /// Voters whose address replied with another identity during this campaign.
   std::set<int64_t> gone_voters_;
   std::map<int64_t, Progress> progress_;
   std::set<int64_t> rolled_back_;
   int64_t synced_index_ = 0;
-  std::deque<std::pair<int64_t, int64_t>> unsynced_batches_;  ///< (ticket, last index of that batch)
+  std::deque<std::pair<int64_t, int64_t>> unsynced_batches_;  ///< (ticket, last index written by that output)
   int64_t next_ticket_ = 1;
   RaftOutput output_;
   RaftStats stats_;
--- a/src/consensus/replica_routes.h
+++ b/src/consensus/replica_routes.h
@@ -9,15 +9,15 @@
 
 namespace larchlever::consensus {
 
-/// Peer addresses of the log's replicas, learned from replica sets and from whoever wrote last.
-/// Single-threaded, deterministic.
+/// Maps replicas to their peer addresses, learned from replica sets and from the senders of messages. Single-threaded,
+/// deterministic.
 class ReplicaRoutes {
  public:
   void set_node(int64_t replica, const std::string& node) { nodes_[replica] = node; }
-  /// Learns the addresses of all voters and learners.
+  /// Records the addresses of all voters and learners.
   void set_nodes(const wire::ReplicaSet& replicas);
-  /// One envelope a message, addressed to the recipient's node. Messages to unknown replicas are dropped: what matters
-  /// is sent again.
+  /// Wraps each message in an envelope addressed to the recipient's node. Messages to unknown replicas are dropped; the
+  /// sender repeats those that matter.
   std::vector<wire::Envelope> make_envelopes(std::vector<wire::RaftMessage> messages) const;
 
  private:
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -4,12 +4,12 @@
 
 namespace larchlever::net {
 
-/// The boot-time clock, which goes on while the machine is suspended: leases, deadlines and timeouts are counted by it.
-/// The steady clock, which timers run on, stands still meanwhile; so whatever a timer guards is checked against this
-/// one when it fires, and the processes look for what is overdue after every pause of their own.
+/// Current time of CLOCK_BOOTTIME, which keeps counting while the machine is suspended. Leases, deadlines and timeouts
+/// use it. Timers run on the steady clock, which stops during a suspension, so a deadline must be checked against this
+/// clock when its timer fires, and again after every pause of the process.
 TimePoint monotonic_now();
 
-/// For tests: this process has slept for `duration`, which its timers did not count.
+/// For tests: advances the boot-time clock by `duration` without advancing the timers, as a suspension does.
 void simulate_suspension(Duration duration);
 
 }  // namespace larchlever::net
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -27,11 +27,11 @@
 
 using Parser = http::response_parser<http::buffer_body>;
 
-/// A kept connection is given up this long before its server says that it closes it.
+/// Idle connections are discarded this long before the server's announced keep-alive timeout.
 constexpr auto kKeepAliveMargin = std::chrono::milliseconds(300);
-/// Kept connections are not used after this long when the server names no time.
+/// How long an idle connection may be reused if the server announces no keep-alive timeout.
 constexpr auto kDefaultKeepAlive = std::chrono::seconds(20);
-/// A peer that acknowledges nothing for this long is taken for gone.
+/// The kernel closes a connection whose peer acknowledges no sent data for this long.
 constexpr unsigned int kTcpUserTimeoutMs = 4000;
 
 struct Connection {
@@ -41,7 +41,7 @@
   TimePoint usable_until = TimePoint::max();
 };
 
-/// Until when a connection may be used again, by the answer's `Keep-Alive: timeout=N`.
+/// Returns the time until which a connection may be reused, from the response's `Keep-Alive: timeout=N`.
 TimePoint usable_until(std::string_view keep_alive) {
   const TimePoint now = monotonic_now();
   const size_t position = keep_alive.find("timeout=");
@@ -52,7 +52,7 @@
   return now + std::chrono::seconds(timeout_seconds) - kKeepAliveMargin;
 }
 
-/// While the request is under way, a cancellation drops its connection.
+/// Makes a cancellation of the request cancel the pending operation of `connection`.
 void drop_connection_on_cancel(const OpenOptions& options, Connection& connection) {
   if (options.cancellation) {
     options.cancellation->set_cancel_callback([&connection] { connection.stream.cancel(); });
@@ -78,7 +78,7 @@
   return message;
 }
 
-/// True when the peer closed an idle connection, or sent something nobody asked for.
+/// Returns true if the peer closed the idle connection or sent unsolicited data.
 bool is_unusable(asio::ip::tcp::socket& socket) {
   char byte = 0;
   socket.non_blocking(true);
@@ -121,7 +121,7 @@
 
 namespace {
 
-/// Calls back with the connection when a whole answer was read and the connection may be kept.
+/// Receives the connection after a complete response was read, if the connection can be reused.
 using KeepConnection = std::function<void(std::unique_ptr<Connection>)>;
 
 class BeastClientStream : public ClientStream {
@@ -179,7 +179,7 @@
     }
     complete_ = true;
     reading_finished_ = true;
-    // Bytes behind a whole answer belong to no request: such a connection is not used again.
+    // Surplus bytes after a complete response belong to no request. Such a connection is not reused.
     if (parser_->keep_alive() && keep_idle_ && connection_->buffer.size() == 0) {
       connection_->usable_until = usable_until(head_.headers.find("keep-alive"));
       keep_idle_(std::move(connection_));
@@ -249,7 +249,7 @@
     co_return result;
   }
   if (options.may_send && !options.may_send()) {
-    result.error = "the right to send to " + endpoint + " ended while connecting";
+    result.error = "permission to send to " + endpoint + " ended while connecting";
     co_return result;
   }
   connection->stream.expires_after(timeout);
@@ -268,7 +268,7 @@
   auto [read_error, count] = co_await http::async_read_header(connection->stream, connection->buffer, *parser, kAwait);
   if (read_error) {
     ++self->stats.failed_requests;
-    result.error = "no answer from " + endpoint + ": " + read_error.message();
+    result.error = "no response from " + endpoint + ": " + read_error.message();
     co_return result;
   }
   result.state = SendState::kAnswered;
@@ -299,7 +299,7 @@
     response.body += piece;
   }
   if (!opened.stream->complete()) {
-    result.error = "answer from " + endpoint + " broke off: " + opened.stream->error();
+    result.error = "incomplete response from " + endpoint + ": " + opened.stream->error();
     co_return result;
   }
   result.response = std::move(response);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -13,7 +13,7 @@
 
 namespace larchlever::net {
 
-/// How far a request got. Only `kNotSent` proves that the other side saw nothing of it.
+/// How far a request got. Only `kNotSent` guarantees that the server received no part of it.
 enum class SendState { kNotSent, kMaybeSent, kAnswered };
 
 struct FetchResult {
@@ -28,21 +28,22 @@
   uint64_t failed_requests = 0;
 };
 
-/// One request whose answer is read piece by piece. Closing it (or destroying it) before the end drops the connection,
-/// which the back end takes as a cancel.
+/// One request whose response body is read in pieces. Closing or destroying the stream before the end closes the
+/// connection, which the server treats as a cancellation.
 class ClientStream {
  public:
   virtual ~ClientStream() = default;
-  /// Status and headers; valid after a successful open.
+  /// Status and headers of the response.
   virtual const HttpResponse& head() const = 0;
-  /// Next piece of the body; empty at its end or on failure, see `complete` and `error`.
+  /// Returns the next piece of the body. Empty at the end of the body or on failure; `complete` and `error` tell which.
   virtual boost::asio::awaitable<std::string> read_some(std::chrono::milliseconds timeout) = 0;
-  /// The body arrived whole: its declared length, or the final chunk.
+  /// True once the whole body was received, as determined by its declared length or the final chunk.
   virtual bool complete() const = 0;
-  /// The body has neither length nor chunks: its end is the end of the connection, which proves nothing.
+  /// True if the body has neither a length nor chunks. It ends when the connection closes, so a truncated body cannot
+  /// be detected.
   virtual bool delimited_by_close() const = 0;
   virtual const std::string& error() const = 0;
-  /// Thread-unsafe like everything here: cancels what is pending and drops the connection.
+  /// Cancels pending operations and closes the connection. Not thread-safe.
   virtual void close() = 0;
 };
 
@@ -52,7 +53,7 @@
   std::string error;
 };
 
-/// Ends a request from outside, whether it is still connecting, waiting for the answer's head or reading the body.
+/// Cancels a request while it is connecting, waiting for the response head or reading the body.
 class Cancellation {
  public:
   void cancel() {
@@ -62,7 +63,7 @@
     }
   }
   bool cancelled() const { return cancelled_; }
-  /// What drops the connection at hand; set by the client.
+  /// Sets the function that `cancel` calls. The code that currently owns the connection sets it.
   void set_cancel_callback(std::function<void()> on_cancel) { on_cancel_ = std::move(on_cancel); }
 
  private:
@@ -71,20 +72,21 @@
 };
 
 struct OpenOptions {
-  /// Longest wait for the answer's head.
+  /// Timeout for the response head.
   std::chrono::milliseconds timeout{10'000};
-  /// Longest wait for a new connection.
+  /// Timeout for opening a new connection.
   std::chrono::milliseconds connect_timeout{10'000};
   std::shared_ptr<Cancellation> cancellation;
-  /// Avoid kept connections, whose peer may close them just as the request leaves: then a failure to connect proves
-  /// that nothing was sent.
+  /// Does not reuse an idle connection, which the server may close just as the request is sent. With a new connection,
+  /// a failure to connect guarantees that nothing was sent.
   bool require_new_connection = false;
-  /// If set, asked once the connection stands, right before the first byte leaves; when it says no, nothing is sent.
+  /// If set, called when the connection is open, right before the first byte is sent. If it returns false, nothing is
+  /// sent.
   std::function<bool()> may_send;
 };
 
-/// HTTP/1.1 client over Asio with kept connections. One executor; not thread-safe. Arguments passed by reference must
-/// live until the call returns; pass named objects (GCC 12 destroys some temporaries in co_await expressions twice).
+/// HTTP/1.1 client on Asio that reuses idle connections. Runs on one executor; not thread-safe. Arguments passed by
+/// reference must outlive the call. Pass named objects: GCC 12 destroys some temporaries in co_await expressions twice.
 class HttpClient {
  public:
   explicit HttpClient(boost::asio::any_io_executor executor);
@@ -92,10 +94,10 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Sends a request and reads the whole answer. Never throws on network failures.
+  /// Sends a request and reads the whole response. Network failures are returned, never thrown.
   boost::asio::awaitable<FetchResult> fetch(const std::string& endpoint, const HttpRequest& request,
                                             std::chrono::milliseconds timeout);
-  /// Sends a request and returns once the answer's head arrived.
+  /// Sends a request and returns once the response head is received.
   boost::asio::awaitable<OpenResult> open(const std::string& endpoint, const HttpRequest& request,
                                           const OpenOptions& options);
   const HttpClientStats& stats() const;
--- a/src/net/http_head_check.cc
+++ b/src/net/http_head_check.cc
@@ -20,7 +20,7 @@
   return text.substr(begin, text.find_last_not_of(kWhitespace) - begin + 1);
 }
 
-/// What the lines of a head say about its framing.
+/// Header fields of a request head that determine its framing.
 struct FramingHeaders {
   size_t host_count = 0;
   size_t content_length_count = 0;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -28,14 +28,15 @@
 }
 
 constexpr size_t kHeadReadBytes = 4096;
-/// How long the rest of a refused request is read and dropped, so that closing does not reset the answer away.
+/// How long the rest of a rejected request is read and discarded. Closing with unread data would reset the connection,
+/// and the client could lose the response.
 constexpr auto kDiscardTimeout = std::chrono::milliseconds(300);
 
 std::string_view buffered_bytes(const beast::flat_buffer& buffer) {
   return {static_cast<const char*>(buffer.data().data()), buffer.size()};
 }
 
-/// Position of the empty line that ends a head; npos while it is incomplete.
+/// Returns the position of the empty line that ends the head, or npos while the head is incomplete.
 size_t find_head_end(const beast::flat_buffer& buffer) { return buffered_bytes(buffer).find("\r\n\r\n"); }
 
 std::string_view buffered_head(const beast::flat_buffer& buffer) {
@@ -57,7 +58,7 @@
   Implementation(asio::any_io_executor given, HttpServerOptions given_options, HttpHandler& given_handler)
       : executor(std::move(given)), options(given_options), handler(&given_handler), acceptor(executor) {}
 
-  /// Holds the server from the call on: the coroutine begins when the executor gets to it.
+  /// `self` keeps the server alive from the call on, because the coroutine starts only when the executor runs it.
   asio::awaitable<void> accept_loop(std::shared_ptr<Implementation> self);
   asio::awaitable<void> serve(std::shared_ptr<TimedStream> stream);
   asio::awaitable<beast::error_code> read_head_bytes(TimedStream& stream, beast::flat_buffer& buffer, bool is_first);
@@ -70,7 +71,7 @@
   bool draining = false;
   bool closed = false;
   std::set<std::shared_ptr<TimedStream>> streams;
-  /// Connections on which no request is being read or served, and since when.
+  /// Connections on which no request is being read or served, with the time at which they became idle.
   std::map<std::shared_ptr<TimedStream>, std::chrono::steady_clock::time_point> idle;
   HttpServerStats stats;
 };
@@ -79,7 +80,7 @@
 
 class BeastExchange : public HttpExchange, public std::enable_shared_from_this<BeastExchange> {
  public:
-  /// `draining` is the server's own flag, which may change while the request is served.
+  /// `draining` refers to the server's flag, which may change while the request is served.
   BeastExchange(std::shared_ptr<TimedStream> stream, const HttpServerOptions& options, const bool& draining,
                 http::request<http::string_body> message)
       : stream_(std::move(stream)),
@@ -183,7 +184,7 @@
   }
 
   bool caller_disconnected() const override { return disconnected_; }
-  /// A whole answer was sent, so the connection can carry another request.
+  /// True if a complete response was sent, so that the connection can be reused.
   bool response_sent() const { return response_sent_; }
   bool keep_alive() const { return keep_alive_; }
   void close_after_response() { keep_alive_ = false; }
@@ -198,7 +199,7 @@
  private:
   static asio::awaitable<void> watch_for_disconnect(std::shared_ptr<BeastExchange> self,
                                                     std::function<void()> on_disconnect) {
-    // A second descriptor for the same socket, so that waiting here never disturbs the stream's own operations.
+    // A second descriptor for the same socket, so that this wait does not interfere with the stream's operations.
     const int duplicate_descriptor = ::dup(self->stream_->socket().native_handle());
     if (duplicate_descriptor < 0) {
       co_return;
@@ -233,14 +234,14 @@
         message.insert(name, value);
       }
     }
-    // Decided now and not when the request was read: a connection is closed only after an answer that said so, since
-    // the caller's next request may be under way otherwise.
+    // Decided when the head is written, not when the request is read: a connection may only be closed after a response
+    // that announced it, because the client's next request may already be on its way.
     keep_alive_ = keep_alive_ && !draining_;
     message.keep_alive(keep_alive_);
   }
 
   std::shared_ptr<TimedStream> stream_;
-  /// A copy: the server's options may change while the request is served.
+  /// A copy, because the server's options may change while the request is served.
   HttpServerOptions options_;
   const bool& draining_;
   HttpRequest request_;
@@ -265,7 +266,8 @@
       co_return;
     }
     if (error) {
-      // Out of descriptors, most likely: breathe instead of spinning.
+      // Most likely the process is out of file descriptors. Wait before the next attempt instead of retrying in a busy
+      // loop.
       asio::steady_timer retry_timer(executor, std::chrono::milliseconds(50));
       co_await retry_timer.async_wait(kAwait);
       continue;
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -14,28 +14,29 @@
 
 namespace larchlever::net {
 
-/// One request on a caller's connection, and the means to answer it. Exactly one of `respond` and `begin_stream` is
-/// called, once.
+/// One request received from a client, and the functions that send its response. The handler calls exactly one of
+/// `respond` and `begin_stream`, once.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
   virtual const HttpRequest& request() const = 0;
-  /// Sends a whole answer.
+  /// Sends a complete response.
   virtual boost::asio::awaitable<void> respond(HttpResponse response) = 0;
-  /// Starts an answer that comes in pieces: with the length that the head's Content-Length gives, else chunked (and
-  /// gathered into a whole for HTTP/1.0, which has no chunks). False when the caller is gone.
+  /// Starts a streamed response. The body has the length given by the Content-Length header of `head`; without one it
+  /// is chunked, or, for HTTP/1.0, buffered and sent as a whole. Returns false if the client has disconnected.
   virtual boost::asio::awaitable<bool> begin_stream(const HttpResponse& head) = 0;
-  /// Sends a piece; returns when the caller's socket took it, so a slow reader holds back the source. False when the
-  /// caller is gone.
+  /// Sends a piece of the body. Returns when the client's socket has accepted it, so that a slow reader applies
+  /// backpressure to the source. Returns false if the client has disconnected.
   virtual boost::asio::awaitable<bool> write_piece(std::string_view piece) = 0;
-  /// Ends the stream properly. Without this call the connection is cut, so the caller sees that the answer broke off.
+  /// Completes the streamed response. If this is not called, the connection is closed, so the client can tell that the
+  /// response is incomplete.
   virtual boost::asio::awaitable<void> end_stream() = 0;
-  /// Calls `on_disconnect` once if the caller closes its connection while the request is being served.
+  /// Calls `on_disconnect` once if the client closes its connection while the request is being served.
   virtual void notify_on_disconnect(std::function<void()> on_disconnect) = 0;
   virtual bool caller_disconnected() const = 0;
 };
 
-/// Serves requests. Called on the server's executor; several requests interleave.
+/// Handles requests on the server's executor. Requests of different connections are interleaved.
 class HttpHandler {
  public:
   virtual ~HttpHandler() = default;
@@ -63,14 +64,14 @@
   int64_t active_requests = 0;
 };
 
-/// A head that must not be forwarded, because servers may read it differently; the text names the fault.
-/// Refused: folded header lines, transfer codings other than chunked, HTTP/1.1 without exactly one Host, a
-/// Content-Length beside a transfer coding.
+/// Returns the reason why a request head is rejected, or nothing if it is acceptable. Heads that servers may interpret
+/// differently must not be forwarded: folded header lines, transfer codings other than chunked, HTTP/1.1 without
+/// exactly one Host, a Content-Length together with a transfer coding.
 std::optional<std::string> find_head_error(std::string_view head);
 
-/// Minimal HTTP/1.1 server on Asio and Beast: keep-alive, limits on heads, bodies and times, one request at a time per
-/// connection (pipelined ones wait their turn). Malformed input gets a typed 4xx answer and the connection is closed.
-/// One executor; not thread-safe.
+/// Minimal HTTP/1.1 server on Asio and Beast. Supports keep-alive, limits the sizes of heads and bodies and the time
+/// for each step, and handles one request at a time per connection; pipelined requests are queued. Malformed input gets
+/// a 4xx response and the connection is closed. Runs on one executor; not thread-safe.
 class HttpServer {
  public:
   HttpServer(boost::asio::any_io_executor executor, HttpServerOptions options, HttpHandler& handler);
@@ -78,18 +79,18 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Binds and starts accepting. Port 0 takes a free one. Returns the port, or nothing with `error` set.
+  /// Binds and starts accepting. Port 0 selects a free port. Returns the port, or nothing with `error` set.
   std::optional<uint16_t> listen(const std::string& address, uint16_t port, std::string& error);
-  /// Limits for connections and requests that come from now on.
+  /// Sets the limits for connections and requests that arrive from now on.
   void set_options(const HttpServerOptions& options);
-  /// Every answer whose head is written from now on says `Connection: close`, and its connection is closed after it;
-  /// new connections are still served.
+  /// Adds `Connection: close` to every response head written from now on and closes the connection after that response.
+  /// New connections are still accepted.
   void begin_draining();
-  /// Closes connections on which no request has been read or served for this long.
+  /// Closes connections that have been idle, with no request being read or served, for at least `min_idle_time`.
   void close_idle_connections(std::chrono::milliseconds min_idle_time = {});
-  /// The same as draining, and new connections are refused.
+  /// Starts draining and stops accepting connections.
   void stop_accepting();
-  /// Drops everything at once, as when the process dies.
+  /// Closes the listener and all connections immediately, as if the process had crashed.
   void close_all();
   const HttpServerStats& stats() const;
 
--- a/src/net/http_types.h
+++ b/src/net/http_types.h
@@ -9,10 +9,10 @@
 
 using Header = std::pair<std::string, std::string>;
 
-/// Headers in the order received; names compare without case.
+/// Header fields in the order received. Names are compared case-insensitively.
 class Headers {
  public:
-  /// Value of the first header called `name`, or an empty view.
+  /// Returns the value of the first header called `name`, or an empty view.
   std::string_view find(std::string_view name) const;
   bool contains(std::string_view name) const;
   void add(std::string name, std::string value) { list_.emplace_back(std::move(name), std::move(value)); }
@@ -30,7 +30,7 @@
   Headers headers;
   std::string body;
 
-  /// The target without its query.
+  /// Returns the target without its query string.
   std::string_view path() const { return std::string_view(target).substr(0, target.find('?')); }
 };
 
@@ -43,10 +43,11 @@
 
 bool equals_ignoring_case(std::string_view left, std::string_view right);
 
-/// Headers that belong to one connection and are never forwarded, those named by `Connection` included.
+/// Returns true for headers that apply to a single connection and must not be forwarded, including those listed in
+/// `Connection`.
 bool is_hop_by_hop(std::string_view name, const Headers& headers);
 
-/// Splits "host:port". Empty host when malformed.
+/// Splits "host:port". Both parts are empty if `endpoint` is malformed.
 std::pair<std::string, std::string> split_endpoint(std::string_view endpoint);
 
 }  // namespace larchlever::net
--- a/src/net/listener_probe.cc
+++ b/src/net/listener_probe.cc
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Who does not serve closes within a round trip or two.
+/// How long to wait for the peer to close the connection. A peer that does not serve closes it within one or two round
+/// trips.
 constexpr auto kCloseWait = std::chrono::milliseconds(15);
 
 }  // namespace
@@ -35,7 +36,7 @@
   if (error) {
     co_return ListenerState::kUnknown;
   }
-  // A server that takes the connection says nothing before it was asked.
+  // A server that accepts the connection sends nothing before it receives a request.
   stream.expires_after(kCloseWait);
   char byte = 0;
   const auto space = asio::buffer(&byte, 1);
--- a/src/net/listener_probe.h
+++ b/src/net/listener_probe.h
@@ -6,20 +6,20 @@
 
 namespace larchlever::net {
 
-/// What a connection attempt tells of a server.
+/// Result of a connection attempt.
 enum class ListenerState {
-  /// The connection was taken and stayed open.
+  /// The connection was accepted and stayed open.
   kListening,
-  /// It was taken and closed at once.
+  /// The connection was accepted and closed immediately.
   kClosed,
-  /// The machine answers, but no process listens there.
+  /// The machine is reachable, but no process listens on the port.
   kRefused,
-  /// Nothing came back in time, or the address cannot be reached: the way there may be cut.
+  /// The attempt timed out or the address is unreachable. The server may be running behind a network partition.
   kUnknown
 };
 
-/// Opens a connection to `endpoint`, IP:PORT, sends nothing and watches for a moment whether it is kept. Returns within
-/// `timeout` and that moment. `endpoint` must live until then.
+/// Connects to `endpoint`, which is IP:PORT, sends nothing and checks for a short time whether the connection stays
+/// open. Takes at most `timeout` plus that time. `endpoint` must outlive the call.
 boost::asio::awaitable<ListenerState> probe_listener(const std::string& endpoint, std::chrono::milliseconds timeout);
 
 }  // namespace larchlever::net
--- a/src/net/peer_transport.cc
+++ b/src/net/peer_transport.cc
@@ -23,11 +23,11 @@
 constexpr size_t kMaxQueuedBytes = 96U << 20U;
 constexpr size_t kReadBufferBytes = 64 * 1024;
 constexpr auto kReconnectDelay = std::chrono::milliseconds(60);
-/// A connection that takes longer is begun anew: the opening packet was lost, perhaps since the machine was just
-/// starting, and the kernel sends it again only after a second.
+/// Connection attempts are abandoned and repeated after this time. The SYN may be lost, for instance while the peer's
+/// machine starts, and the kernel retransmits it only after a second.
 constexpr auto kConnectTimeout = std::chrono::milliseconds(300);
-/// Peers answer within milliseconds. A link that carries our messages but brings nothing back is dead in one direction,
-/// which TCP does not notice when a box in between swallows the bytes: it is dropped and dialled anew.
+/// A link on which nothing is received for this long after a message was sent is closed and reopened, since peers
+/// answer within milliseconds. A middlebox can silently drop packets in one direction, which TCP does not detect.
 constexpr auto kReplyTimeout = std::chrono::milliseconds(2000);
 
 struct Link {
@@ -39,13 +39,14 @@
   bool connected = false;
   bool writing = false;
   bool closed = false;
-  /// When the first message left since something last came back; nothing while the peer answers.
+  /// Send time of the first message since data was last received on this link; empty if the peer has answered.
   std::optional<TimePoint> unanswered_since;
 };
 
 using LinkPointer = std::shared_ptr<Link>;
 
-/// No delay for small messages; and a peer that vanished without a word is noticed by its missing acknowledgements.
+/// Disables Nagle's algorithm for small messages, and sets a timeout for unacknowledged data that detects a peer that
+/// vanished without closing the connection.
 void set_socket_options(tcp::socket& socket) {
   boost::system::error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
@@ -59,14 +60,14 @@
   Implementation(asio::any_io_executor given, Receiver given_receiver)
       : executor(std::move(given)), receiver(std::move(given_receiver)), acceptor(executor) {}
 
-  // Coroutines begin when the executor gets to them, by when the transport may be gone: each holds what it works on
-  // from the call on, as `self`.
+  // Coroutines start only when the executor runs them, and the transport may be destroyed before that. `self` and the
+  // other shared pointers keep what a coroutine uses alive from the call on.
   using Self = std::shared_ptr<Implementation>;
   asio::awaitable<void> accept_loop(Self self);
   asio::awaitable<void> read_loop(Self self, LinkPointer link);
   asio::awaitable<void> write_loop(Self self, LinkPointer link);
   asio::awaitable<void> dial(Self self, LinkPointer link, std::string endpoint);
-  /// False when the link sent something that is no frame of ours.
+  /// Passes complete frames of `buffer` to the receiver. Returns false if the link sent an invalid frame.
   bool process_frames(const LinkPointer& link, std::string& buffer);
   void close(const LinkPointer& link);
   void enqueue(const LinkPointer& link, std::string frame);
@@ -147,7 +148,7 @@
 
 asio::awaitable<void> PeerTransport::Implementation::write_loop(Self self, LinkPointer link) {
   while (!link->queue.empty() && !link->closed) {
-    // One write for everything that waits: fewer system calls when messages come in bursts.
+    // Write all queued messages at once, which needs fewer system calls when messages come in bursts.
     std::vector<std::string> batch(std::make_move_iterator(link->queue.begin()),
                                    std::make_move_iterator(link->queue.end()));
     link->queue.clear();
@@ -265,7 +266,7 @@
   }
   if (found == self.links_by_node.end()) {
     const auto known_address = self.addresses.find(node);
-    // Where no address was set, the node may be named by its endpoint.
+    // If no address was set, the node name itself may be an endpoint.
     const std::string endpoint = known_address != self.addresses.end() ? known_address->second
                                  : split_endpoint(node).first.empty()  ? std::string()
                                                                        : node;
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -24,9 +24,10 @@
   uint64_t silent_links = 0;
 };
 
-/// Messages between our own processes: length-prefixed, checksummed frames with one Thrift Envelope each, over TCP.
-/// Best effort: a message may be lost, never altered nor taken for another. Answers travel back over the connection
-/// that the question came by, so a node needs the addresses only of those it asks. One executor; not thread-safe.
+/// Sends messages between larchlever processes over TCP, as length-prefixed, checksummed frames with one Thrift
+/// Envelope each. Best effort: messages may be lost but are never altered or misattributed. Replies use the connection
+/// on which the request arrived, so a node needs only the addresses of the nodes to which it sends requests. Runs on
+/// one executor; not thread-safe.
 class PeerTransport {
  public:
   using Receiver = std::function<void(larchlever::wire::Envelope)>;
@@ -36,9 +37,9 @@
   PeerTransport(const PeerTransport&) = delete;
   PeerTransport& operator=(const PeerTransport&) = delete;
 
-  /// Binds and accepts peers; as HttpServer::listen.
+  /// Binds and starts accepting peers. Arguments and result are those of HttpServer::listen.
   std::optional<uint16_t> listen(const std::string& address, uint16_t port, std::string& error);
-  /// Where to dial a node, as IP:PORT.
+  /// Sets the address, IP:PORT, at which `node` is reached.
   void set_address(const std::string& node, const std::string& endpoint);
   void send(const larchlever::wire::Envelope& envelope);
   void close_all();
--- a/src/net/precompiled.h
+++ b/src/net/precompiled.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Precompiled: the slow headers of the I/O units. Logic units never include them.
+// Precompiled headers for I/O code: those that take long to compile. Code without I/O does not use this file.
 #include <boost/asio.hpp>
 #include <boost/json.hpp>
 #include <chrono>
--- a/src/net/timed_stream.cc
+++ b/src/net/timed_stream.cc
@@ -13,9 +13,10 @@
 
 namespace {
 
-/// How long after a deadline what had arrived by then may still be taken.
+/// An operation whose socket is ready at its deadline gets this much more time to complete.
 constexpr auto kReadyGracePeriod = std::chrono::milliseconds(200);
-/// Pause between two looks at a socket that was ready at its deadline; its operation ends with the next poll.
+/// Interval at which a socket that was ready at its deadline is checked again. Its operation completes in the next
+/// poll.
 constexpr auto kReadyRecheckInterval = std::chrono::milliseconds(1);
 
 }  // namespace
--- a/src/net/timed_stream.h
+++ b/src/net/timed_stream.h
@@ -13,11 +13,10 @@
 
 namespace larchlever::net {
 
-/// A TCP stream whose operations end with `boost::beast::error::timeout`, and a closed socket, when they take too long.
-///
-/// An operation times out only if the socket has nothing for it: a process that stood still finds its timers overdue
-/// before it has looked at its sockets, and what arrived meanwhile is to be read first. One executor and one operation
-/// at a time; not thread-safe. Models Asio's AsyncReadStream and AsyncWriteStream.
+/// A TCP stream whose operations fail with `boost::beast::error::timeout` and close the socket when their deadline
+/// passes. An operation times out only if the socket is not ready for it: after a pause of the process its timers fire
+/// before its sockets are polled, and data that arrived during the pause must be read first. Runs on one executor, with
+/// one operation at a time; not thread-safe. Models Asio's AsyncReadStream and AsyncWriteStream.
 class TimedStream {
  public:
   using executor_type = boost::asio::any_io_executor;
@@ -33,10 +32,10 @@
   executor_type get_executor() { return state_->socket.get_executor(); }
   boost::asio::ip::tcp::socket& socket() { return state_->socket; }
 
-  /// Bounds the operations that follow, all together, until the next call.
+  /// Sets one deadline for all operations that follow, until the next call.
   void expires_after(std::chrono::milliseconds timeout);
   void expires_never();
-  /// The operation under way ends with `operation_aborted`.
+  /// Makes the pending operation fail with `operation_aborted`.
   void cancel();
   void close();
 
@@ -61,18 +60,18 @@
  private:
   enum class Direction { kRead, kWrite };
 
-  /// Outlives the stream while an operation or its timer is pending.
+  /// Shared with pending operations and timers, which may outlive the stream.
   struct State : std::enable_shared_from_this<State> {
     explicit State(boost::asio::ip::tcp::socket given);
 
     void begin_operation(Direction direction);
-    /// What the operation ended with: a timeout if its deadline closed the socket.
+    /// Returns the result of the operation: a timeout if its deadline closed the socket, otherwise `error`.
     ErrorCode end_operation(ErrorCode error);
     void close();
 
     boost::asio::ip::tcp::socket socket;
     std::optional<std::chrono::steady_clock::time_point> deadline;
-    /// Set once the deadline passed while the socket was ready: until when what is there may be taken.
+    /// Set when the deadline passes while the socket is ready. The operation may still complete until this time.
     std::optional<std::chrono::steady_clock::time_point> grace_end;
 
    private:
@@ -81,7 +80,7 @@
     bool is_ready(Direction direction);
 
     boost::asio::steady_timer timer_;
-    /// Tells a timer of an earlier operation from the present one's.
+    /// Identifies the current operation, so that timers of earlier operations are ignored.
     uint64_t operation_number_ = 0;
     bool timed_out_ = false;
   };
