--- a/src/consensus/raft_elections.cc
+++ b/src/consensus/raft_elections.cc
@@ -96,7 +96,7 @@
     granted += vote != votes_.end() ? 1 : 0;
     granted_unconditionally += vote != votes_.end() && !vote->second ? 1 : 0;
   }
-  // A voter that lost its identity holds no lease, but still counts towards the majority: committed entries are only
+  // A voter whose disk was lost holds no lease, but it still counts towards the majority: committed entries are only
   // guaranteed to be on a majority of the voters.
   const auto gone = static_cast<size_t>(std::count_if(
       voters.begin(), voters.end(), [this](const auto& voter) { return gone_voters_.contains(voter.replica_id); }));
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -78,13 +78,15 @@
 };
 
 /// A member of the replicated log, as a deterministic state machine: Raft with pre-vote, check-quorum, a leader lease,
-/// learners and membership changes of one replica at a time. \n\p Guarantees, provided that the owner keeps the order
-/// of RaftOutput and that clocks drift by at most kMaximumClockDrift:
+/// learners and membership changes of one replica at a time.
 ///
+/// Guarantees, provided that the owner keeps the order of RaftOutput and that clocks drift by at most
+/// kMaximumClockDrift:
 /// - an entry returned by `take_committed` is never lost or replaced;
 /// - `has_lease` is true on at most one replica at any time;
-/// - a replica acknowledges only what is synced, and votes only under the identity of its data folder. \n\p Not
-/// thread-safe; the owner serializes all calls.
+/// - a replica acknowledges only what is synced, and votes only under the identity of its data folder.
+///
+/// Not thread-safe; the owner serializes all calls.
 class RaftNode {
  public:
   /// `replica_id` is the identity stored in the data folder. `boot` must increase with every start of this replica.
@@ -138,7 +140,8 @@
   const wire::ReplicaSet& replicas() const { return log_.replicas(); }
   bool replica_change_pending() const { return log_.replicas_index() > commit_index_; }
   bool is_voter() const;
-  /// False while a restarted voter does not know yet whether its disk lost acknowledged entries.
+  /// False while a restarted voter does not know yet whether its disk lost acknowledged entries, and once its identity
+  /// was rejected.
   bool may_vote() const { return !restart_check_pending_ && !identity_rejected_; }
   /// True if this replica restarted recently and no leader has contacted it since. A leader that counted a reply sent
   /// before the restart may still hold its lease. Therefore a vote given in this period counts only if all voters grant
--- a/src/storage/data_folder.cc
+++ b/src/storage/data_folder.cc
@@ -50,7 +50,7 @@
   return content.substr(kChecksumDigits);
 }
 
-/// Numbers of the files called `prefix`NUMBER, ascending.
+/// Returns the numbers N of the files named `prefix`N, in ascending order.
 std::vector<uint64_t> list_numbered_files(const fs::path& folder, std::string_view prefix) {
   std::vector<uint64_t> numbers;
   for (const auto& item : fs::directory_iterator(folder)) {
@@ -158,7 +158,7 @@
       return error;
     }
   }
-  // An entry of an older term than the snapshot's last one stems from a log that the snapshot replaced.
+  // If the first entry has an older term than the snapshot, the entries belong to a log that the snapshot replaced.
   if (!recovered_.entries.empty() && recovered_.entries.front().term < recovered_.snapshot.term) {
     recovered_.entries.clear();
   }
@@ -186,7 +186,7 @@
   if (snapshots.empty()) {
     return std::nullopt;
   }
-  // Older snapshots are no substitute: the log behind the newest one may be gone already.
+  // Do not fall back to an older snapshot: log entries that only the newest one covers may have been removed.
   const auto content =
       verify_and_strip_checksum(read_file(path_ / (kSnapshotPrefix + std::to_string(snapshots.back()))));
   const auto stored = content ? wire::decode<wire::SnapshotRequest>(*content) : std::nullopt;
@@ -217,8 +217,8 @@
   if (offset == file.size()) {
     return std::nullopt;
   }
-  // A later intact record that was written after `offset` had been synced proves that the damage is no unfinished
-  // write: the replica may have acknowledged what is gone, so it must not take part.
+  // An intact later record that was written after `offset` had been synced proves that the damage is not an unfinished
+  // write. The replica may have acknowledged the lost entries, so it must not take part.
   bool may_be_acknowledged = !is_last;
   for (uint64_t later_offset = offset + 1; later_offset < file.size() && !may_be_acknowledged; ++later_offset) {
     const auto record = decode_record(file, later_offset);
@@ -233,8 +233,8 @@
   std::error_code code;
   fs::resize_file(segment_path(number), offset, code);
   if (code) {
-    return make_error(StorageErrorKind::kWriteFailed,
-                      "cannot cut the unfinished tail of " + segment_path(number).string() + ": " + code.message());
+    return make_error(StorageErrorKind::kWriteFailed, "cannot truncate the unfinished tail of " +
+                                                          segment_path(number).string() + ": " + code.message());
   }
   return std::nullopt;
 }
@@ -293,7 +293,7 @@
   segment_number_ = number;
   segment_offset_ = 0;
   synced_offset_ = 0;
-  // Every segment begins with the hard state, so that older ones can be removed.
+  // Every segment begins with the hard state, so that older segments can be removed.
   std::string bytes;
   encode_record(bytes, 0, RecordType::kHardState, 0, wire::encode(hard_state_));
   if (auto error = append_and_sync(bytes)) {
@@ -310,7 +310,7 @@
   std::string bytes;
   for (const auto* output : batch) {
     if (output->snapshot) {
-      // What came before belongs to the old segment; the snapshot then opens a new one.
+      // Earlier outputs of the batch belong to the old segment. The snapshot then starts a new one.
       std::optional<StorageError> error = bytes.empty() ? std::nullopt : append_and_sync(bytes);
       bytes.clear();
       if (!error) {
@@ -351,7 +351,7 @@
     }
     if (count <= 0) {
       const bool disk_full = errno == ENOSPC || errno == EDQUOT;
-      // The half-written batch must not be read back as a record, nor must the next one follow a gap.
+      // Remove the partly written batch: it must not be read as a record, and the next batch must not follow a gap.
       const bool truncated = ::ftruncate(segment_descriptor_, static_cast<off_t>(segment_offset_)) == 0;
       auto error = make_error(disk_full ? StorageErrorKind::kDiskFull : StorageErrorKind::kWriteFailed,
                               "cannot append to " + segment_path(segment_number_).string() + ": " +
@@ -377,7 +377,7 @@
   if (file_system_.sync(descriptor) != 0) {
     fatal_error_ = make_error(StorageErrorKind::kSyncFailed,
                               "cannot sync " + file_name + ": " + std::strerror(errno) +
-                                  "; check the disk; the replica stays out until the node is restarted");
+                                  "; check the disk; the replica is disabled until the node is restarted");
     return fatal_error_;
   }
   return std::nullopt;
@@ -443,8 +443,8 @@
     return error;
   }
   if (snapshot.replaces_log) {
-    // The snapshot goes first: were the old entries voided before it is in place, a crash in between would lose
-    // entries that this replica has acknowledged. Stale entries behind it are recognised by their term instead.
+    // Write the snapshot before the reset record. In the opposite order, a crash in between would lose acknowledged
+    // entries. After a crash in this order, recovery detects the outdated entries by their term.
     std::string bytes;
     encode_record(bytes, segment_offset_, RecordType::kReset, synced_offset_, "");
     if (auto error = append_and_sync(bytes)) {
@@ -483,7 +483,7 @@
 
 std::optional<StorageError> DataFolder::assign_identity(ReplicaId replica_id) {
   if (replica_id_.value() != 0) {
-    // The retired log is kept for inspection, out of recovery's sight.
+    // Keep the retired log for inspection, where recovery does not read it.
     const fs::path retired = path_ / ("retired-" + std::to_string(replica_id_.value()));
     std::error_code code;
     fs::create_directories(retired, code);
--- a/src/storage/data_folder.h
+++ b/src/storage/data_folder.h
@@ -28,37 +28,37 @@
 /// The durable state of one control replica: an identity, a segmented log with checksums and the newest snapshot,
 /// in one folder.
 ///
-/// Guarantees: what `write` reported as written survives a restart; a batch that failed leaves no trace that recovery
-/// would read as acknowledged; a folder with damaged acknowledged records does not open. After a failed sync the
-/// object refuses all further work, because the kernel may have dropped the pages and would report the next sync as
-/// good.
+/// Guarantees: data that `write` reported as written survives a restart; recovery never treats a failed batch as
+/// acknowledged; a folder with damaged acknowledged records does not open. After a failed sync the object rejects all
+/// further work, because the kernel may have dropped the dirty pages and would report success for the next sync.
 ///
-/// Thread rules: one thread at a time; blocks on the disk.
+/// Used by one thread at a time; blocks on disk I/O.
 class DataFolder {
  public:
   static constexpr uint64_t kSegmentRotationBytes = 8U << 20U;
 
-  /// Opens `path`, creating it when absent, and recovers its content. On failure returns null and fills `error`.
-  /// `file_system` must outlive the folder.
+  /// Opens `path`, creating it if absent, and recovers its content. Returns null and sets `error` on failure.
+  /// `file_system` must outlive the returned object.
   static std::unique_ptr<DataFolder> open(const std::filesystem::path& path, FileSystem& file_system,
                                           StorageError& error);
   ~DataFolder();
   DataFolder(const DataFolder&) = delete;
   DataFolder& operator=(const DataFolder&) = delete;
 
-  /// Identity of this folder; zero when none was ever given (a fresh or replaced disk).
+  /// Identity of this folder, or zero if none was assigned (a new or replaced disk).
   ReplicaId replica_id() const { return replica_id_; }
-  /// Gives a fresh folder its identity, synced. Old content under another identity is set aside first.
+  /// Assigns an identity and syncs it. If the folder has another identity, its old content is first moved into a
+  /// subfolder.
   std::optional<StorageError> assign_identity(ReplicaId replica_id);
-  /// What recovery found; moves it out, so call once.
+  /// Returns the recovered state. It is moved out, so call this only once.
   consensus::PersistedState take_recovered_state() { return std::move(recovered_); }
 
-  /// Writes a batch and syncs it once. Several outputs may share one sync: group commit.
+  /// Writes a batch and syncs it once, so that several outputs share one sync (group commit).
   std::optional<StorageError> write(const std::vector<const consensus::RaftOutput*>& batch);
-  /// Keeps `content` as it is, replacing what was kept before; it survives a restart whole or not at all. For state
-  /// that is only a convenience: a failure here says nothing about the log.
+  /// Atomically replaces the state copy by `content`. The state copy is an optimization for the next start; a failure
+  /// here does not affect the log.
   std::optional<StorageError> save_state_copy(std::string_view content);
-  /// What `save_state_copy` kept last; empty when there is none.
+  /// Returns the content last saved by `save_state_copy`, or an empty string if there is none or it is damaged.
   std::string read_state_copy() const;
   const StorageStats& stats() const { return stats_; }
 
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -6,7 +6,7 @@
 
 namespace larchlever::storage {
 
-/// The system calls whose failures storage must survive; tests replace it to provoke them.
+/// System calls whose failures storage must handle. Tests override them to inject failures.
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
--- a/src/storage/storage_error.h
+++ b/src/storage/storage_error.h
@@ -7,16 +7,16 @@
 enum class StorageErrorKind {
   kNone,
   kCannotOpen,       ///< Folder or file missing, or no permission.
-  kLocked,           ///< Another process holds the data folder.
+  kLocked,           ///< Another process has locked the data folder.
   kCorruptRecord,    ///< A record that had been synced no longer matches its checksum.
   kCorruptSnapshot,  ///< The newest snapshot does not match its checksum.
-  kMissingSegment,   ///< The numbering of the segments has a gap.
-  kDiskFull,         ///< No space; nothing of the failed batch counts as written.
-  kSyncFailed,       ///< The kernel could not confirm a write; the folder's state is unknown.
+  kMissingSegment,   ///< A segment between two others is missing.
+  kDiskFull,         ///< No space left; nothing of the failed batch is kept.
+  kSyncFailed,       ///< A sync failed; the content of the folder is unknown.
   kWriteFailed,
 };
 
-/// What went wrong in a data folder, with the remedy in the message.
+/// A failure of a data folder. The message includes a remedy.
 struct StorageError {
   StorageErrorKind kind = StorageErrorKind::kNone;
   std::string message;
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -33,7 +33,7 @@
     const int max_message_bytes =
         std::max<int>(kMinMessageLimitBytes, static_cast<int>(bytes.size()) + kMinMessageLimitBytes);
     auto configuration = std::make_shared<TConfiguration>(max_message_bytes, max_message_bytes, kMaxNestingDepth);
-    // The buffer only observes the bytes: TMemoryBuffer never writes under the OBSERVE policy.
+    // The buffer does not modify the bytes: TMemoryBuffer never writes under the OBSERVE policy.
     auto* data = reinterpret_cast<uint8_t*>(const_cast<char*>(bytes.data()));
     auto buffer = std::make_shared<TMemoryBuffer>(data, static_cast<uint32_t>(bytes.size()), TMemoryBuffer::OBSERVE,
                                                   configuration);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -8,12 +8,12 @@
 
 namespace larchlever::wire {
 
-/// Serialises a Thrift struct with the compact protocol. Thread-safe; `Message` is any generated struct.
+/// Serializes a Thrift struct with the compact protocol. Thread-safe. `Message` is any generated struct.
 template <typename Message>
 std::string encode(const Message& message);
 
-/// Parses bytes made by `encode`. Returns nothing when the bytes are truncated or malformed; never throws.
-/// Container and string sizes are bounded by `bytes.size()`, so hostile input cannot allocate more than it sent.
+/// Parses bytes created by `encode`. Returns nothing if they are truncated or malformed; never throws. Container and
+/// string sizes are limited by `bytes.size()`, so malicious input cannot cause larger allocations than its own size.
 template <typename Message>
 std::optional<Message> decode(std::string_view bytes);
 
