--- a/tests/node/http_test.cc
+++ b/tests/node/http_test.cc
@@ -25,7 +25,7 @@
   int requests = 0;
 };
 
-/// Sends raw bytes to a server and returns everything it answers until it closes.
+/// Sends raw bytes to a server and returns everything it sends back until it closes the connection.
 std::string send_raw_request(const std::string& bytes) {
   asio::io_context context(1);
   OkHandler ok_handler;
@@ -79,7 +79,7 @@
   EXPECT_TRUE(closed);
 }
 
-/// Answers after a while: whole, or as a stream whose head goes out at once.
+/// Responds after a delay, either with a complete response or with a stream whose head is sent immediately.
 class DelayedResponseHandler : public HttpHandler {
  public:
   explicit DelayedResponseHandler(bool use_stream) : use_stream_(use_stream) {}
@@ -103,8 +103,9 @@
   bool use_stream_;
 };
 
-/// Sends a request, lets the server drain while it is answered, and then another on the same connection. All that was
-/// answered until the server closed it.
+/// Sends a request, starts draining the server while the response is pending and, unless the response announced the
+/// close, sends another request on the same connection. Returns everything received until the server closed the
+/// connection.
 std::string responses_around_drain(bool use_stream) {
   asio::io_context context(1);
   DelayedResponseHandler handler(use_stream);
@@ -138,20 +139,20 @@
   return count;
 }
 
-// A caller's next request crossed the close of a connection that it was not told of: 9 of 12 kept connections were
-// closed so when their entries stopped. A request that may not run twice cannot be sent again then.
+// If a draining server closes a kept-alive connection without announcing it, the caller's next request can cross the
+// close and be lost: this hit 9 of 12 kept connections when their entries stopped. A request that must not run twice
+// cannot be retried then.
 TEST(HttpServer, AnnouncesConnectionCloseWhileDraining) {
   const auto whole = responses_around_drain(false);
   EXPECT_EQ(count_occurrences(whole, "HTTP/1.1 200"), 1U);
-  EXPECT_EQ(count_occurrences(whole, "Connection: close"), 1U)
-      << "its head was written when the server drained already";
+  EXPECT_EQ(count_occurrences(whole, "Connection: close"), 1U) << "the head was written after draining started";
   const auto use_stream = responses_around_drain(true);
   EXPECT_EQ(count_occurrences(use_stream, "HTTP/1.1 200"), 2U)
-      << "the first head went out before: one more request is served";
+      << "the first head was written before draining started, so one more request is served";
   EXPECT_EQ(count_occurrences(use_stream, "Connection: close"), 1U);
 }
 
-/// A cancellation outlives the attempt to connect: it must not touch the connection that was given up.
+/// The Cancellation outlives the failed connection attempt and must not access the destroyed connection.
 TEST(HttpClient, CancelAfterFailedConnectIsHarmless) {
   asio::io_context context(1);
   asio::ip::tcp::acceptor unused_port_acceptor(context, {asio::ip::make_address("127.0.0.1"), 0});
@@ -201,14 +202,14 @@
   EXPECT_TRUE(done);
 }
 
-/// A server of one connection, driven by the test: answers are written when the test says so.
+/// A server for one connection that writes only when the test tells it to.
 class ManualServer {
  public:
   explicit ManualServer(asio::io_context& context)
       : acceptor_(context, {asio::ip::make_address("127.0.0.1"), 0}), socket_(context) {}
 
   std::string endpoint() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
-  /// Takes one connection and answers with `bytes` before it has read anything.
+  /// Accepts one connection and writes `bytes` before reading anything.
   void accept_and_write(const std::string& bytes) {
     acceptor_.async_accept(socket_, [this, bytes](boost::system::error_code error) {
       ASSERT_FALSE(error);
@@ -224,15 +225,15 @@
 
 constexpr auto kShortTimeout = std::chrono::milliseconds(100);
 
-/// Stands still until a timeout set just before is over. `arrival` happens as the first thing afterwards: before the
-/// timeout is judged, and before the sockets are looked at.
+/// Blocks the thread until a timeout that was set just before has passed. `on_resume` then runs before the timeout is
+/// handled and before the sockets are polled.
 void block_past_timeout(asio::steady_timer& timer, const std::function<void()>& on_resume) {
   timer.expires_after(kShortTimeout / 2);
   timer.async_wait([on_resume](boost::system::error_code) { on_resume(); });
   std::this_thread::sleep_for(kShortTimeout * 3 / 2);
 }
 
-/// Runs a coroutine on the context until it has ended, or for five seconds; false when it has not.
+/// Runs a coroutine on the context until it ends, for at most five seconds. Returns false if it has not ended.
 bool run(asio::io_context& context, asio::awaitable<void> task) {
   bool is_done = false;
   asio::co_spawn(context, std::move(task), [&is_done](const std::exception_ptr&) { is_done = true; });
@@ -240,7 +241,8 @@
   return is_done;
 }
 
-// A process that stood still closed its streams as too slow although their next events lay in its sockets.
+// Guards against a client that, after a pause of its process, times out a stream although the next data is already in
+// its socket.
 TEST(HttpClient, ReadsBodyThatArrivedDuringProcessPause) {
   asio::io_context context(1);
   ManualServer server(context);
@@ -263,7 +265,7 @@
   EXPECT_EQ(body, "first rest") << error;
 }
 
-// The same on a connection that is just made: the head of the answer was there.
+// The same while waiting for the response head on a new connection.
 TEST(HttpClient, ReadsHeadThatArrivedDuringProcessPause) {
   asio::io_context context(1);
   ManualServer server(context);
@@ -309,7 +311,8 @@
   EXPECT_TRUE(run(context, read_until_timeout()));
 }
 
-// A kept connection was closed as idle although the caller's next request lay in its socket.
+// Guards against a server that, after a pause of its process, closes a kept-alive connection as idle although the next
+// request is already in its socket.
 TEST(HttpServer, ServesRequestThatArrivedDuringProcessPause) {
   asio::io_context context(1);
   OkHandler ok_handler;
--- a/tests/node/listener_lifetime_test.cc
+++ b/tests/node/listener_lifetime_test.cc
@@ -14,9 +14,9 @@
   boost::asio::awaitable<void> handle(HttpExchange& /*exchange*/) override { co_return; }
 };
 
-// A node whose start fails on its second address drops the listener of its first one, which accepts nothing yet: its
-// coroutine has not begun. It then began on freed memory. The reports of the sanitizer:
-//   heap-use-after-free in std::__shared_count ... PeerTransport::Implementation::accept_loop
+// When a node cannot listen on its second address, it destroys the listener of its first one before that listener's
+// accept coroutine has started. The coroutine must not run on freed memory (AddressSanitizer: heap-use-after-free in
+// PeerTransport::Implementation::accept_loop).
 TEST(ListenerLifetime, TransportDestroyedBeforeAcceptLoopStarts) {
   boost::asio::io_context context;
   std::string error;
@@ -36,7 +36,7 @@
   context.run();
 }
 
-// A message to a peer starts a coroutine that dials; the transport may end first.
+// Sending to a peer starts a coroutine that connects; the transport may be destroyed before it runs.
 TEST(ListenerLifetime, TransportDestroyedBeforeConnectStarts) {
   boost::asio::io_context context;
   auto transport = std::make_unique<PeerTransport>(context.get_executor(), [](const wire::Envelope&) {});
--- a/tests/unit/data_folder_test.cc
+++ b/tests/unit/data_folder_test.cc
@@ -15,7 +15,7 @@
  public:
   ssize_t write(int descriptor, const void* data, size_t size) override {
     if (disk_full) {
-      // A full disk takes a part before it refuses.
+      // A full disk may accept part of a write before it fails.
       if (allow_partial_write) {
         allow_partial_write = false;
         return FileSystem::write(descriptor, data, size / 2);
@@ -111,11 +111,11 @@
     file_system_.disk_full = true;
     EXPECT_TRUE(folder->save_state_copy("third"));
     file_system_.disk_full = false;
-    EXPECT_EQ(folder->read_state_copy(), "second") << "a failed one leaves the one before";
+    EXPECT_EQ(folder->read_state_copy(), "second") << "a failed save keeps the previous copy";
   }
   std::ofstream(path_ / "copy", std::ios::app) << "x";
   auto folder = open();
-  ASSERT_NE(folder, nullptr) << "damage to the copy says nothing about the log";
+  ASSERT_NE(folder, nullptr) << "a damaged state copy does not affect the log";
   EXPECT_EQ(folder->read_state_copy(), "");
 }
 
--- a/tests/unit/raft_node_test.cc
+++ b/tests/unit/raft_node_test.cc
@@ -7,7 +7,7 @@
 namespace larchlever::consensus {
 namespace {
 
-/// Three voters whose messages are carried by hand.
+/// Three voters whose messages the test delivers.
 class RaftNodeTest : public testing::Test {
  protected:
   void SetUp() override {
@@ -26,7 +26,7 @@
     }
   }
 
-  /// Runs `duration`, delivering everything except to or from those in `cut_`.
+  /// Runs for `duration`, delivering all messages except those to or from replicas in `isolated_`.
   void run(Duration duration) {
     const TimePoint end = now_ + duration;
     while (now_ < end) {
@@ -65,13 +65,13 @@
     }
   }
 
-  /// Starts a replica anew on what it had stored.
+  /// Restarts a replica with its persisted state.
   void restart(int64_t id) {
     nodes_.at(id) =
         RaftNode(ReplicaId(id), Incarnation(++last_boot_), options_, persisted_[id], static_cast<uint64_t>(id), now_);
   }
 
-  /// The replica comes back at its address with an empty disk, under a new identity.
+  /// Replaces the replica by one with an empty disk and a new identity at the same address.
   void lose_disk(int64_t id) {
     persisted_[id] = PersistedState();
     nodes_.at(id) = RaftNode(ReplicaId(id + 100), Incarnation(1), options_, PersistedState(), 7, now_);
@@ -94,9 +94,8 @@
   std::set<int64_t> isolated_;
 };
 
-/// Starts a replica anew on what it had stored.
 TEST_F(RaftNodeTest, ElectsLeaderQuicklyAfterFullRestart) {
-  // The fixture's three have just started.
+  // The three replicas of the fixture have just started.
   run(milliseconds(450));
   EXPECT_NE(leader(), nullptr) << "before any election timeout has passed";
 }
@@ -104,16 +103,16 @@
 TEST_F(RaftNodeTest, RestartedVotersWaitOutPossibleLease) {
   isolated_.insert(3);
   run(options_.election_timeout_min - milliseconds(50));
-  EXPECT_EQ(leader(), nullptr) << "the one that does not answer may hold a lease";
+  EXPECT_EQ(leader(), nullptr) << "the unreachable replica may hold a lease";
   run(seconds(4));
   EXPECT_NE(leader(), nullptr);
 }
 
 TEST_F(RaftNodeTest, ElectsWithoutWaitingForVoterThatLostItsDisk) {
-  // Another identity answers at its address.
+  // Another identity replies at its address.
   lose_disk(3);
   run(milliseconds(450));
-  EXPECT_NE(leader(), nullptr) << "the two that are left are a majority, and nobody can hold a lease";
+  EXPECT_NE(leader(), nullptr) << "the two remaining voters are a majority, and no replica can hold a lease";
 }
 
 TEST_F(RaftNodeTest, NoElectionAfterMajorityLostTheirDisks) {
@@ -166,7 +165,7 @@
   const int64_t term = leader()->term();
   isolated_.clear();
   run(seconds(3));
-  // Pre-vote: the one that was cut off did not raise its term, so its return deposes nobody.
+  // With pre-vote, the isolated replica did not raise its term, so its return deposes no leader.
   EXPECT_EQ(leader()->term(), term);
 }
 
@@ -217,11 +216,11 @@
   reply.last_index = 0;
   reply.sent_at_us = to_microseconds(now_);
   reply.boot = 1;
-  reply.order = 1;  // Given before the acknowledgements that the leader already has.
+  reply.order = 1;  // Sent before the acknowledgements that the leader already received.
   late_message.__set_append_reply(reply);
   elected->step(now_, late_message);
   EXPECT_TRUE(elected->rolled_back().empty());
-  reply.boot = 2;  // Given by a later start of the same identity: its disk has lost entries.
+  reply.boot = 2;  // Sent after a restart of the same identity: its disk has lost entries.
   late_message.__set_append_reply(reply);
   elected->step(now_, late_message);
   EXPECT_TRUE(elected->rolled_back().contains(follower));
@@ -240,7 +239,7 @@
   learner.node = "n9";
   with_learner.learners.push_back(learner);
   EXPECT_TRUE(elected->propose_replicas(now_, with_learner));
-  EXPECT_FALSE(elected->propose_replicas(now_, with_learner)) << "a second change while one is open";
+  EXPECT_FALSE(elected->propose_replicas(now_, with_learner)) << "a second change while one is uncommitted";
 }
 
 }  // namespace
