--- a/src/wire/larchlever.thrift
+++ b/src/wire/larchlever.thrift
@@ -1,12 +1,12 @@
 /**
- * Messages between larchlever's own processes, and the records that live in the
- * replicated log and its snapshots. Regenerate with scripts/generate-wire.
+ * Messages between larchlever processes, and the records stored in the replicated log and its snapshots. Regenerate the
+ * C++ code with scripts/generate-wire.
  */
 namespace cpp larchlever.wire
 
 // ---------------------------------------------------------------- consensus
 
-/** One durable identity of a control replica: a node plus the identity of its data folder. */
+/** One durable identity of a control replica: its node and the identity of its data folder. */
 struct ReplicaAddress {
   1: i64 replica_id,
   2: string node,
@@ -43,7 +43,7 @@
   2: i64 last_index,
   3: i64 last_term,
   4: bool pre_vote,
-  /** Set by a planned hand-over: the voter need not wait for its leader to fall silent. */
+  /** Set by a leadership transfer: the voter need not wait for its contact with the old leader to time out. */
   5: bool transfer,
 }
 
@@ -51,9 +51,12 @@
   1: i64 term,
   2: bool granted,
   3: bool pre_vote,
-  /** The voter restarted so recently that a leader may still count on its word: its vote counts only where all vote. */
+  /**
+   * The voter restarted recently, and a leader may still rely on an acknowledgement from before the restart. The vote
+   * counts only if all voters grant theirs.
+   */
   4: bool granted_if_unanimous,
-  /** The voter's disk was lost: another identity runs at its address, so it holds no lease and will never vote. */
+  /** The voter's disk was lost. Another identity runs at its address, so it holds no lease and will never vote. */
   5: bool voter_gone,
 }
 
@@ -63,21 +66,24 @@
   3: i64 previous_term,
   4: i64 commit_index,
   5: list<LogEntry> entries,
-  /** Leader's send time in its own clock, echoed by the reply for its lease. */
+  /** Send time on the leader's clock. The reply returns it, and the leader computes its lease from it. */
   6: i64 sent_at_us,
 }
 
 struct AppendReply {
   1: i64 term,
   2: bool success,
-  /** On success the last index known to match; otherwise where to continue from. */
+  /** On success the last index known to match; otherwise the index after which to continue. */
   3: i64 match_index,
   4: i64 sent_at_us,
-  /** Last entry that the sender holds; with `boot` and `order` it shows a disk that lost acknowledged entries. */
+  /**
+   * Index of the last entry that the sender holds. Together with `boot` and `order` it reveals a disk that lost
+   * acknowledged entries.
+   */
   5: i64 last_index,
-  /** Start of the sender's process; rises with every start. */
+  /** Boot number of the sender's process; increases with every start. */
   6: i64 boot,
-  /** Counts the sender's replies since that start: tells a late reply from a newer one. */
+  /** Sequence number of the reply since that start; distinguishes a late reply from a newer one. */
   7: i64 order,
 }
 
@@ -92,7 +98,10 @@
   1: i64 term,
 }
 
-/** The leader found that the receiver's disk lost acknowledged entries: this identity must not take part again. */
+/**
+ * The leader found that the receiver's disk lost acknowledged entries. The receiver must not take part under this
+ * identity again.
+ */
 struct IdentityRejection {
   1: i64 term,
 }
@@ -113,7 +122,7 @@
 
 enum RepeatPolicy { UNSAFE = 0, SAFE = 1 }
 
-/** Shape of the groups that serve one model version. */
+/** Layout of the groups that serve one model version. */
 struct Template {
   1: string name,
   2: string model,
@@ -146,7 +155,7 @@
 /** Fleet-wide parameters. */
 struct FleetParameters {
   1: string placement_policy,
-  /** 0..100: weight of group downtime against stranded accelerators. */
+  /** 0..100: weight of group downtime relative to stranded accelerators. */
   2: i32 downtime_weight,
   3: i32 max_concurrent_loads,
   4: i32 claim_window_seconds,
@@ -165,14 +174,14 @@
   8: string zone,
   9: string domain,
   10: list<string> machines,
-  /** Incarnation of each machine, in the order of `machines`, that this epoch was formed with. */
+  /** Incarnation of each machine, in the order of `machines`, with which this epoch was formed. */
   11: list<i64> incarnations,
-  /** host:port of the first machine, which takes the requests. */
+  /** host:port of the first machine, which receives the requests. */
   12: string endpoint,
   13: i64 changed_at_ms,
 }
 
-/** One versioned value: the unit of configuration change and of distribution to entries. */
+/** One versioned value: the unit of configuration changes and of their distribution to entries. */
 struct Record {
   1: string key,
   2: i64 revision,
@@ -196,7 +205,7 @@
 struct ConfigurationChange {
   1: string operator_name,
   2: string command_id,
-  /** Revision of every key the operator read; zero means "absent". */
+  /** Revision of every key that the operator read; zero means "absent". */
   3: list<KeyRevision> reads,
   4: list<KeyWrite> writes,
 }
@@ -232,13 +241,13 @@
   8: MachineState state,
   9: i64 group_id,
   10: i32 epoch,
-  /** "model@version" whose weights the machine last loaded. */
+  /** "model@version" of the weights that the machine loaded last. */
   11: string weights,
-  /** The membership list or an operator says that this machine is leaving. */
+  /** The membership list or an operator has marked this machine as leaving. */
   12: bool leaving,
 }
 
-/** What was seen of a machine; registers it or moves it to a new incarnation. */
+/** Observation of a machine. Registers the machine or updates its incarnation. */
 struct MachineObservation {
   1: Machine machine,
 }
@@ -256,7 +265,7 @@
   3: GroupState to,
 }
 
-/** A machine confirmed that it holds nothing of (group, epoch), or its incarnation is dead. */
+/** A machine confirmed that it no longer holds anything of (group, epoch), or its incarnation has ended. */
 struct MachineRelease {
   1: string machine,
   2: i64 group_id,
@@ -276,7 +285,7 @@
   8: i32 answer_status,
   9: binary answer_body,
   10: string answer_content_type,
-  /** Tells one request of an entry from another, so that a repeated claim message is answered alike. */
+  /** Distinguishes requests of the same entry, so that a repeated claim message gets the same answer. */
   11: i64 nonce,
 }
 
@@ -297,7 +306,7 @@
   10: i64 claimed_at_ms,
 }
 
-/** The incarnation of an entry ended: what it had in progress has an unknown outcome. */
+/** An incarnation of an entry ended. The requests that it had in progress have an unknown outcome. */
 struct EntryLoss {
   1: string entry,
   2: i64 incarnation,
@@ -310,7 +319,7 @@
   4: bool leaving,
 }
 
-/** A whole configuration document, as the operator sent it, under the version that it carries. */
+/** A complete configuration document as sent by the operator, under its own version. */
 struct DocumentChange {
   1: i64 version,
   /** Empty when the content is compressed. */
@@ -320,23 +329,23 @@
   4: i64 content_size,
 }
 
-/** An operator's order to empty a zone, or to take that back. */
+/** An operator's request to evacuate a zone or to restore it. */
 struct ZoneEvacuationChange {
   1: string zone,
   2: bool begins,
 }
 
-/** The zones whose servers get no requests, by operators' orders. */
+/** The zones that operators have evacuated. Their servers receive no requests. */
 struct ZoneEvacuations {
-  /** Rises with each change of `zones`. */
+  /** Increases with each change of `zones`. */
   1: i64 revision,
   /** Sorted. */
   2: list<string> zones,
 }
 
 /**
- * The replicated state of a registered fleet, as stored in snapshots. Fields 1 to 4 are those of DocumentChange, which
- * earlier versions stored alone.
+ * The replicated state of a fleet with registered instances, as stored in snapshots. Fields 1 to 4 are those of
+ * DocumentChange, which earlier versions stored alone.
  */
 struct FleetLogSnapshot {
   1: i64 version,
@@ -347,7 +356,7 @@
 }
 
 struct Command {
-  /** Leader's wall clock, carried for expiry and audit; never decreases along the log. */
+  /** Leader's wall clock, used for expiry and audit. Never decreases along the log. */
   1: i64 at_ms,
   2: optional ConfigurationChange change,
   3: optional MachineObservation machine_observation,
@@ -367,7 +376,7 @@
   2: ChangeAnswer answer,
 }
 
-/** The whole replicated state, as stored in snapshots. */
+/** The complete replicated state, as stored in snapshots. */
 struct ControlSnapshot {
   1: i64 applied_index,
   2: list<Record> records,
@@ -378,7 +387,7 @@
   7: i64 next_group_id,
   8: i64 clock_ms,
   9: i64 oldest_delta_revision,
-  /** Chained hash of every command applied: equal on all replicas at the same index. */
+  /** Chained hash of every applied command; equal on all replicas at the same index. */
   10: i64 history_digest,
 }
 
@@ -390,9 +399,9 @@
   3: i32 seen_ago_ms,
   4: i64 group_id,
   5: i32 epoch,
-  /** The machine holds the weights of (group_id, epoch). */
+  /** The machine has loaded the weights of (group_id, epoch). */
   6: bool loaded,
-  /** Requests running or waiting in the engine; counted on the group's first machine. */
+  /** Requests that are running or queued in the engine; counted on the group's first machine. */
   7: i32 load,
 }
 
@@ -400,7 +409,7 @@
   1: string tenant,
   2: i32 running,
   3: i32 waiting,
-  /** Concurrency that the node still holds under an earlier grant. */
+  /** Concurrency that the node still uses under an earlier grant. */
   4: i32 held,
 }
 
@@ -412,10 +421,10 @@
   5: list<MachineSighting> sightings,
   6: list<TenantDemand> demand,
   7: bool leaving,
-  /** Identity of the data folder; zero on a diskless node. */
+  /** Identity of the data folder; zero on a node without a disk. */
   8: i64 replica_id,
   9: string peer_address,
-  /** Sequence of the newest reply that the node had received when it sent this; zero for none. */
+  /** Sequence of the newest reply received when this was sent; zero if there was none. */
   10: i64 acknowledged_sequence,
   11: string service_address,
 }
@@ -423,7 +432,7 @@
 struct GroupLease {
   1: i64 group_id,
   2: i32 epoch,
-  /** Requests in the engine when it was last seen. */
+  /** Requests in the engine when it was last observed. */
   3: i32 load,
 }
 
@@ -439,7 +448,7 @@
 
 struct HeartbeatReply {
   1: i64 sequence,
-  /** The sender does not lead: the node to ask instead, if known. */
+  /** Set if the sender is not the leader. `leader` is the node to ask instead, if known. */
   2: bool not_leader,
   3: string leader,
   4: i64 term,
@@ -459,7 +468,7 @@
   2: Claim claim,
 }
 
-/** Answer to a claim: granted, or the claim that stands in its way. */
+/** Reply to a claim: granted, or the existing claim that prevents it. */
 struct ClaimReply {
   1: i64 request_id,
   2: bool decided,
@@ -473,7 +482,7 @@
   2: ClaimResolution resolution,
 }
 
-/** The resolution is committed. */
+/** Confirms that the resolution is committed. */
 struct ResolutionReply {
   1: i64 request_id,
 }
@@ -530,7 +539,7 @@
 
 enum MembershipState { NONE = 0, JOINING = 1, READY = 2, OPEN = 3, CLOSING = 4, BROKEN = 5 }
 
-/** The group that an instance says it belongs to. */
+/** The group membership that an instance reports. */
 struct GroupMembership {
   1: string group,
   2: i64 epoch,
@@ -538,7 +547,7 @@
   4: MembershipState state,
 }
 
-/** One start of a back end, as it registered itself. */
+/** One incarnation of a back-end process, as it registered itself. */
 struct Instance {
   1: string id,
   2: string service_name,
@@ -547,27 +556,33 @@
   5: string domain,
   6: InstanceState state,
   7: i32 slots,
-  /** Rises with every registration call of the instance. */
+  /** Increases with every registration call of the instance. */
   8: i64 call_number,
   9: list<string> staged_models,
   10: GroupMembership membership,
-  /** Its registrations stopped; it may be down, or only cut off from the control replicas. */
+  /** The instance no longer renews its registration. It may be down, or only partitioned from the control replicas. */
   11: bool silent,
-  /** The model of the instance's last group since its start, whose weights it still holds; empty when it had none. */
+  /** The model of the instance's last group since its start, whose weights it still holds; empty if it had none. */
   12: string model,
-  /** Unix milliseconds of the start that says this; 0 when it does not tell. A new start is a new incarnation. */
+  /**
+   * Unix time in milliseconds of the reported start; 0 if the instance does not report it. A new start is a new
+   * incarnation.
+   */
   13: i64 born_ms,
-  /** For how much longer it bears few requests, in milliseconds, as it said itself. */
+  /** For how many more milliseconds the instance can take only few requests, as it reported. */
   14: i32 cold_left_ms,
-  /** It bears few requests now, by its own word or because it stood in an emptied zone until just now. */
+  /** The instance can take only few requests now: it reported so, or its zone was evacuated until recently. */
   15: bool cold,
-  /** Requests a second that it takes from all entries together, by its own answers; absent while it names no limit. */
+  /**
+   * Requests per second that the instance accepts from all entries together, as it reported in its responses; absent
+   * while it reports no limit.
+   */
   16: optional double limit_per_second,
 }
 
 enum GroupPhase { JOINING = 0, OPENING = 1, OPEN = 2, DRAINING = 3, DISSOLVING = 4 }
 
-/** A replica of a model over several instances; the first member is the head and takes the requests. */
+/** A replica of a model that runs on several instances. The first member is the head and receives the requests. */
 struct EngineGroup {
   1: string name,
   2: i64 epoch,
@@ -575,38 +590,41 @@
   4: string model,
   5: list<string> members,
   6: GroupPhase phase,
-  /** Births of the members that it was formed of, in their order; 0 for one that does not tell. */
+  /**
+   * Values of `born_ms` of the members with which the group was formed, in their order; 0 for a member that does not
+   * report it.
+   */
   7: list<i64> member_born_ms,
-  /** Zones of its members, each once; none when an earlier version formed it. */
+  /** Zones of the members, each once; empty if an earlier version formed the group. */
   8: list<string> zones,
 }
 
-/** A request that is sent to no server, since servers ended while they ran it. */
+/** A request that is no longer dispatched because servers crashed while they ran it. */
 struct BlockedRequest {
   1: i64 fingerprint,
-  /** Sendings granted since, to find out whether it still ends servers. */
+  /** Number of trial dispatches granted since then, to find out whether the request still crashes servers. */
   2: i32 trials,
-  /** The leader may grant one now. */
+  /** True if the leader may grant a trial now. */
   3: bool trial_due,
-  /** How long the present wait lasts in all, in milliseconds. */
+  /** Total length of the current wait for the next trial, in milliseconds. */
   4: i64 wait_ms,
 }
 
-/** The leader's soft state, as its subscribers copy it. Ordered by (term, version). */
+/** The leader's soft state, as copied by its subscribers. Ordered by (term, version). */
 struct FleetState {
   1: i64 term,
   2: i64 version,
   3: list<Instance> instances,
   4: list<EngineGroup> groups,
   5: list<BlockedRequest> blocked_requests,
-  /** Names of groups that are dissolved while servers still report them. */
+  /** Names of groups that are dissolved but still reported by servers. */
   6: list<string> released_groups,
 }
 
-/** Rows of the fleet's state that changed between two versions of one term. */
+/** Changes of the fleet state between two versions of one term. */
 struct FleetStateChange {
   1: i64 term,
-  /** Applies to copies of this version or a later one. */
+  /** The change applies to copies of this version or a later one. */
   2: i64 from_version,
   3: i64 version,
   4: list<Instance> instances,
@@ -614,215 +632,229 @@
   6: list<EngineGroup> groups,
   7: list<string> removed_groups,
   8: list<BlockedRequest> blocked_requests,
-  /** Fingerprints. */
+  /** Fingerprints of the requests. */
   9: list<i64> removed_blocked_requests,
   10: list<string> released_groups,
-  /** Those that no server reports any more. */
+  /** Names of released groups that no server reports any more. */
   11: list<string> removed_released_groups,
 }
 
 struct GroupLoad {
   1: string group,
   2: i32 in_flight,
-  /** Of them, streams that brought their first event. */
+  /** How many of these requests have received their first stream event. */
   4: i32 streaming,
-  /** Prompt tokens of the others. */
+  /** Prompt tokens of the other requests. */
   5: i64 waiting_tokens,
-  /** Milliseconds since the sender last saw an event or answer of the group; negative when it saw none. */
+  /** Milliseconds since the sender last received an event or response from the group; negative if it never did. */
   3: i32 progress_age_ms,
 }
 
-/** Requests for a model that a node received since it started: totals, so that a lost report loses nothing. */
+/**
+ * Requests for a model that a node received since it started. These are totals, so that a lost report loses no data.
+ */
 struct ModelDemand {
   1: string service_name,
   2: string model,
   3: i64 received,
   4: i64 prompt_tokens,
-  /** As far as the requests themselves foretold them. */
+  /** Expected answer tokens, as far as the requests indicate them. */
   5: i64 answer_tokens,
-  /** Shortest time to the first event that their routes aim at. */
+  /** Smallest target for the time to the first event among the routes of these requests. */
   6: i32 target_latency_ms,
 }
 
-/** An entry's own evidence against a group's head: it refused connections, reset or stood still. */
+/** An entry's own observation that a group's head failed: it refused or reset connections, or stalled. */
 struct GroupFailure {
   2: string group,
 }
 
 /**
- * A node reports to the control replica that it subscribes to: a control replica to the leader, an entry to any control
- * replica.
+ * Heartbeat of a node to the control replica that it subscribes to. A control replica subscribes to the leader, an
+ * entry to any control replica.
  */
 struct FleetHeartbeat {
   1: i64 sequence,
   2: string zone,
   /** Identity of the data folder; zero on a node without a disk. */
   3: i64 replica_id,
-  /** Where the node serves control calls, IP:PORT; empty when it does not. */
+  /** Address, IP:PORT, at which the node serves control calls; empty if it serves none. */
   4: string control_address,
   5: i64 document_version,
   6: i64 held_term,
   7: i64 held_version,
   11: bool leaving,
   12: bool serves_requests,
-  /** The copy held, sent when the leader asked for it. */
+  /** The sender's copy of the state, sent if the leader asked for it. */
   14: optional FleetState held_state,
-  /** The entry chooses targets by itself at present: the answer is to carry the loads of all entries. */
+  /** The entry currently chooses targets itself, so the reply must contain the loads of all entries. */
   17: bool wants_loads,
-  /** Of a control replica: entries that subscribe to it and serve requests. */
+  /** On control replicas: number of subscribed entries that serve requests. */
   18: i32 serving_entries,
-  /** Of a control replica: the version of `held_term` that all those entries hold at least. */
+  /** On control replicas: the lowest version of `held_term` that these entries hold. */
   19: i64 entries_hold_version,
-  /** Revision of the evacuations held. */
+  /** Revision of the evacuations that the sender holds. */
   20: i64 evacuation_revision,
 }
 
-/** An entry asks the leader for a slot of a group for one request. */
+/** Request of an entry to the leader for a slot in a group for one request. */
 struct SlotRequest {
-  /** Unique in the entry's life. */
+  /** Unique among the slot requests of one entry incarnation. */
   1: i64 id,
   2: string service_name,
   3: string model,
   4: i32 prompt_tokens,
-  /** Milliseconds from now until the group must have brought the first event; zero when the route aims at none. */
+  /** Milliseconds from now until the group must deliver the first event; zero if the route has no such target. */
   5: i32 first_event_ms,
-  /** Longest pause between events that the route aims at, in milliseconds; zero for none. */
+  /** The route's target for the longest pause between events, in milliseconds; zero for none. */
   6: i32 gap_ms,
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   7: i32 priority,
   /** How long the request may wait for a slot, in milliseconds. */
   9: i32 patience_ms,
-  /** Groups that the entry knows or believes to fail. */
+  /** Groups that the entry observed to fail or suspects. */
   10: list<string> excluded_groups,
-  /** Set when the entry asks for no slot, but whether it may send this blocked request once. */
+  /**
+   * If set, the entry requests no slot but permission for one trial dispatch of the blocked request with this
+   * fingerprint.
+   */
   11: optional i64 trial_of,
-  /** Set when the entry asks for no slot, but whether it may send this request again, whose answer was lost. */
+  /**
+   * If set, the entry requests no slot but permission to resend the request with this fingerprint, whose response was
+   * lost.
+   */
   12: optional i64 repeat_of,
-  /** Zones of the request's home regions, sorted, where it may run; absent when it may run anywhere. */
+  /** Zones of the request's home regions in which it may run, sorted; absent if it may run anywhere. */
   13: optional list<string> allowed_zones,
   /**
-   * Incarnations of plain servers that take only so many requests a second, the preferred one first: the entry asks
-   * for one of them, not for a group. Absent where it asks for a group.
+   * Incarnations of plain servers with a rate limit, in order of preference. The entry requests one of them instead of
+   * a group. Absent if it requests a group.
    */
   14: optional list<string> rated_servers,
 }
 
 enum SlotVerdict {
-  /** The request is to be sent to `group`. */
+  /** The request must be sent to `group`. */
   GRANTED = 0,
-  /** No slot is free yet; another answer follows within the request's patience. */
+  /** No slot is free yet. Another answer follows within the request's patience. */
   QUEUED = 1,
   /** No slot became free in time. */
   BUSY = 2,
-  /** The leader cannot tell: the entry decides by what it knows itself. */
+  /** The leader cannot decide. The entry decides by its own data. */
   UNDECIDED = 3,
 }
 
 struct SlotGrant {
-  /** Id of the request. */
+  /** The id of the SlotRequest. */
   1: i64 id,
-  /** Rises with each slot granted to the entry in the leader's term. */
+  /** Increases with each slot granted to the entry in the leader's term. */
   2: i64 sequence,
   3: SlotVerdict verdict,
   4: string group,
   /** Milliseconds after which the group's first event is expected. */
   5: i32 expected_ms,
-  /** The one of `rated_servers` that the request is to be sent to. */
+  /** The server of `rated_servers` to which the request must be sent. */
   6: optional string server,
-  /** With BUSY: milliseconds after which the servers' limits leave room for the request. */
+  /** With BUSY: milliseconds after which the rate limits of the servers admit the request. */
   7: optional i32 retry_after_ms,
 }
 
-/** A server ended while it ran a request of the sender. */
+/** A server crashed or ended while it ran a request of the sender. */
 struct RequestServerEnd {
   1: i64 fingerprint,
-  /** Its incarnation: the id, and its birth where it tells one. */
+  /** Incarnation of the server: its id, and its `born_ms` if it reports one. */
   2: string instance_id,
-  /** Milliseconds since the sender noticed it. */
+  /** Milliseconds since the sender noticed the end. */
   3: i64 age_ms,
-  /** Nothing answers there; the server's own later report shows the contrary. */
+  /** Set if no process answers at the server's address. A later report of the server itself disproves the end. */
   4: optional bool is_likely,
 }
 
-/** What a server said in an answer to the sender of the requests a second that it takes from all entries together. */
+/**
+ * The limit that a server named in a response to the sender: requests per second that it accepts from all entries
+ * together.
+ */
 struct ServerLimitReport {
   1: string incarnation,
-  /** Absent when it names a limit no more. */
+  /** Absent if the server no longer names a limit. */
   2: optional double per_second,
-  /** Milliseconds since the sender observed it. */
+  /** Milliseconds since the sender observed the limit. */
   3: i64 age_ms,
 }
 
-/** An entry's questions, and its load where it changed since it last told; sent to the leader. */
+/** An entry's slot requests, and its loads that changed since its last report. Sent to the leader. */
 struct SlotReport {
   1: list<SlotRequest> requests,
   2: list<GroupLoad> loads,
-  /** The last slot received, by the term and sequence it came under: `loads` count it. */
+  /** Term and sequence of the last slot grant received. `loads` include the requests of all grants up to it. */
   3: i64 grants_term,
   4: i64 grants_seen,
-  /** `loads` name every group where the entry has something under way; at the others it has nothing. */
+  /** `loads` list every group at which the entry has requests in flight; it has none at other groups. */
   5: bool is_complete,
-  /** Totals since the entry started; in complete reports. */
+  /** Totals since the entry started; only in complete reports. */
   6: list<ModelDemand> demand,
-  /** Groups that the entry avoids; in complete reports, and at once when one is added. */
+  /** Groups that the entry avoids. Contained in complete reports, and sent immediately when a group is added. */
   7: list<GroupFailure> failures,
-  /** The entry has seen at least one caller's request since it started. */
+  /** The entry has received at least one caller's request since it started. */
   8: bool traffic_seen,
-  /** Groups whose streams at this entry pause for longer than they should at present. */
+  /** Groups whose streams at this entry currently pause for longer than expected. */
   9: list<string> quiet_groups,
-  /** Servers that ended under the entry's requests since its last report; the newest again for a new leader. */
+  /**
+   * Servers that ended during the entry's requests since its last report. The most recent ones are repeated to a new
+   * leader.
+   */
   10: list<RequestServerEnd> server_ends,
   /** Fingerprints of suspected or blocked requests that a server answered. */
   11: list<i64> answered_requests,
-  /** Limits of servers that changed since the entry's last report; all that it knows in complete reports. */
+  /** Server limits that changed since the entry's last report; all known ones in complete reports. */
   12: list<ServerLimitReport> server_limits,
 }
 
 struct SlotAnswer {
   1: i64 term,
   2: list<SlotGrant> grants,
-  /** Groups that stand still by the word of several entries: what is under way there is to be sent elsewhere. */
+  /** Groups that have stalled according to several entries. Their in-flight requests must be sent elsewhere. */
   3: list<string> failed_groups,
 }
 
-/** A control replica, as nodes learn of it. */
+/** A control replica, as other nodes learn of it. */
 struct ControlPeer {
   1: string address,
-  /** Empty while it is not known. */
+  /** Empty while the zone is unknown. */
   2: string zone,
 }
 
 /**
- * Answer to a heartbeat (sequence set), or a push of news (sequence zero). Control replicas get it from the leader;
- * entries from the control replica that they subscribe to, which passes on what it holds itself.
+ * Reply to a heartbeat (sequence set) or an unsolicited update (sequence zero). Control replicas receive it from the
+ * leader; entries receive it from the control replica that they subscribe to, which forwards its own copy.
  */
 struct FleetUpdate {
   1: i64 sequence,
   2: bool not_leader,
-  /** Peer address of the leader, as far as the sender knows. */
+  /** Peer address of the leader, if known to the sender. */
   3: string leader,
   5: i64 term,
   6: i64 document_version,
   8: optional FleetState state,
-  /** Requests in flight per group at all entries, for who asked for it. */
+  /** In-flight requests per group at all entries, for nodes that asked for them. */
   9: list<GroupLoad> loads,
-  /** Entries that serve requests now; budgets that all share are split by it. */
+  /** Number of entries that currently serve requests. Budgets shared by all entries are divided by it. */
   10: i32 serving_nodes,
-  /** The leader lacks its predecessor's state and asks for the copy held. */
+  /** The leader does not have its predecessor's state and asks for the receiver's copy. */
   11: bool wants_state,
-  /** Sent instead of the state to who holds an earlier version of the same term. */
+  /** Sent instead of the state if the receiver holds an earlier version of the same term. */
   12: optional FleetStateChange state_change,
-  /** A call waits until all nodes hold this version: confirm at once rather than with the next heartbeat. */
+  /** A call waits until all nodes hold this version: confirm immediately instead of with the next heartbeat. */
   13: bool wants_confirmation,
-  /** Milliseconds since a leader knew `document_version` to be the newest; negative when none ever confirmed it. */
+  /** Milliseconds since a leader last confirmed that `document_version` is the newest; negative if none ever did. */
   14: i64 confirmed_age_ms,
-  /** All control replicas known. */
+  /** All known control replicas. */
   15: list<ControlPeer> control_peers,
-  /** Sent to who holds an earlier version. */
+  /** Sent if the receiver holds an earlier version. */
   16: optional DocumentChange document,
-  /** Revision of the evacuations that was the newest when `document_version` was. */
+  /** Revision of the evacuations that was the newest when `document_version` was confirmed. */
   17: i64 evacuation_revision,
-  /** Sent to who holds an earlier revision. */
+  /** Sent if the receiver holds an earlier revision. */
   18: optional ZoneEvacuations evacuations,
 }
 
@@ -842,7 +874,7 @@
   2: ControlCallKind kind,
   3: string instance_id,
   4: binary body,
-  /** Of an order to evacuate or restore. */
+  /** Zone of a call to evacuate or restore. */
   5: string zone,
 }
 
@@ -852,23 +884,26 @@
   3: binary body,
 }
 
-/** A heartbeat of an instance, as a control replica took it. */
+/** A heartbeat of an instance, as received by a control replica. */
 struct RegistrationReport {
   1: Instance instance,
-  /** Term of the newest leader that the replica knew of when it took the heartbeat; 0 for none. */
+  /** Term of the newest leader known to the replica when it received the heartbeat; 0 if it knew none. */
   2: i64 known_term,
 }
 
-/** Heartbeats of instances that a control replica took, for the leader. */
+/** Heartbeats of instances received by a control replica, for the leader. */
 struct RegistrationBatch {
   1: list<RegistrationReport> reports,
 }
 
-/** What a seed of a new fleet says to the others until one of them has made the first log. */
+/** Message of a seed of a new fleet to the other seeds until one of them has created the first log. */
 struct FormationNotice {
-  /** Peer address of the seed that the sender lets make the first log, as its disk holds it; empty while it has not chosen. */
+  /**
+   * Peer address of the seed that the sender has chosen to create the first log, as persisted on its disk; empty while
+   * it has not chosen.
+   */
   1: string choice,
-  /** The sender holds a log: the fleet exists. */
+  /** The sender has a log, so the fleet already exists. */
   2: bool holds_log,
 }
 
