--- a/src/consensus/raft_elections.cc
+++ b/src/consensus/raft_elections.cc
@@ -98,9 +98,9 @@
   }
   // A voter whose disk was lost holds no lease, but it still counts towards the majority: committed entries are only
   // guaranteed to be on a majority of the voters.
-  const auto gone = static_cast<size_t>(std::count_if(
+  const auto gone_voter_count = static_cast<size_t>(std::count_if(
       voters.begin(), voters.end(), [this](const auto& voter) { return gone_voters_.contains(voter.replica_id); }));
-  const bool unanimous = granted + gone == voters.size() && granted >= majority(voters.size());
+  const bool unanimous = granted + gone_voter_count == voters.size() && granted >= majority(voters.size());
   if (granted_unconditionally < majority(voters.size()) && !unanimous) {
     return;
   }
@@ -163,14 +163,14 @@
     tally_votes(now);
     return;
   }
-  const int64_t asked_term = reply.pre_vote ? hard_state_.term + 1 : hard_state_.term;
+  const int64_t requested_term = reply.pre_vote ? hard_state_.term + 1 : hard_state_.term;
   if (!reply.granted && !reply.granted_if_unanimous) {
     if (reply.term > hard_state_.term) {
       become_follower(now, reply.term, 0);
     }
     return;
   }
-  if (reply.term == asked_term) {
+  if (reply.term == requested_term) {
     votes_[from] = reply.granted_if_unanimous;
     tally_votes(now);
   }
@@ -181,7 +181,7 @@
   leader_ = id_.value();
   lease_released_ = false;
   rolled_back_.clear();
-  ++stats_.terms_led;
+  ++stats_.elections_won;
   progress_.clear();
   update_progress_table();
   quorum_deadline_ = now + options_.election_timeout_max;
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -348,10 +348,10 @@
     return;
   }
   std::sort(matches.begin(), matches.end(), std::greater<>());
-  const int64_t candidate = matches[majority(matches.size()) - 1];
+  const int64_t majority_match_index = matches[majority(matches.size()) - 1];
   // Only entries of the current term are committed by counting replicas; earlier entries are committed with them.
-  if (candidate > commit_index_ && log_.term_at(candidate) == hard_state_.term) {
-    commit_index_ = candidate;
+  if (majority_match_index > commit_index_ && log_.term_at(majority_match_index) == hard_state_.term) {
+    commit_index_ = majority_match_index;
   }
 }
 
@@ -514,8 +514,8 @@
   if (contact != TimePoint::min() && !lease_released_) {
     quorum_deadline_ = std::max(quorum_deadline_, contact + options_.election_timeout_max);
   }
-  const bool removed = !is_voter() && commit_index_ >= log_.replicas_index();
-  if (now >= quorum_deadline_ || removed) {
+  const bool removed_from_voters = !is_voter() && commit_index_ >= log_.replica_set_index();
+  if (now >= quorum_deadline_ || removed_from_voters) {
     ++stats_.quorum_losses;
     become_follower(now, hard_state_.term, 0);
   }
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -69,7 +69,7 @@
 
 struct RaftStats {
   uint64_t elections_started = 0;
-  uint64_t terms_led = 0;
+  uint64_t elections_won = 0;
   uint64_t quorum_losses = 0;
   uint64_t snapshots_sent = 0;
   uint64_t snapshots_installed = 0;
@@ -138,7 +138,7 @@
   int64_t first_index() const { return log_.first_index(); }
   int64_t last_index() const { return log_.last_index(); }
   const wire::ReplicaSet& replicas() const { return log_.replicas(); }
-  bool replica_change_pending() const { return log_.replicas_index() > commit_index_; }
+  bool replica_change_pending() const { return log_.replica_set_index() > commit_index_; }
   bool is_voter() const;
   /// False while a restarted voter does not know yet whether its disk lost acknowledged entries, and once its identity
   /// was rejected.
--- a/src/consensus/replicated_log.cc
+++ b/src/consensus/replicated_log.cc
@@ -86,7 +86,7 @@
   return snapshot_.replicas;
 }
 
-int64_t ReplicatedLog::replicas_index() const {
+int64_t ReplicatedLog::replica_set_index() const {
   return replica_sets_.empty() ? snapshot_.index : replica_sets_.back().first;
 }
 
--- a/src/consensus/replicated_log.h
+++ b/src/consensus/replicated_log.h
@@ -45,7 +45,7 @@
   /// The replica set in effect at `index`.
   const wire::ReplicaSet& replicas_at(int64_t index) const;
   /// Index of the entry that contains the newest replica set.
-  int64_t replicas_index() const;
+  int64_t replica_set_index() const;
 
  private:
   void record_replica_set(const wire::LogEntry& entry);
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 constexpr size_t kMaxIdleConnectionsPerEndpoint = 64;
 constexpr size_t kReadBufferBytes = 16 * 1024;
 constexpr uint64_t kMaxResponseHeadBytes = 64 * 1024;
@@ -90,10 +90,10 @@
 }  // namespace
 
 struct HttpClient::Implementation : std::enable_shared_from_this<HttpClient::Implementation> {
-  explicit Implementation(asio::any_io_executor given) : executor(std::move(given)) {}
+  explicit Implementation(asio::any_io_executor given_executor) : executor(std::move(given_executor)) {}
 
   std::unique_ptr<Connection> take_idle(const std::string& endpoint) {
-    auto& list = idle[endpoint];
+    auto& list = idle_connections[endpoint];
     while (!list.empty()) {
       auto connection = std::move(list.back());
       list.pop_back();
@@ -107,7 +107,7 @@
   }
 
   void keep_idle(const std::string& endpoint, std::unique_ptr<Connection> connection) {
-    auto& list = idle[endpoint];
+    auto& list = idle_connections[endpoint];
     if (list.size() < kMaxIdleConnectionsPerEndpoint) {
       connection->stream.expires_never();
       list.push_back(std::move(connection));
@@ -115,7 +115,7 @@
   }
 
   asio::any_io_executor executor;
-  std::map<std::string, std::deque<std::unique_ptr<Connection>>> idle;
+  std::map<std::string, std::deque<std::unique_ptr<Connection>>> idle_connections;
   HttpClientStats stats;
 };
 
@@ -148,7 +148,8 @@
       body.data = piece.data();
       body.size = piece.size();
       connection_->stream.expires_after(timeout);
-      auto [error, count] = co_await http::async_read_some(connection_->stream, connection_->buffer, *parser_, kAwait);
+      auto [error, count] =
+          co_await http::async_read_some(connection_->stream, connection_->buffer, *parser_, kAwaitWithError);
       piece.resize(piece.size() - body.size);
       if (error && error != http::error::need_buffer) {
         error_ = error.message();
@@ -231,7 +232,7 @@
     connection->stream.expires_after(std::min(timeout, options.connect_timeout));
     drop_connection_on_cancel(options, *connection);
     const asio::ip::tcp::endpoint target(address, static_cast<uint16_t>(std::stoi(port)));
-    auto [error] = co_await connection->stream.async_connect(target, kAwait);
+    auto [error] = co_await connection->stream.async_connect(target, kAwaitWithError);
     if (error) {
       ++self->stats.failed_requests;
       result.error = "cannot connect to " + endpoint + ": " + error.message();
@@ -255,7 +256,7 @@
   connection->stream.expires_after(timeout);
   auto message = to_beast(endpoint, request);
   result.state = SendState::kMaybeSent;
-  auto [write_error, written] = co_await http::async_write(connection->stream, message, kAwait);
+  auto [write_error, written] = co_await http::async_write(connection->stream, message, kAwaitWithError);
   if (write_error) {
     ++self->stats.failed_requests;
     result.error = "sending to " + endpoint + " failed: " + write_error.message();
@@ -265,13 +266,14 @@
   parser->body_limit(boost::none);
   parser->header_limit(kMaxResponseHeadBytes);
   parser->skip(request.method == "HEAD");
-  auto [read_error, count] = co_await http::async_read_header(connection->stream, connection->buffer, *parser, kAwait);
+  auto [read_error, count] =
+      co_await http::async_read_header(connection->stream, connection->buffer, *parser, kAwaitWithError);
   if (read_error) {
     ++self->stats.failed_requests;
     result.error = "no response from " + endpoint + ": " + read_error.message();
     co_return result;
   }
-  result.state = SendState::kAnswered;
+  result.state = SendState::kResponseStarted;
   KeepConnection keep_idle = [self, endpoint](std::unique_ptr<Connection> kept) {
     self->keep_idle(endpoint, std::move(kept));
   };
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -14,7 +14,7 @@
 namespace larchlever::net {
 
 /// How far a request got. Only `kNotSent` guarantees that the server received no part of it.
-enum class SendState { kNotSent, kMaybeSent, kAnswered };
+enum class SendState { kNotSent, kMaybeSent, kResponseStarted };
 
 struct FetchResult {
   std::optional<HttpResponse> response;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 using RequestParser = http::request_parser<http::string_body>;
 
 std::string make_problem_body(int status, std::string_view title, std::string_view remedy) {
@@ -55,8 +55,8 @@
 }  // namespace
 
 struct HttpServer::Implementation : std::enable_shared_from_this<HttpServer::Implementation> {
-  Implementation(asio::any_io_executor given, HttpServerOptions given_options, HttpHandler& given_handler)
-      : executor(std::move(given)), options(given_options), handler(&given_handler), acceptor(executor) {}
+  Implementation(asio::any_io_executor given_executor, HttpServerOptions given_options, HttpHandler& given_handler)
+      : executor(std::move(given_executor)), options(given_options), handler(&given_handler), acceptor(executor) {}
 
   /// `self` keeps the server alive from the call on, because the coroutine starts only when the executor runs it.
   asio::awaitable<void> accept_loop(std::shared_ptr<Implementation> self);
@@ -72,7 +72,7 @@
   bool closed = false;
   std::set<std::shared_ptr<TimedStream>> streams;
   /// Connections on which no request is being read or served, with the time at which they became idle.
-  std::map<std::shared_ptr<TimedStream>, std::chrono::steady_clock::time_point> idle;
+  std::map<std::shared_ptr<TimedStream>, std::chrono::steady_clock::time_point> idle_since;
   HttpServerStats stats;
 };
 
@@ -112,9 +112,9 @@
     stream_->expires_after(options_.write_timeout);
     beast::error_code error;
     if (request_.method == "HEAD") {
-      std::tie(error, std::ignore) = co_await http::async_write_header(*stream_, serializer, kAwait);
+      std::tie(error, std::ignore) = co_await http::async_write_header(*stream_, serializer, kAwaitWithError);
     } else {
-      std::tie(error, std::ignore) = co_await http::async_write(*stream_, serializer, kAwait);
+      std::tie(error, std::ignore) = co_await http::async_write(*stream_, serializer, kAwaitWithError);
     }
     response_sent_ = !error;
     disconnected_ = disconnected_ || static_cast<bool>(error);
@@ -136,7 +136,7 @@
     }
     http::response_serializer<http::empty_body> serializer(message);
     stream_->expires_after(options_.write_timeout);
-    auto [error, count] = co_await http::async_write_header(*stream_, serializer, kAwait);
+    auto [error, count] = co_await http::async_write_header(*stream_, serializer, kAwaitWithError);
     disconnected_ = disconnected_ || static_cast<bool>(error);
     co_return !disconnected_;
   }
@@ -151,9 +151,9 @@
       const asio::const_buffer data(piece.data(), piece.size());
       beast::error_code error;
       if (chunked_) {
-        std::tie(error, std::ignore) = co_await asio::async_write(*stream_, http::make_chunk(data), kAwait);
+        std::tie(error, std::ignore) = co_await asio::async_write(*stream_, http::make_chunk(data), kAwaitWithError);
       } else {
-        std::tie(error, std::ignore) = co_await asio::async_write(*stream_, data, kAwait);
+        std::tie(error, std::ignore) = co_await asio::async_write(*stream_, data, kAwaitWithError);
       }
       disconnected_ = disconnected_ || static_cast<bool>(error);
     }
@@ -173,7 +173,7 @@
     response_sent_ = true;
     if (chunked_) {
       stream_->expires_after(options_.write_timeout);
-      auto [error, count] = co_await asio::async_write(*stream_, http::make_chunk_last(), kAwait);
+      auto [error, count] = co_await asio::async_write(*stream_, http::make_chunk_last(), kAwaitWithError);
       response_sent_ = !error;
     }
   }
@@ -207,8 +207,8 @@
     self->disconnect_watch_descriptor_ =
         std::make_unique<asio::posix::stream_descriptor>(self->stream_->get_executor(), duplicate_descriptor);
     self->disconnect_watch_pending_ = true;
-    auto [error] =
-        co_await self->disconnect_watch_descriptor_->async_wait(asio::posix::stream_descriptor::wait_read, kAwait);
+    auto [error] = co_await self->disconnect_watch_descriptor_->async_wait(asio::posix::stream_descriptor::wait_read,
+                                                                           kAwaitWithError);
     self->disconnect_watch_pending_ = false;
     if (error || self->disconnect_watch_stopped_) {
       co_return;
@@ -261,7 +261,7 @@
 asio::awaitable<void> HttpServer::Implementation::accept_loop(std::shared_ptr<Implementation> self) {
   while (acceptor.is_open()) {
     asio::ip::tcp::socket socket(executor);
-    auto [error] = co_await acceptor.async_accept(socket, kAwait);
+    auto [error] = co_await acceptor.async_accept(socket, kAwaitWithError);
     if (error == asio::error::operation_aborted || !acceptor.is_open()) {
       co_return;
     }
@@ -269,7 +269,7 @@
       // Most likely the process is out of file descriptors. Wait before the next attempt instead of retrying in a busy
       // loop.
       asio::steady_timer retry_timer(executor, std::chrono::milliseconds(50));
-      co_await retry_timer.async_wait(kAwait);
+      co_await retry_timer.async_wait(kAwaitWithError);
       continue;
     }
     if (stats.open_connections >= static_cast<int64_t>(options.max_connections)) {
@@ -307,7 +307,7 @@
       stream.expires_after(options.head_timeout);
     }
     const auto space = buffer.prepare(kHeadReadBytes);
-    auto [error, count] = co_await stream.async_read_some(space, kAwait);
+    auto [error, count] = co_await stream.async_read_some(space, kAwaitWithError);
     buffer.commit(count);
     if (error) {
       co_return buffer.size() == 0 && error == asio::error::eof ? beast::error_code(http::error::end_of_stream) : error;
@@ -329,21 +329,21 @@
   std::array<char, kHeadReadBytes> discarded_bytes{};
   while (!error) {
     const asio::mutable_buffer space(discarded_bytes.data(), discarded_bytes.size());
-    std::tie(error, std::ignore) = co_await stream->async_read_some(space, kAwait);
+    std::tie(error, std::ignore) = co_await stream->async_read_some(space, kAwaitWithError);
   }
 }
 
 asio::awaitable<void> HttpServer::Implementation::serve(std::shared_ptr<TimedStream> stream) {
   beast::flat_buffer buffer;
-  bool first = true;
+  bool is_first_request = true;
   while (!closed) {
     RequestParser parser;
     parser.header_limit(static_cast<uint32_t>(options.head_limit_bytes));
     parser.body_limit(options.body_limit_bytes);
-    idle.emplace(stream, std::chrono::steady_clock::now());
-    beast::error_code error = co_await read_head_bytes(*stream, buffer, first);
-    idle.erase(stream);
-    first = false;
+    idle_since.emplace(stream, std::chrono::steady_clock::now());
+    beast::error_code error = co_await read_head_bytes(*stream, buffer, is_first_request);
+    idle_since.erase(stream);
+    is_first_request = false;
     if (!error) {
       if (const auto head_error = find_head_error(buffered_head(buffer))) {
         ++stats.malformed_requests;
@@ -351,7 +351,7 @@
         break;
       }
       stream->expires_after(options.body_timeout);
-      auto [read_error, read_size] = co_await http::async_read(*stream, buffer, parser, kAwait);
+      auto [read_error, read_size] = co_await http::async_read(*stream, buffer, parser, kAwaitWithError);
       error = read_error;
     }
     if (error == http::error::end_of_stream || closed) {
@@ -434,8 +434,8 @@
 
 void HttpServer::close_idle_connections(std::chrono::milliseconds min_idle_time) {
   const auto latest_idle_start = std::chrono::steady_clock::now() - min_idle_time;
-  const auto idle = implementation_->idle;
-  for (const auto& [stream, since] : idle) {
+  const auto idle_since = implementation_->idle_since;
+  for (const auto& [stream, since] : idle_since) {
     if (since <= latest_idle_start) {
       stream->cancel();
     }
--- a/src/net/listener_probe.cc
+++ b/src/net/listener_probe.cc
@@ -42,7 +42,7 @@
   const auto space = asio::buffer(&byte, 1);
   std::tie(error, std::ignore) = co_await stream.async_read_some(space, asio::as_tuple(asio::use_awaitable));
   const bool stayed_open = !error || error == beast::error::timeout;
-  co_return stayed_open ? ListenerState::kListening : ListenerState::kClosed;
+  co_return stayed_open ? ListenerState::kListening : ListenerState::kAcceptedThenClosed;
 }
 
 }  // namespace larchlever::net
--- a/src/net/listener_probe.h
+++ b/src/net/listener_probe.h
@@ -11,7 +11,7 @@
   /// The connection was accepted and stayed open.
   kListening,
   /// The connection was accepted and closed immediately.
-  kClosed,
+  kAcceptedThenClosed,
   /// The machine is reachable, but no process listens on the port.
   kRefused,
   /// The attempt timed out or the address is unreachable. The server may be running behind a network partition.
--- a/src/net/peer_transport.cc
+++ b/src/net/peer_transport.cc
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 constexpr size_t kMaxQueuedBytes = 96U << 20U;
 constexpr size_t kReadBufferBytes = 64 * 1024;
 constexpr auto kReconnectDelay = std::chrono::milliseconds(60);
@@ -57,8 +57,8 @@
 }  // namespace
 
 struct PeerTransport::Implementation : std::enable_shared_from_this<PeerTransport::Implementation> {
-  Implementation(asio::any_io_executor given, Receiver given_receiver)
-      : executor(std::move(given)), receiver(std::move(given_receiver)), acceptor(executor) {}
+  Implementation(asio::any_io_executor given_executor, Receiver given_receiver)
+      : executor(std::move(given_executor)), receiver(std::move(given_receiver)), acceptor(executor) {}
 
   // Coroutines start only when the executor runs them, and the transport may be destroyed before that. `self` and the
   // other shared pointers keep what a coroutine uses alive from the call on.
@@ -86,13 +86,13 @@
 asio::awaitable<void> PeerTransport::Implementation::accept_loop(Self self) {
   while (acceptor.is_open()) {
     auto link = std::make_shared<Link>(executor);
-    auto [error] = co_await acceptor.async_accept(link->socket, kAwait);
+    auto [error] = co_await acceptor.async_accept(link->socket, kAwaitWithError);
     if (error == asio::error::operation_aborted || stopped) {
       co_return;
     }
     if (error) {
       asio::steady_timer retry_timer(executor, std::chrono::milliseconds(50));
-      co_await retry_timer.async_wait(kAwait);
+      co_await retry_timer.async_wait(kAwaitWithError);
       continue;
     }
     set_socket_options(link->socket);
@@ -132,7 +132,7 @@
   std::string buffer;
   std::string piece(kReadBufferBytes, '\0');
   while (!link->closed) {
-    auto [error, count] = co_await link->socket.async_read_some(asio::buffer(piece), kAwait);
+    auto [error, count] = co_await link->socket.async_read_some(asio::buffer(piece), kAwaitWithError);
     if (error) {
       break;
     }
@@ -158,7 +158,7 @@
     for (const auto& frame : batch) {
       buffers.push_back(asio::buffer(frame));
     }
-    auto [error, count] = co_await asio::async_write(link->socket, buffers, kAwait);
+    auto [error, count] = co_await asio::async_write(link->socket, buffers, kAwaitWithError);
     if (error) {
       close(link);
       break;
@@ -213,7 +213,7 @@
     }
   });
   const tcp::endpoint target(address, static_cast<uint16_t>(std::stoi(port)));
-  auto [error] = co_await link->socket.async_connect(target, kAwait);
+  auto [error] = co_await link->socket.async_connect(target, kAwaitWithError);
   timer.cancel();
   if (error || link->closed) {
     ++stats.connect_failures;
@@ -270,8 +270,8 @@
     const std::string endpoint = known_address != self.addresses.end() ? known_address->second
                                  : split_endpoint(node).first.empty()  ? std::string()
                                                                        : node;
-    const auto retry_timer = self.reconnect_not_before.find(node);
-    const bool reconnect_delayed = retry_timer != self.reconnect_not_before.end() && now < retry_timer->second;
+    const auto next_reconnect = self.reconnect_not_before.find(node);
+    const bool reconnect_delayed = next_reconnect != self.reconnect_not_before.end() && now < next_reconnect->second;
     if (endpoint.empty() || reconnect_delayed) {
       ++self.stats.messages_dropped;
       return;
--- a/src/net/timed_stream.cc
+++ b/src/net/timed_stream.cc
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-TimedStream::State::State(asio::ip::tcp::socket given) : socket(std::move(given)), timer_(socket.get_executor()) {}
+TimedStream::State::State(asio::ip::tcp::socket given_socket)
+    : socket(std::move(given_socket)), timer_(socket.get_executor()) {}
 
 void TimedStream::State::begin_operation(Direction direction) {
   timed_out_ = false;
--- a/src/net/timed_stream.h
+++ b/src/net/timed_stream.h
@@ -62,7 +62,7 @@
 
   /// Shared with pending operations and timers, which may outlive the stream.
   struct State : std::enable_shared_from_this<State> {
-    explicit State(boost::asio::ip::tcp::socket given);
+    explicit State(boost::asio::ip::tcp::socket given_socket);
 
     void begin_operation(Direction direction);
     /// Returns the result of the operation: a timeout if its deadline closed the socket, otherwise `error`.
--- a/src/node/blocked_request_guard.cc
+++ b/src/node/blocked_request_guard.cc
@@ -31,7 +31,7 @@
   switch (state) {
     case net::ListenerState::kRefused:
       return fleet::ProbeResult::kRefused;
-    case net::ListenerState::kClosed:
+    case net::ListenerState::kAcceptedThenClosed:
       return fleet::ProbeResult::kClosed;
     case net::ListenerState::kListening:
       return fleet::ProbeResult::kOpen;
--- a/src/storage/data_folder.cc
+++ b/src/storage/data_folder.cc
@@ -484,13 +484,13 @@
 std::optional<StorageError> DataFolder::assign_identity(ReplicaId replica_id) {
   if (replica_id_.value() != 0) {
     // Keep the retired log for inspection, where recovery does not read it.
-    const fs::path retired = path_ / ("retired-" + std::to_string(replica_id_.value()));
+    const fs::path retired_folder = path_ / ("retired-" + std::to_string(replica_id_.value()));
     std::error_code code;
-    fs::create_directories(retired, code);
+    fs::create_directories(retired_folder, code);
     for (const char* prefix : {kSegmentPrefix, kSnapshotPrefix}) {
       for (const uint64_t number : list_numbered_files(path_, prefix)) {
         const std::string name = prefix + std::to_string(number);
-        fs::rename(path_ / name, retired / name, code);
+        fs::rename(path_ / name, retired_folder / name, code);
       }
     }
     recovered_ = consensus::PersistedState();
--- a/tests/node/http_test.cc
+++ b/tests/node/http_test.cc
@@ -234,7 +234,7 @@
 }
 
 /// Runs a coroutine on the context until it ends, for at most five seconds. Returns false if it has not ended.
-bool run(asio::io_context& context, asio::awaitable<void> task) {
+bool run_coroutine(asio::io_context& context, asio::awaitable<void> task) {
   bool is_done = false;
   asio::co_spawn(context, std::move(task), [&is_done](const std::exception_ptr&) { is_done = true; });
   context.run_for(std::chrono::seconds(5));
@@ -261,7 +261,7 @@
     body += co_await opened.stream->read_some(kShortTimeout);
     error = opened.stream->error();
   };
-  EXPECT_TRUE(run(context, read_across_pause()));
+  EXPECT_TRUE(run_coroutine(context, read_across_pause()));
   EXPECT_EQ(body, "first rest") << error;
 }
 
@@ -289,7 +289,7 @@
     status = opened.stream == nullptr ? 0 : opened.stream->head().status;
     error = opened.error;
   };
-  EXPECT_TRUE(run(context, open_across_pause()));
+  EXPECT_TRUE(run_coroutine(context, open_across_pause()));
   EXPECT_EQ(status, 204) << error;
 }
 
@@ -308,7 +308,7 @@
     EXPECT_FALSE(opened.stream->complete());
     EXPECT_FALSE(opened.stream->error().empty());
   };
-  EXPECT_TRUE(run(context, read_until_timeout()));
+  EXPECT_TRUE(run_coroutine(context, read_until_timeout()));
 }
 
 // Guards against a server that, after a pause of its process, closes a kept-alive connection as idle although the next
