--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -183,7 +183,7 @@
     return;
   }
   if (heartbeat) {
-    // No reply since the last heartbeat: treat appends in flight as lost and send them again.
+    // No reply for two heartbeat intervals: treat appends in flight as lost and send them again.
     const bool stalled = progress.appends_in_flight > 0 && now - progress.last_reply > 2 * options_.heartbeat_interval;
     if (stalled) {
       progress.appends_in_flight = 0;
