--- a/src/storage/data_folder.cc
+++ b/src/storage/data_folder.cc
@@ -222,7 +222,7 @@
   bool may_be_acknowledged = !is_last;
   for (uint64_t later_offset = offset + 1; later_offset < file.size() && !may_be_acknowledged; ++later_offset) {
     const auto record = decode_record(file, later_offset);
-    may_be_acknowledged = record && record->synced_before > offset;
+    may_be_acknowledged = record && record->synced_offset > offset;
   }
   if (may_be_acknowledged) {
     return make_error(StorageErrorKind::kCorruptRecord,
