--- a/src/consensus/raft_elections.cc
+++ b/src/consensus/raft_elections.cc
@@ -15,8 +15,8 @@
   }
   if (role_ == Role::kLeader) {
     check_quorum(now);
-    if (role_ == Role::kLeader && now >= next_heartbeat_) {
-      next_heartbeat_ = now + options_.heartbeat_interval;
+    if (role_ == Role::kLeader && now >= next_heartbeat_at_) {
+      next_heartbeat_at_ = now + options_.heartbeat_interval;
       for (const auto& [replica, progress] : progress_) {
         send_append(now, replica, true);
       }
@@ -29,7 +29,7 @@
 }
 
 TimePoint RaftNode::restart_grace_end() const {
-  return started_ + std::max(options_.election_timeout_min, options_.restart_check_timeout);
+  return started_at_ + std::max(options_.election_timeout_min, options_.restart_check_timeout);
 }
 
 bool RaftNode::in_restart_grace_period(TimePoint now) const {
@@ -180,14 +180,14 @@
   role_ = Role::kLeader;
   leader_ = id_.value();
   lease_released_ = false;
-  rolled_back_.clear();
+  rolled_back_replicas_.clear();
   ++stats_.elections_won;
   progress_.clear();
   update_progress_table();
   quorum_deadline_ = now + options_.election_timeout_max;
   append_own_entry(wire::EntryKind::NOOP, "");
   term_start_index_ = log_.last_index();
-  next_heartbeat_ = now + options_.heartbeat_interval;
+  next_heartbeat_at_ = now + options_.heartbeat_interval;
   replicate(now);
 }
 
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -46,7 +46,7 @@
   // still hold the lease, so the replica acts as if the contact had been now and grants no vote for one election
   // timeout.
   last_leader_contact_ = now;
-  started_ = now;
+  started_at_ = now;
   const bool has_peers = is_voter() && log_.replicas().voters.size() > 1;
   restart_check_pending_ = has_peers;
   restart_check_deadline_ = now + options_.restart_check_timeout;
@@ -174,7 +174,7 @@
 
 void RaftNode::send_append(TimePoint now, int64_t to, bool heartbeat) {
   Progress& progress = progress_[to];
-  if (rolled_back_.contains(to)) {
+  if (rolled_back_replicas_.contains(to)) {
     if (heartbeat) {
       wire::IdentityRejection rejection;
       rejection.term = hard_state_.term;
@@ -184,7 +184,8 @@
   }
   if (heartbeat) {
     // No reply for two heartbeat intervals: treat appends in flight as lost and send them again.
-    const bool stalled = progress.appends_in_flight > 0 && now - progress.last_reply > 2 * options_.heartbeat_interval;
+    const bool stalled =
+        progress.appends_in_flight > 0 && now - progress.last_reply_time > 2 * options_.heartbeat_interval;
     if (stalled) {
       progress.appends_in_flight = 0;
       progress.next_index = progress.match_index > 0 ? progress.match_index + 1 : progress.next_index;
@@ -216,11 +217,11 @@
 }
 
 void RaftNode::send_snapshot(TimePoint now, int64_t to, Progress& progress) {
-  if (progress.snapshot_in_flight && now - progress.snapshot_sent < 10 * options_.heartbeat_interval) {
+  if (progress.snapshot_in_flight && now - progress.snapshot_sent_at < 10 * options_.heartbeat_interval) {
     return;
   }
   progress.snapshot_in_flight = true;
-  progress.snapshot_sent = now;
+  progress.snapshot_sent_at = now;
   ++stats_.snapshots_sent;
   auto& message = add_message(to, false);
   wire::SnapshotRequest request;
@@ -242,7 +243,7 @@
   reply.sent_at_us = sent_at_us;
   reply.last_index = log_.last_index();
   reply.boot = boot_.value();
-  reply.order = next_reply_++;
+  reply.order = next_reply_number_++;
   message.__set_append_reply(reply);
   return message.append_reply;
 }
@@ -267,8 +268,8 @@
     return;
   }
   if (log_.term_at(request.previous_index) != request.previous_term) {
-    const int64_t hint = std::min(log_.last_index(), request.previous_index - 1);
-    add_append_reply(from, false, std::max(hint, commit_index_), request.sent_at_us);
+    const int64_t next_index_hint = std::min(log_.last_index(), request.previous_index - 1);
+    add_append_reply(from, false, std::max(next_index_hint, commit_index_), request.sent_at_us);
     return;
   }
   for (const auto& entry : request.entries) {
@@ -308,18 +309,18 @@
   }
   Progress& progress = found->second;
   const std::pair<int64_t, int64_t> reply_number(reply.boot, reply.order);
-  progress.last_reply = now;
-  progress.replied = true;
-  if (!reply.success && reply_number > progress.match_reply && reply.last_index < progress.match_index) {
+  progress.last_reply_time = now;
+  progress.has_replied = true;
+  if (!reply.success && reply_number > progress.last_match_reply && reply.last_index < progress.match_index) {
     // The replica had acknowledged more entries than it held when it sent this later reply, so its disk was rolled
     // back. Its acknowledgements and votes no longer count, and it may rejoin only under a new identity. Replies are
     // compared by number because a rejection sent before the acknowledgement may arrive after it.
     ++stats_.rollbacks_detected;
-    rolled_back_.insert(from);
+    rolled_back_replicas_.insert(from);
     progress.match_index = 0;
     return;
   }
-  progress.lease_contact_us = std::max(progress.lease_contact_us, reply.sent_at_us);
+  progress.answered_send_time_us = std::max(progress.answered_send_time_us, reply.sent_at_us);
   if (progress.appends_in_flight > 0) {
     --progress.appends_in_flight;
   }
@@ -329,7 +330,7 @@
     send_append(now, from, true);
     return;
   }
-  progress.match_reply = std::max(progress.match_reply, reply_number);
+  progress.last_match_reply = std::max(progress.last_match_reply, reply_number);
   if (reply.match_index > progress.match_index) {
     progress.match_index = reply.match_index;
     progress.snapshot_in_flight = false;
@@ -340,15 +341,15 @@
 }
 
 void RaftNode::advance_commit() {
-  std::vector<int64_t> matches;
+  std::vector<int64_t> match_indexes;
   for (const auto& voter : log_.replicas().voters) {
-    matches.push_back(voter.replica_id == id_.value() ? synced_index_ : match_index(ReplicaId(voter.replica_id)));
+    match_indexes.push_back(voter.replica_id == id_.value() ? synced_index_ : match_index(ReplicaId(voter.replica_id)));
   }
-  if (matches.empty()) {
+  if (match_indexes.empty()) {
     return;
   }
-  std::sort(matches.begin(), matches.end(), std::greater<>());
-  const int64_t majority_match_index = matches[majority(matches.size()) - 1];
+  std::sort(match_indexes.begin(), match_indexes.end(), std::greater<>());
+  const int64_t majority_match_index = match_indexes[majority(match_indexes.size()) - 1];
   // Only entries of the current term are committed by counting replicas; earlier entries are committed with them.
   if (majority_match_index > commit_index_ && log_.term_at(majority_match_index) == hard_state_.term) {
     commit_index_ = majority_match_index;
@@ -474,33 +475,33 @@
 // --------------------------------------------------------- leases and quorum
 
 TimePoint RaftNode::quorum_contact_time(TimePoint now) const {
-  std::vector<int64_t> contacts;
+  std::vector<int64_t> contact_times_us;
   for (const auto& voter : log_.replicas().voters) {
     if (voter.replica_id == id_.value()) {
-      contacts.push_back(to_microseconds(now));
+      contact_times_us.push_back(to_microseconds(now));
       continue;
     }
     const auto found = progress_.find(voter.replica_id);
-    contacts.push_back(found == progress_.end() ? -1 : found->second.lease_contact_us);
+    contact_times_us.push_back(found == progress_.end() ? -1 : found->second.answered_send_time_us);
   }
-  std::sort(contacts.begin(), contacts.end(), std::greater<>());
-  const int64_t contact = contacts.empty() ? -1 : contacts[majority(contacts.size()) - 1];
-  return contact < 0 ? TimePoint::min() : from_microseconds(contact);
+  std::sort(contact_times_us.begin(), contact_times_us.end(), std::greater<>());
+  const int64_t contact_time = contact_times_us.empty() ? -1 : contact_times_us[majority(contact_times_us.size()) - 1];
+  return contact_time < 0 ? TimePoint::min() : from_microseconds(contact_time);
 }
 
 bool RaftNode::has_lease(TimePoint now) const {
   if (role_ != Role::kLeader || lease_released_) {
     return false;
   }
-  const TimePoint contact = quorum_contact_time(now);
-  if (contact == TimePoint::min()) {
+  const TimePoint contact_time = quorum_contact_time(now);
+  if (contact_time == TimePoint::min()) {
     return false;
   }
   // The lease starts at the send time of the append that a quorum answered. It is shorter than the time for which
   // voters grant no vote, to allow for clock drift.
   const auto lease =
       static_cast<int64_t>(static_cast<double>(options_.election_timeout_min.count()) * (1.0 - 2 * kMaximumClockDrift));
-  return now < contact + Duration(lease);
+  return now < contact_time + Duration(lease);
 }
 
 bool RaftNode::is_ready_leader(TimePoint now) const {
@@ -508,11 +509,11 @@
 }
 
 void RaftNode::check_quorum(TimePoint now) {
-  const TimePoint contact = quorum_contact_time(now);
+  const TimePoint contact_time = quorum_contact_time(now);
   // A leader that transferred its leadership, but whose successor was not elected in time, steps down, and a regular
   // election follows.
-  if (contact != TimePoint::min() && !lease_released_) {
-    quorum_deadline_ = std::max(quorum_deadline_, contact + options_.election_timeout_max);
+  if (contact_time != TimePoint::min() && !lease_released_) {
+    quorum_deadline_ = std::max(quorum_deadline_, contact_time + options_.election_timeout_max);
   }
   const bool removed_from_voters = !is_voter() && commit_index_ >= log_.replica_set_index();
   if (now >= quorum_deadline_ || removed_from_voters) {
@@ -526,19 +527,19 @@
     return false;
   }
   int64_t best_voter = 0;
-  int64_t best_match = -1;
+  int64_t best_match_index = -1;
   for (const auto& voter : log_.replicas().voters) {
     const auto found = progress_.find(voter.replica_id);
-    if (found == progress_.end() || !found->second.replied || rolled_back_.contains(voter.replica_id)) {
+    if (found == progress_.end() || !found->second.has_replied || rolled_back_replicas_.contains(voter.replica_id)) {
       continue;
     }
-    const bool replied_recently = now - found->second.last_reply < options_.election_timeout_min;
-    if (replied_recently && found->second.match_index > best_match) {
+    const bool replied_recently = now - found->second.last_reply_time < options_.election_timeout_min;
+    if (replied_recently && found->second.match_index > best_match_index) {
       best_voter = voter.replica_id;
-      best_match = found->second.match_index;
+      best_match_index = found->second.match_index;
     }
   }
-  if (best_match < commit_index_) {
+  if (best_match_index < commit_index_) {
     return false;
   }
   lease_released_ = true;
@@ -555,10 +556,10 @@
 
 std::optional<TimePoint> RaftNode::last_contact(ReplicaId replica) const {
   const auto found = progress_.find(replica.value());
-  if (found == progress_.end() || !found->second.replied) {
+  if (found == progress_.end() || !found->second.has_replied) {
     return std::nullopt;
   }
-  return found->second.last_reply;
+  return found->second.last_reply_time;
 }
 
 }  // namespace larchlever::consensus
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -163,7 +163,7 @@
   std::optional<TimePoint> last_contact(ReplicaId replica) const;
   /// Replicas that acknowledged entries and later reported that they do not hold them, because their disks were rolled
   /// back.
-  const std::set<int64_t>& rolled_back() const { return rolled_back_; }
+  const std::set<int64_t>& rolled_back_replicas() const { return rolled_back_replicas_; }
   const RaftStats& stats() const { return stats_; }
 
  private:
@@ -171,12 +171,13 @@
     int64_t next_index = 1;
     int64_t match_index = 0;
     /// Boot number and reply number of the reply that last confirmed a match.
-    std::pair<int64_t, int64_t> match_reply{0, 0};
+    std::pair<int64_t, int64_t> last_match_reply{0, 0};
     size_t appends_in_flight = 0;
-    int64_t lease_contact_us = -1;  ///< Send time, on this replica's clock, of the newest append that was answered.
-    TimePoint last_reply{};
-    bool replied = false;
-    TimePoint snapshot_sent{};
+    int64_t answered_send_time_us =
+        -1;  ///< Send time, on this replica's clock, of the newest append that was answered.
+    TimePoint last_reply_time{};
+    bool has_replied = false;
+    TimePoint snapshot_sent_at{};
     bool snapshot_in_flight = false;
   };
 
@@ -210,7 +211,7 @@
 
   ReplicaId id_;
   Incarnation boot_;
-  int64_t next_reply_ = 1;
+  int64_t next_reply_number_ = 1;
   RaftOptions options_;
   std::mt19937_64 random_;
   ReplicatedLog log_;
@@ -223,12 +224,12 @@
   int64_t delivered_index_ = 0;
   TimePoint election_deadline_{};
   TimePoint last_leader_contact_{};
-  TimePoint started_{};
+  TimePoint started_at_{};
   bool leader_contacted_since_start_ = false;
   bool restart_check_pending_ = false;
   TimePoint restart_check_deadline_{};
   bool identity_rejected_ = false;
-  TimePoint next_heartbeat_{};
+  TimePoint next_heartbeat_at_{};
   TimePoint quorum_deadline_{};
   int64_t term_start_index_ = 0;
   bool lease_released_ = false;
@@ -237,7 +238,7 @@
   /// Voters whose address replied with another identity during this campaign.
   std::set<int64_t> gone_voters_;
   std::map<int64_t, Progress> progress_;
-  std::set<int64_t> rolled_back_;
+  std::set<int64_t> rolled_back_replicas_;
   int64_t synced_index_ = 0;
   std::deque<std::pair<int64_t, int64_t>> unsynced_batches_;  ///< (ticket, last index written by that output)
   int64_t next_ticket_ = 1;
--- a/src/core/control/replica_supervisor.cc
+++ b/src/core/control/replica_supervisor.cc
@@ -35,7 +35,7 @@
   }
   const auto identity = current_identities.find(replica.node);
   const bool is_replaced = identity != current_identities.end() && identity->second != replica.replica_id;
-  if (is_replaced || raft.rolled_back().contains(replica.replica_id)) {
+  if (is_replaced || raft.rolled_back_replicas().contains(replica.replica_id)) {
     return true;
   }
   const auto member_since = first_seen_as_member_.find(replica.replica_id);
@@ -72,7 +72,7 @@
     const bool is_member = contains_replica(next.voters, node_record.replica_id.value()) ||
                            contains_replica(next.learners, node_record.replica_id.value());
     const bool is_live = now - node_record.last_heartbeat_at <= options_.node_timeout && !node_record.leaving;
-    if (!is_member && is_live && !raft.rolled_back().contains(node_record.replica_id.value())) {
+    if (!is_member && is_live && !raft.rolled_back_replicas().contains(node_record.replica_id.value())) {
       spare_replicas.push_back(&node_record);
     }
   }
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -92,7 +92,7 @@
 struct HttpClient::Implementation : std::enable_shared_from_this<HttpClient::Implementation> {
   explicit Implementation(asio::any_io_executor given_executor) : executor(std::move(given_executor)) {}
 
-  std::unique_ptr<Connection> take_idle(const std::string& endpoint) {
+  std::unique_ptr<Connection> take_idle_connection(const std::string& endpoint) {
     auto& list = idle_connections[endpoint];
     while (!list.empty()) {
       auto connection = std::move(list.back());
@@ -218,7 +218,7 @@
     }
   });
   if (!options.require_new_connection) {
-    connection = self->take_idle(endpoint);
+    connection = self->take_idle_connection(endpoint);
   }
   if (connection == nullptr) {
     const auto [host, port] = split_endpoint(endpoint);
@@ -274,8 +274,8 @@
     co_return result;
   }
   result.state = SendState::kResponseStarted;
-  KeepConnection keep_idle = [self, endpoint](std::unique_ptr<Connection> kept) {
-    self->keep_idle(endpoint, std::move(kept));
+  KeepConnection keep_idle = [self, endpoint](std::unique_ptr<Connection> idle_connection) {
+    self->keep_idle(endpoint, std::move(idle_connection));
   };
   result.stream = std::make_unique<BeastClientStream>(std::move(connection), std::move(parser), std::move(keep_idle));
   co_return result;
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -162,9 +162,9 @@
 
   asio::awaitable<void> end_stream() override {
     if (buffered_response_) {
-      HttpResponse whole = std::move(*buffered_response_);
+      HttpResponse complete_response = std::move(*buffered_response_);
       buffered_response_.reset();
-      co_await respond(std::move(whole));
+      co_await respond(std::move(complete_response));
       co_return;
     }
     if (disconnected_) {
@@ -306,8 +306,8 @@
       started = true;
       stream.expires_after(options.head_timeout);
     }
-    const auto space = buffer.prepare(kHeadReadBytes);
-    auto [error, count] = co_await stream.async_read_some(space, kAwaitWithError);
+    const auto read_buffer = buffer.prepare(kHeadReadBytes);
+    auto [error, count] = co_await stream.async_read_some(read_buffer, kAwaitWithError);
     buffer.commit(count);
     if (error) {
       co_return buffer.size() == 0 && error == asio::error::eof ? beast::error_code(http::error::end_of_stream) : error;
@@ -328,8 +328,8 @@
   stream->expires_after(kDiscardTimeout);
   std::array<char, kHeadReadBytes> discarded_bytes{};
   while (!error) {
-    const asio::mutable_buffer space(discarded_bytes.data(), discarded_bytes.size());
-    std::tie(error, std::ignore) = co_await stream->async_read_some(space, kAwaitWithError);
+    const asio::mutable_buffer read_buffer(discarded_bytes.data(), discarded_bytes.size());
+    std::tie(error, std::ignore) = co_await stream->async_read_some(read_buffer, kAwaitWithError);
   }
 }
 
@@ -435,8 +435,8 @@
 void HttpServer::close_idle_connections(std::chrono::milliseconds min_idle_time) {
   const auto latest_idle_start = std::chrono::steady_clock::now() - min_idle_time;
   const auto idle_since = implementation_->idle_since;
-  for (const auto& [stream, since] : idle_since) {
-    if (since <= latest_idle_start) {
+  for (const auto& [stream, idle_start] : idle_since) {
+    if (idle_start <= latest_idle_start) {
       stream->cancel();
     }
   }
--- a/src/net/listener_probe.cc
+++ b/src/net/listener_probe.cc
@@ -39,8 +39,8 @@
   // A server that accepts the connection sends nothing before it receives a request.
   stream.expires_after(kCloseWait);
   char byte = 0;
-  const auto space = asio::buffer(&byte, 1);
-  std::tie(error, std::ignore) = co_await stream.async_read_some(space, asio::as_tuple(asio::use_awaitable));
+  const auto read_buffer = asio::buffer(&byte, 1);
+  std::tie(error, std::ignore) = co_await stream.async_read_some(read_buffer, asio::as_tuple(asio::use_awaitable));
   const bool stayed_open = !error || error == beast::error::timeout;
   co_return stayed_open ? ListenerState::kListening : ListenerState::kAcceptedThenClosed;
 }
--- a/src/net/peer_transport.cc
+++ b/src/net/peer_transport.cc
@@ -62,11 +62,11 @@
 
   // Coroutines start only when the executor runs them, and the transport may be destroyed before that. `self` and the
   // other shared pointers keep what a coroutine uses alive from the call on.
-  using Self = std::shared_ptr<Implementation>;
-  asio::awaitable<void> accept_loop(Self self);
-  asio::awaitable<void> read_loop(Self self, LinkPointer link);
-  asio::awaitable<void> write_loop(Self self, LinkPointer link);
-  asio::awaitable<void> dial(Self self, LinkPointer link, std::string endpoint);
+  using ImplementationPointer = std::shared_ptr<Implementation>;
+  asio::awaitable<void> accept_loop(ImplementationPointer self);
+  asio::awaitable<void> read_loop(ImplementationPointer self, LinkPointer link);
+  asio::awaitable<void> write_loop(ImplementationPointer self, LinkPointer link);
+  asio::awaitable<void> connect_to_peer(ImplementationPointer self, LinkPointer link, std::string endpoint);
   /// Passes complete frames of `buffer` to the receiver. Returns false if the link sent an invalid frame.
   bool process_frames(const LinkPointer& link, std::string& buffer);
   void close(const LinkPointer& link);
@@ -83,7 +83,7 @@
   PeerStats stats;
 };
 
-asio::awaitable<void> PeerTransport::Implementation::accept_loop(Self self) {
+asio::awaitable<void> PeerTransport::Implementation::accept_loop(ImplementationPointer self) {
   while (acceptor.is_open()) {
     auto link = std::make_shared<Link>(executor);
     auto [error] = co_await acceptor.async_accept(link->socket, kAwaitWithError);
@@ -128,17 +128,17 @@
   return true;
 }
 
-asio::awaitable<void> PeerTransport::Implementation::read_loop(Self self, LinkPointer link) {
+asio::awaitable<void> PeerTransport::Implementation::read_loop(ImplementationPointer self, LinkPointer link) {
   std::string buffer;
-  std::string piece(kReadBufferBytes, '\0');
+  std::string read_buffer(kReadBufferBytes, '\0');
   while (!link->closed) {
-    auto [error, count] = co_await link->socket.async_read_some(asio::buffer(piece), kAwaitWithError);
+    auto [error, count] = co_await link->socket.async_read_some(asio::buffer(read_buffer), kAwaitWithError);
     if (error) {
       break;
     }
     self->stats.bytes_received += count;
     link->unanswered_since.reset();
-    buffer.append(piece.data(), count);
+    buffer.append(read_buffer.data(), count);
     if (!process_frames(link, buffer)) {
       break;
     }
@@ -146,7 +146,7 @@
   close(link);
 }
 
-asio::awaitable<void> PeerTransport::Implementation::write_loop(Self self, LinkPointer link) {
+asio::awaitable<void> PeerTransport::Implementation::write_loop(ImplementationPointer self, LinkPointer link) {
   while (!link->queue.empty() && !link->closed) {
     // Write all queued messages at once, which needs fewer system calls when messages come in bursts.
     std::vector<std::string> batch(std::make_move_iterator(link->queue.begin()),
@@ -197,7 +197,8 @@
   }
 }
 
-asio::awaitable<void> PeerTransport::Implementation::dial(Self self, LinkPointer link, std::string endpoint) {
+asio::awaitable<void> PeerTransport::Implementation::connect_to_peer(ImplementationPointer self, LinkPointer link,
+                                                                     std::string endpoint) {
   const auto [host, port] = split_endpoint(endpoint);
   boost::system::error_code address_error;
   const auto address = asio::ip::make_address(host, address_error);
@@ -280,7 +281,7 @@
     link->node = node;
     self.links.insert(link);
     found = self.links_by_node.emplace(node, link).first;
-    asio::co_spawn(self.executor, self.dial(implementation_, link, endpoint), asio::detached);
+    asio::co_spawn(self.executor, self.connect_to_peer(implementation_, link, endpoint), asio::detached);
   }
   if (!found->second->unanswered_since) {
     found->second->unanswered_since = now;
--- a/src/storage/data_folder.cc
+++ b/src/storage/data_folder.cc
@@ -113,12 +113,12 @@
     return nullptr;
   }
   std::unique_ptr<DataFolder> folder(new DataFolder(path, file_system));
-  auto failure = folder->acquire_lock();
-  if (!failure) {
-    failure = folder->recover();
+  auto open_error = folder->acquire_lock();
+  if (!open_error) {
+    open_error = folder->recover();
   }
-  if (failure) {
-    error = *failure;
+  if (open_error) {
+    error = *open_error;
     return nullptr;
   }
   return folder;
--- a/tests/unit/data_folder_test.cc
+++ b/tests/unit/data_folder_test.cc
@@ -193,12 +193,12 @@
   write_entries();
   {
     auto folder = open();
-    consensus::RaftOutput install;
-    install.snapshot.emplace();
-    install.snapshot->header.index = 15;
-    install.snapshot->header.term = 9;
-    install.snapshot->replaces_log = true;
-    ASSERT_FALSE(folder->write({&install}));
+    consensus::RaftOutput install_output;
+    install_output.snapshot.emplace();
+    install_output.snapshot->header.index = 15;
+    install_output.snapshot->header.term = 9;
+    install_output.snapshot->replaces_log = true;
+    ASSERT_FALSE(folder->write({&install_output}));
   }
   const auto state = open()->take_recovered_state();
   EXPECT_EQ(state.snapshot.index, 15);
@@ -212,9 +212,9 @@
     file_system_.disk_full = true;
     file_system_.allow_partial_write = true;
     const auto output = make_output(21, 40, 3);
-    const auto failure = folder->write({&output});
-    ASSERT_TRUE(failure);
-    EXPECT_EQ(failure->kind, StorageErrorKind::kDiskFull);
+    const auto write_error = folder->write({&output});
+    ASSERT_TRUE(write_error);
+    EXPECT_EQ(write_error->kind, StorageErrorKind::kDiskFull);
     file_system_.disk_full = false;
   }
   EXPECT_EQ(open()->take_recovered_state().entries.size(), 20U);
@@ -226,9 +226,9 @@
   file_system_.sync_fails = true;
   ASSERT_TRUE(folder->write({&output}));
   file_system_.sync_fails = false;
-  const auto again = folder->write({&output});
-  ASSERT_TRUE(again);
-  EXPECT_EQ(again->kind, StorageErrorKind::kSyncFailed);
+  const auto second_error = folder->write({&output});
+  ASSERT_TRUE(second_error);
+  EXPECT_EQ(second_error->kind, StorageErrorKind::kSyncFailed);
 }
 
 TEST_F(DataFolderTest, PersistsIdentityAndRetiresOldLog) {
--- a/tests/unit/raft_node_test.cc
+++ b/tests/unit/raft_node_test.cc
@@ -44,7 +44,7 @@
     std::vector<wire::RaftMessage> messages;
     for (auto& [id, node] : nodes_) {
       auto output = node.take_output();
-      store(persisted_[id], output);
+      apply_output(persisted_[id], output);
       messages.insert(messages.end(), output.messages.begin(), output.messages.end());
       messages.insert(messages.end(), output.messages_after_sync.begin(), output.messages_after_sync.end());
       node.mark_synced(now_, output.ticket);
@@ -57,7 +57,7 @@
     }
   }
 
-  static void store(PersistedState& stored, const RaftOutput& output) {
+  static void apply_output(PersistedState& stored, const RaftOutput& output) {
     stored.hard_state = output.hard_state.value_or(stored.hard_state);
     for (const auto& entry : output.entries) {
       std::erase_if(stored.entries, [&entry](const auto& known) { return known.index >= entry.index; });
@@ -219,11 +219,11 @@
   reply.order = 1;  // Sent before the acknowledgements that the leader already received.
   late_message.__set_append_reply(reply);
   elected->step(now_, late_message);
-  EXPECT_TRUE(elected->rolled_back().empty());
+  EXPECT_TRUE(elected->rolled_back_replicas().empty());
   reply.boot = 2;  // Sent after a restart of the same identity: its disk has lost entries.
   late_message.__set_append_reply(reply);
   elected->step(now_, late_message);
-  EXPECT_TRUE(elected->rolled_back().contains(follower));
+  EXPECT_TRUE(elected->rolled_back_replicas().contains(follower));
 }
 
 TEST_F(RaftNodeTest, AllowsOneReplicaChangeAtATime) {
