--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -173,8 +173,8 @@
     /// Boot number and reply number of the reply that last confirmed a match.
     std::pair<int64_t, int64_t> last_match_reply{0, 0};
     size_t appends_in_flight = 0;
-    int64_t answered_send_time_us =
-        -1;  ///< Send time, on this replica's clock, of the newest append that was answered.
+    /// Send time, on this replica's clock, of the newest append that was answered.
+    int64_t answered_send_time_us = -1;
     TimePoint last_reply_time{};
     bool has_replied = false;
     TimePoint snapshot_sent_at{};
