--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -13,7 +13,7 @@
 
 #include "cli/command_line.h"
 #include "cli/flags.h"
-#include "cli/region_start.h"
+#include "cli/region_bootstrap.h"
 #include "core/placement/planner.h"
 #include "core/routing/router.h"
 #include "emulator/emulated_fleet.h"
@@ -34,11 +34,11 @@
 
 using Clock = std::chrono::steady_clock;
 
-double elapsed_ms(Clock::time_point since) {
-  return std::chrono::duration<double, std::milli>(Clock::now() - since).count();
+double elapsed_ms(Clock::time_point start_time) {
+  return std::chrono::duration<double, std::milli>(Clock::now() - start_time).count();
 }
 
-int64_t thread_time_ns(std::thread& thread) {
+int64_t thread_cpu_time_ns(std::thread& thread) {
   clockid_t clock{};
   timespec time{};
   if (::pthread_getcpuclockid(thread.native_handle(), &clock) != 0 || ::clock_gettime(clock, &time) != 0) {
@@ -47,9 +47,10 @@
   return time.tv_sec * 1'000'000'000LL + time.tv_nsec;
 }
 
-void print(const std::string& what, const std::string& budget, double measured, const std::string& unit, bool met) {
-  std::cout << std::left << std::setw(58) << what << std::setw(18) << budget << std::setw(12) << std::setprecision(4)
-            << measured << std::setw(8) << unit << (met ? "met" : "NOT MET") << std::endl;
+void print_measurement(const std::string& measurement, const std::string& budget, double measured,
+                       const std::string& unit, bool met) {
+  std::cout << std::left << std::setw(58) << measurement << std::setw(18) << budget << std::setw(12)
+            << std::setprecision(4) << measured << std::setw(8) << unit << (met ? "met" : "NOT MET") << std::endl;
 }
 
 /// Routing decision over ninety groups.
@@ -71,13 +72,13 @@
   query.tenant = "t";
   query.model = "model";
   constexpr int kDecisions = 50'000;
-  const auto began = Clock::now();
+  const auto started_at = Clock::now();
   for (int decision = 0; decision < kDecisions; ++decision) {
     query.prefix_hash = static_cast<uint64_t>(decision) * 0x9E3779B97F4A7C15ULL | 1U;
     router.route(TimePoint(), query);
   }
-  const double each_us = elapsed_ms(began) * 1000 / kDecisions;
-  print("routing decision, 90 groups", "<= 5 us", each_us, "us", each_us <= 5);
+  const double per_decision_us = elapsed_ms(started_at) * 1000 / kDecisions;
+  print_measurement("routing decision, 90 groups", "<= 5 us", per_decision_us, "us", per_decision_us <= 5);
 }
 
 /// Planning pass over 1,400 machines.
@@ -107,11 +108,11 @@
     }
   }
   const auto policy = placement::make_placement_policy("spare_aware");
-  const auto began = Clock::now();
+  const auto started_at = Clock::now();
   const auto plan = placement::make_plan(input, *policy);
-  const double ms = elapsed_ms(began);
-  print("planning pass, 1,400 servers, " + std::to_string(plan.groups_to_create.size()) + " groups", "<= 50 ms", ms,
-        "ms", ms <= 50);
+  const double duration_ms = elapsed_ms(started_at);
+  print_measurement("planning pass, 1,400 servers, " + std::to_string(plan.groups_to_create.size()) + " groups",
+                    "<= 50 ms", duration_ms, "ms", duration_ms <= 50);
 }
 
 /// Restart of a replica that holds 100,000 entries after its snapshot.
@@ -136,15 +137,16 @@
     }
     data->write({&output});
   }
-  const auto began = Clock::now();
+  const auto started_at = Clock::now();
   auto data = storage::DataFolder::open(folder, files, error);
   auto recovered = data->take_recovered();
   control::ControlState state;
   for (const auto& entry : recovered.entries) {
     state.apply(entry.index, *wire::decode<wire::Command>(entry.payload));
   }
-  const double ms = elapsed_ms(began);
-  print("restart after 100,000 log entries, read and applied", "<= 2000 ms", ms, "ms", ms <= 2000);
+  const double duration_ms = elapsed_ms(started_at);
+  print_measurement("restart after 100,000 log entries, read and applied", "<= 2000 ms", duration_ms, "ms",
+                    duration_ms <= 2000);
 }
 
 /// What a claim costs the log when claims are batched.
@@ -156,10 +158,10 @@
   auto data = storage::DataFolder::open(folder, files, error);
   control::ControlState state;
   size_t bytes = 0;
-  double processor_ms = 0;
-  const auto began = Clock::now();
+  double cpu_ms = 0;
+  const auto started_at = Clock::now();
   for (int batch = 1; batch <= kBatches; ++batch) {
-    const auto computing = Clock::now();
+    const auto batch_started_at = Clock::now();
     wire::Command command;
     for (int number = 0; number < kBatch; ++number) {
       wire::Claim claim;
@@ -181,28 +183,28 @@
     bytes += entry.payload.size();
     state.apply(batch, *wire::decode<wire::Command>(entry.payload));
     output.entries.push_back(std::move(entry));
-    processor_ms += elapsed_ms(computing);
+    cpu_ms += elapsed_ms(batch_started_at);
     data->write({&output});
   }
   const double claims = kBatch * kBatches;
   std::cout << "    a claim in batches of " << kBatch << ": " << static_cast<double>(bytes) / claims << " bytes, "
-            << 1.0 / kBatch << " syncs, " << processor_ms * 1000 / claims << " us processor; with this disk "
-            << claims / elapsed_ms(began) * 1000 << " /s\n";
+            << 1.0 / kBatch << " syncs, " << cpu_ms * 1000 / claims << " us processor; with this disk "
+            << claims / elapsed_ms(started_at) * 1000 << " /s\n";
 }
 
-constexpr int kSideThreads = 3;
-constexpr const char* kBackEnds =
+constexpr int kLoadShards = 3;
+constexpr const char* kBackEndSettings =
     "[fleet]\nmembership_lag_ms = 0\nweight_transfer_ms = 0\n[zone a]\nmachines_per_domain = 1\nstep_us = 20\n"
     "step_per_sequence_us = 0\nprefill_per_token_us = 0\nmost_running = 4096\n[service s]\nzone = a\nports = 0\n";
 
 /// A node on one thread, with back ends and callers on several, so that the node is what limits.
-class PathBench {
+class RequestPathBench {
  public:
-  explicit PathBench(const fs::path& folder) : node_context_(1) {
+  explicit RequestPathBench(const fs::path& folder) : node_context_(1) {
     std::string error;
-    for (int side = 0; side < kSideThreads; ++side) {
-      sides_.push_back(std::make_unique<Side>());
-      sides_.back()->fleet->start(error);
+    for (int shard = 0; shard < kLoadShards; ++shard) {
+      load_shards_.push_back(std::make_unique<LoadShard>());
+      load_shards_.back()->fleet->start(error);
     }
     settings::NodeSettings settings;
     settings.name = "n1";
@@ -213,38 +215,39 @@
     settings.data_folder = folder;
     settings.control_nodes = {{"n1", "127.0.0.1:1"}};
     settings.controller.control_nodes = {"n1"};
-    settings.membership_list = sides_.front()->fleet->membership_endpoint();
-    begin_region(settings, error);
+    settings.membership_list = load_shards_.front()->fleet->membership_endpoint();
+    bootstrap_region(settings, error);
     node_ = std::make_unique<node::NodeProcess>(node_context_.get_executor(), settings);
     node_->start(error);
     node_thread_ = std::thread([this] { node_context_.run(); });
-    for (auto& side : sides_) {
-      side->run();
+    for (auto& shard : load_shards_) {
+      shard->run();
     }
   }
 
-  ~PathBench() {
+  ~RequestPathBench() {
     node_context_.stop();
     node_thread_.join();
-    sides_.clear();
+    load_shards_.clear();
     node_->stop();
   }
 
-  bool configure() {
-    std::vector<std::string> faults;
+  bool apply_configuration() {
+    std::vector<std::string> errors;
     const std::string text =
         "[template m]\nmodel = m\nversion = 1\nmachines_per_group = 1\nrepeat = safe\n[tenant t]\ntemplate = m\nzones "
         "= a\n"
         "share_percent = 100\nmax_concurrent = 10000\n[service s]\npath_prefix = /s\nzones = a\nendpoints = " +
         endpoints() + "\n";
-    wire::OperatorRequest apply;
-    apply.action = wire::OperatorAction::APPLY;
-    apply.change.command_id = "bench";
-    apply.change.writes = *settings::parse_change_file(text, faults);
-    apply.__isset.change = true;
-    const auto reply = asio::co_spawn(node_context_, node_->runtime().operator_request(apply, std::chrono::seconds(20)),
-                                      asio::use_future)
-                           .get();
+    wire::OperatorRequest apply_request;
+    apply_request.action = wire::OperatorAction::APPLY;
+    apply_request.change.command_id = "bench";
+    apply_request.change.writes = *settings::parse_change_file(text, errors);
+    apply_request.__isset.change = true;
+    const auto reply =
+        asio::co_spawn(node_context_, node_->runtime().operator_request(apply_request, std::chrono::seconds(20)),
+                       asio::use_future)
+            .get();
     const auto deadline = Clock::now() + std::chrono::seconds(20);
     while (reply.in_force && Clock::now() < deadline) {
       const size_t leased =
@@ -260,7 +263,7 @@
     return false;
   }
 
-  struct Result {
+  struct LoadRunResult {
     double seconds = 0;
     uint64_t requests = 0;
     uint64_t bytes = 0;
@@ -269,104 +272,106 @@
   };
 
   /// `connections` callers, spread over the caller threads, send `request` to `endpoint` in closed loops.
-  Result run(const std::string& endpoint, const net::HttpRequest& request, int connections, uint64_t total) {
-    const int64_t cpu_before = thread_time_ns(node_thread_);
-    const auto began = Clock::now();
-    const int threads = std::min(connections, kSideThreads);
-    std::vector<Result> parts(static_cast<size_t>(threads));
-    std::vector<std::future<void>> done;
+  LoadRunResult run(const std::string& endpoint, const net::HttpRequest& request, int connections,
+                    uint64_t total_requests) {
+    const int64_t cpu_ns_before = thread_cpu_time_ns(node_thread_);
+    const auto started_at = Clock::now();
+    const int threads = std::min(connections, kLoadShards);
+    std::vector<LoadRunResult> thread_results(static_cast<size_t>(threads));
+    std::vector<std::future<void>> completions;
     for (int thread = 0; thread < threads; ++thread) {
-      done.push_back(asio::co_spawn(sides_[static_cast<size_t>(thread)]->call_context,
-                                    callers(endpoint, request, connections / threads,
-                                            total / static_cast<uint64_t>(threads), parts[static_cast<size_t>(thread)]),
-                                    asio::use_future));
+      completions.push_back(asio::co_spawn(
+          load_shards_[static_cast<size_t>(thread)]->caller_context,
+          run_callers(endpoint, request, connections / threads, total_requests / static_cast<uint64_t>(threads),
+                      thread_results[static_cast<size_t>(thread)]),
+          asio::use_future));
     }
-    for (auto& part : done) {
+    for (auto& part : completions) {
       part.get();
     }
-    Result result;
-    result.seconds = elapsed_ms(began) / 1000;
-    for (const auto& part : parts) {
+    LoadRunResult result;
+    result.seconds = elapsed_ms(started_at) / 1000;
+    for (const auto& part : thread_results) {
       result.requests += part.requests;
       result.bytes += part.bytes;
       result.latency_ms.insert(result.latency_ms.end(), part.latency_ms.begin(), part.latency_ms.end());
     }
-    result.node_cpu_us = static_cast<double>(thread_time_ns(node_thread_) - cpu_before) / 1000.0 /
+    result.node_cpu_us = static_cast<double>(thread_cpu_time_ns(node_thread_) - cpu_ns_before) / 1000.0 /
                          static_cast<double>(std::max<uint64_t>(result.requests, 1));
     return result;
   }
 
   std::string node_address() const { return node_->service_address(); }
-  std::string back_address() const { return sides_.front()->fleet->service_endpoints("s").front(); }
+  std::string back_end_address() const { return load_shards_.front()->fleet->service_endpoints("s").front(); }
 
  private:
   /// Back ends on one thread and callers on another.
-  struct Side {
-    Side() : back_context(1), call_context(1) {
-      std::vector<std::string> faults;
-      fleet = std::make_unique<emulator::EmulatedFleet>(back_context.get_executor(),
-                                                        *emulator::parse_fleet_settings(kBackEnds, faults));
+  struct LoadShard {
+    LoadShard() : back_end_context(1), caller_context(1) {
+      std::vector<std::string> errors;
+      fleet = std::make_unique<emulator::EmulatedFleet>(back_end_context.get_executor(),
+                                                        *emulator::parse_fleet_settings(kBackEndSettings, errors));
     }
-    ~Side() {
-      back_context.stop();
-      call_context.stop();
-      back_thread.join();
-      call_thread.join();
+    ~LoadShard() {
+      back_end_context.stop();
+      caller_context.stop();
+      back_end_thread.join();
+      caller_thread.join();
     }
     void run() {
-      back_thread = std::thread([this] { back_context.run(); });
-      call_thread = std::thread([this] {
-        const auto work = asio::make_work_guard(call_context);
-        call_context.run();
+      back_end_thread = std::thread([this] { back_end_context.run(); });
+      caller_thread = std::thread([this] {
+        const auto work = asio::make_work_guard(caller_context);
+        caller_context.run();
       });
     }
-    asio::io_context back_context;
-    asio::io_context call_context;
+    asio::io_context back_end_context;
+    asio::io_context caller_context;
     std::unique_ptr<emulator::EmulatedFleet> fleet;
-    std::thread back_thread;
-    std::thread call_thread;
+    std::thread back_end_thread;
+    std::thread caller_thread;
   };
 
-  static asio::awaitable<void> callers(std::string endpoint, net::HttpRequest request, int connections, uint64_t total,
-                                       Result& result) {
+  static asio::awaitable<void> run_callers(std::string endpoint, net::HttpRequest request, int connections,
+                                           uint64_t total_requests, LoadRunResult& result) {
     const auto executor = co_await asio::this_coro::executor;
     net::HttpClient client(executor);
-    uint64_t started = 0;
-    int running = connections;
-    asio::steady_timer finished(executor, Clock::time_point::max());
-    const auto one_caller = [&]() -> asio::awaitable<void> {
+    uint64_t started_requests = 0;
+    int running_callers = connections;
+    asio::steady_timer caller_finished(executor, Clock::time_point::max());
+    const auto run_caller = [&]() -> asio::awaitable<void> {
       net::OpenOptions options;
-      while (started < total) {
-        ++started;
-        const auto sent = Clock::now();
-        auto opened = co_await client.open(endpoint, request, options);
-        while (opened.stream != nullptr) {
-          std::string piece = co_await opened.stream->read_some(options.timeout);
-          if (piece.empty()) {
+      while (started_requests < total_requests) {
+        ++started_requests;
+        const auto sent_at = Clock::now();
+        auto response = co_await client.open(endpoint, request, options);
+        while (response.stream != nullptr) {
+          std::string chunk = co_await response.stream->read_some(options.timeout);
+          if (chunk.empty()) {
             break;
           }
-          result.bytes += piece.size();
+          result.bytes += chunk.size();
         }
-        if (opened.stream != nullptr && opened.stream->head().status == 200) {
+        if (response.stream != nullptr && response.stream->head().status == 200) {
           ++result.requests;
-          result.latency_ms.push_back(elapsed_ms(sent));
+          result.latency_ms.push_back(elapsed_ms(sent_at));
         }
       }
-      --running;
-      finished.cancel();
+      --running_callers;
+      caller_finished.cancel();
     };
     for (int number = 0; number < connections; ++number) {
-      asio::co_spawn(executor, one_caller(), asio::detached);
+      asio::co_spawn(executor, run_caller(), asio::detached);
     }
-    while (running > 0) {
-      co_await finished.async_wait(asio::as_tuple(asio::use_awaitable));
+    while (running_callers > 0) {
+      co_await caller_finished.async_wait(asio::as_tuple(asio::use_awaitable));
     }
   }
 
   std::string endpoints() const {
     std::string list;
-    for (const auto& side : sides_) {
-      list += side->fleet->service_endpoints("s").front() + ", ";
+    for (const auto& shard : load_shards_) {
+      list += shard->fleet->service_endpoints("s").front() + ", ";
     }
     return list;
   }
@@ -374,43 +379,49 @@
   asio::io_context node_context_;
   std::unique_ptr<node::NodeProcess> node_;
   std::thread node_thread_;
-  std::vector<std::unique_ptr<Side>> sides_;
+  std::vector<std::unique_ptr<LoadShard>> load_shards_;
 };
 
-void bench_path(const fs::path& folder) {
-  PathBench bench(folder);
-  if (!bench.configure()) {
+void bench_request_path(const fs::path& folder) {
+  RequestPathBench bench(folder);
+  if (!bench.apply_configuration()) {
     std::cout << "the bench's node did not come up; path figures are missing\n";
     return;
   }
-  net::HttpRequest small;
-  small.method = "GET";
-  small.target = "/s/x";
-  small.headers.add("X-Padding", std::string(900, 'x'));
-  const auto direct = bench.run(bench.back_address(), small, 1, 3000);
-  const auto through = bench.run(bench.node_address(), small, 1, 3000);
-  const double added50 = load::percentile(through.latency_ms, 50) - load::percentile(direct.latency_ms, 50);
-  const double added99 = load::percentile(through.latency_ms, 99) - load::percentile(direct.latency_ms, 99);
-  print("added latency, 1 KB request, p50", "<= 0.2 ms", added50, "ms", added50 <= 0.2);
-  print("added latency, 1 KB request, p99", "<= 2 ms", added99, "ms", added99 <= 2);
-  const auto many = bench.run(bench.node_address(), small, 63, 60'000);
-  const double rate = static_cast<double>(many.requests) / many.seconds;
-  print("small requests through one entry (one thread)", ">= 15000 /s", rate, "/s", rate >= 15'000);
-  std::cout << "    node processor time per small request " << many.node_cpu_us << " us, by which one thread carries "
-            << 1e6 / many.node_cpu_us << " /s\n";
-  net::HttpRequest stream;
-  stream.method = "POST";
-  stream.target = "/v1/chat/completions";
-  stream.headers.add("Larchlever-Tenant", "t");
-  stream.body = R"({"model":"m","stream":true,"max_tokens":2000,"messages":[{"role":"user","content":"go"}]})";
-  const auto relayed = bench.run(bench.node_address(), stream, 33, 300);
+  net::HttpRequest small_request;
+  small_request.method = "GET";
+  small_request.target = "/s/x";
+  small_request.headers.add("X-Padding", std::string(900, 'x'));
+  const auto direct_result = bench.run(bench.back_end_address(), small_request, 1, 3000);
+  const auto proxied_result = bench.run(bench.node_address(), small_request, 1, 3000);
+  const double added_p50_ms =
+      load::percentile(proxied_result.latency_ms, 50) - load::percentile(direct_result.latency_ms, 50);
+  const double added_p99_ms =
+      load::percentile(proxied_result.latency_ms, 99) - load::percentile(direct_result.latency_ms, 99);
+  print_measurement("added latency, 1 KB request, p50", "<= 0.2 ms", added_p50_ms, "ms", added_p50_ms <= 0.2);
+  print_measurement("added latency, 1 KB request, p99", "<= 2 ms", added_p99_ms, "ms", added_p99_ms <= 2);
+  const auto throughput_result = bench.run(bench.node_address(), small_request, 63, 60'000);
+  const double requests_per_second = static_cast<double>(throughput_result.requests) / throughput_result.seconds;
+  print_measurement("small requests through one entry (one thread)", ">= 15000 /s", requests_per_second, "/s",
+                    requests_per_second >= 15'000);
+  std::cout << "    node processor time per small request " << throughput_result.node_cpu_us
+            << " us, by which one thread carries " << 1e6 / throughput_result.node_cpu_us << " /s\n";
+  net::HttpRequest stream_request;
+  stream_request.method = "POST";
+  stream_request.target = "/v1/chat/completions";
+  stream_request.headers.add("Larchlever-Tenant", "t");
+  stream_request.body = R"({"model":"m","stream":true,"max_tokens":2000,"messages":[{"role":"user","content":"go"}]})";
+  const auto stream_result = bench.run(bench.node_address(), stream_request, 33, 300);
   constexpr double kEventsPerStream = 2001;
-  const double events = static_cast<double>(relayed.requests) * kEventsPerStream / relayed.seconds;
-  print("SSE events relayed by one entry (one thread)", ">= 150000 /s", events, "/s", events >= 150'000);
-  std::cout << "    node processor time per event " << relayed.node_cpu_us / kEventsPerStream
-            << " us, by which one thread carries " << 1e6 * kEventsPerStream / relayed.node_cpu_us
+  const double events_per_second =
+      static_cast<double>(stream_result.requests) * kEventsPerStream / stream_result.seconds;
+  print_measurement("SSE events relayed by one entry (one thread)", ">= 150000 /s", events_per_second, "/s",
+                    events_per_second >= 150'000);
+  std::cout << "    node processor time per event " << stream_result.node_cpu_us / kEventsPerStream
+            << " us, by which one thread carries " << 1e6 * kEventsPerStream / stream_result.node_cpu_us
             << " /s; bytes per event "
-            << static_cast<double>(relayed.bytes) / static_cast<double>(relayed.requests) / kEventsPerStream << "\n";
+            << static_cast<double>(stream_result.bytes) / static_cast<double>(stream_result.requests) / kEventsPerStream
+            << "\n";
 }
 
 }  // namespace
@@ -424,10 +435,10 @@
   bench_planning();
   bench_restart(folder / "restart");
   bench_claims(folder / "claims");
-  bench_path(folder / "path");
+  bench_request_path(folder / "path");
   std::error_code ignored;
   fs::remove_all(folder, ignored);
-  return kExitDone;
+  return kExitSuccess;
 }
 
 }  // namespace larchlever::cli
--- a/src/cli/command_line.cc
+++ b/src/cli/command_line.cc
@@ -109,19 +109,19 @@
 
 }  // namespace
 
-int run(const std::vector<std::string>& arguments) {
+int run_command(const std::vector<std::string>& arguments) {
   const std::string name = arguments.empty() ? "help" : arguments.front();
   if (name == "help") {
     print_help(std::cout);
-    return arguments.empty() ? kExitUsage : kExitDone;
+    return arguments.empty() ? kExitUsage : kExitSuccess;
   }
   if (name == "version") {
     std::cout << "larchlever " << LARCHLEVER_VERSION << "\n";
-    return kExitDone;
+    return kExitSuccess;
   }
   if (name == "completion") {
     print_completion();
-    return kExitDone;
+    return kExitSuccess;
   }
   const auto found = subcommands().find(name);
   if (found == subcommands().end()) {
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -7,7 +7,7 @@
 
 /// Exit codes of the command, as documented in docs/OPERATIONS.md.
 enum ExitCode : int {
-  kExitDone = 0,
+  kExitSuccess = 0,
   kExitUsage = 2,
   kExitInvalid = 3,      ///< Settings or a change were refused by validation.
   kExitConflict = 4,     ///< Another change came first.
@@ -17,7 +17,7 @@
 };
 
 /// Runs a subcommand; `arguments` starts with its name.
-int run(const std::vector<std::string>& arguments);
+int run_command(const std::vector<std::string>& arguments);
 
 // The subcommands, each in a unit of its own.
 int run_serve();
--- a/src/cli/demo_command.cc
+++ b/src/cli/demo_command.cc
@@ -7,7 +7,7 @@
 
 #include "cli/command_line.h"
 #include "cli/flags.h"
-#include "cli/region_start.h"
+#include "cli/region_bootstrap.h"
 #include "emulator/emulated_fleet.h"
 #include "node/logging.h"
 #include "node/node_process.h"
@@ -21,13 +21,13 @@
 
 namespace {
 
-constexpr int kNodes = 9;
-constexpr int kControlNodes = 5;
-constexpr int kZones = 3;
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr const char* kZoneNames[kZones] = {"ljubljana", "celje", "koper"};
+constexpr int kNodeCount = 9;
+constexpr int kControlNodeCount = 5;
+constexpr int kZoneCount = 3;
+constexpr auto kAwaitWithErrorTuple = asio::as_tuple(asio::use_awaitable);
+constexpr const char* kZoneNames[kZoneCount] = {"ljubljana", "celje", "koper"};
 
-constexpr const char* kFleetText = R"(
+constexpr const char* kFleetSettingsText = R"(
 [fleet]
 membership_lag_ms = 1000
 weight_transfers_at_once = 6
@@ -53,7 +53,7 @@
 ports = 0, 0, 0
 )";
 
-constexpr const char* kChangeText = R"(
+constexpr const char* kChangeFileText = R"(
 [template census]
 model = census
 version = 1
@@ -80,19 +80,19 @@
 downtime_weight = 70
 )";
 
-std::string address(int group, int node) {
-  const int port = FLAGS_port_base == 0 ? 0 : FLAGS_port_base + 100 * group + node;
+std::string loopback_address(int port_block, int node) {
+  const int port = FLAGS_port_base == 0 ? 0 : FLAGS_port_base + 100 * port_block + node;
   return "127.0.0.1:" + std::to_string(port);
 }
 
 /// Finds free ports for the control nodes' peer links, which must be known before the nodes start.
 std::string peer_address(int node) {
   if (FLAGS_port_base != 0) {
-    return address(2, node);
+    return loopback_address(2, node);
   }
   asio::io_context context;
-  asio::ip::tcp::acceptor probe(context, {asio::ip::make_address("127.0.0.1"), 0});
-  return "127.0.0.1:" + std::to_string(probe.local_endpoint().port());
+  asio::ip::tcp::acceptor acceptor(context, {asio::ip::make_address("127.0.0.1"), 0});
+  return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
 std::string node_name(int node) { return "n" + std::to_string(node); }
@@ -101,15 +101,15 @@
                                      const fs::path& data, const std::string& membership_list) {
   settings::NodeSettings settings;
   settings.name = node_name(node);
-  settings.zone = kZoneNames[(node - 1) % kZones];
+  settings.zone = kZoneNames[(node - 1) % kZoneCount];
   settings.control_nodes = control_nodes;
   for (const auto& [name, endpoint] : control_nodes) {
     settings.controller.control_nodes.push_back(name);
   }
   const auto peer = control_nodes.find(settings.name);
   settings.peer_address = peer == control_nodes.end() ? peer_address(node) : peer->second;
-  settings.service_address = address(0, node);
-  settings.admin_address = address(1, node);
+  settings.service_address = loopback_address(0, node);
+  settings.admin_address = loopback_address(1, node);
   if (peer != control_nodes.end()) {
     settings.data_folder = data / settings.name;
   }
@@ -118,8 +118,8 @@
   return settings;
 }
 
-std::string change_text(const emulator::EmulatedFleet& fleet) {
-  std::string text = kChangeText;
+std::string change_file_text(const emulator::EmulatedFleet& fleet) {
+  std::string text = kChangeFileText;
   text += "\n[service forms]\npath_prefix = /forms\nzones = ljubljana\nendpoints = ";
   for (const auto& endpoint : fleet.service_endpoints("forms")) {
     text += endpoint + ", ";
@@ -132,21 +132,21 @@
   explicit Demo(asio::io_context& context) : context_(context) {}
 
   bool start(std::string& error) {
-    std::vector<std::string> faults;
-    auto fleet = emulator::parse_fleet_settings(kFleetText, faults);
+    std::vector<std::string> errors;
+    auto fleet = emulator::parse_fleet_settings(kFleetSettingsText, errors);
     fleet_ = std::make_unique<emulator::EmulatedFleet>(context_.get_executor(), std::move(*fleet));
     if (!fleet_->start(error)) {
       return false;
     }
-    data_ = FLAGS_data.empty() ? fs::temp_directory_path() / ("larchlever-demo-" + std::to_string(::getpid()))
-                               : fs::path(FLAGS_data);
+    data_folder_ = FLAGS_data.empty() ? fs::temp_directory_path() / ("larchlever-demo-" + std::to_string(::getpid()))
+                                      : fs::path(FLAGS_data);
     std::map<std::string, std::string> control_nodes;
-    for (int node = 1; node <= kControlNodes; ++node) {
+    for (int node = 1; node <= kControlNodeCount; ++node) {
       control_nodes[node_name(node)] = peer_address(node);
     }
-    for (int node = 1; node <= kNodes; ++node) {
-      auto settings = node_settings(node, control_nodes, data_, fleet_->membership_endpoint());
-      if (node == 1 && !begin_region(settings, error)) {
+    for (int node = 1; node <= kNodeCount; ++node) {
+      auto settings = node_settings(node, control_nodes, data_folder_, fleet_->membership_endpoint());
+      if (node == 1 && !bootstrap_region(settings, error)) {
         return false;
       }
       nodes_.push_back(std::make_unique<node::NodeProcess>(context_.get_executor(), std::move(settings)));
@@ -157,28 +157,28 @@
     return true;
   }
 
-  asio::awaitable<void> configure() {
-    std::vector<std::string> faults;
-    const auto writes = settings::parse_change_file(change_text(*fleet_), faults);
+  asio::awaitable<void> apply_configuration() {
+    std::vector<std::string> errors;
+    const auto writes = settings::parse_change_file(change_file_text(*fleet_), errors);
     auto& runtime = nodes_.back()->runtime();
-    wire::OperatorRequest read;
-    read.action = wire::OperatorAction::GET;
-    const auto present = co_await runtime.operator_request(read, std::chrono::seconds(30));
-    wire::OperatorRequest apply;
-    apply.action = wire::OperatorAction::APPLY;
-    apply.change.operator_name = "demo";
-    apply.change.command_id = "demo-" + std::to_string(node::NodeRuntime::wall_clock_ms());
-    apply.change.writes = *writes;
+    wire::OperatorRequest get_request;
+    get_request.action = wire::OperatorAction::GET;
+    const auto current = co_await runtime.operator_request(get_request, std::chrono::seconds(30));
+    wire::OperatorRequest apply_request;
+    apply_request.action = wire::OperatorAction::APPLY;
+    apply_request.change.operator_name = "demo";
+    apply_request.change.command_id = "demo-" + std::to_string(node::NodeRuntime::wall_clock_ms());
+    apply_request.change.writes = *writes;
     for (const auto& write : *writes) {
       wire::KeyRevision revision;
       revision.key = write.key;
-      for (const auto& record : present.records) {
+      for (const auto& record : current.records) {
         revision.revision = record.key == write.key ? record.revision : revision.revision;
       }
-      apply.change.reads.push_back(std::move(revision));
+      apply_request.change.reads.push_back(std::move(revision));
     }
-    apply.__isset.change = true;
-    const auto reply = co_await runtime.operator_request(apply, std::chrono::seconds(30));
+    apply_request.__isset.change = true;
+    const auto reply = co_await runtime.operator_request(apply_request, std::chrono::seconds(30));
     if (reply.answer.verdict != wire::Verdict::ACCEPTED || reply.leader.empty()) {
       std::cout << "the example templates were not accepted: " << reply.answer.message << std::endl;
       co_return;
@@ -193,7 +193,7 @@
     }
     if (FLAGS_data.empty()) {
       std::error_code ignored;
-      fs::remove_all(data_, ignored);
+      fs::remove_all(data_folder_, ignored);
     }
   }
 
@@ -202,13 +202,13 @@
     asio::steady_timer timer(context_);
     while (nodes_.back()->runtime().controller().entry().router().leased_groups(node::NodeRuntime::now()) < 3) {
       timer.expires_after(std::chrono::milliseconds(50));
-      co_await timer.async_wait(kAwait);
+      co_await timer.async_wait(kAwaitWithErrorTuple);
     }
   }
 
   void print_addresses() const {
-    std::cout << "larchlever demo: " << kNodes << " nodes before " << fleet_->machines().size()
-              << " stand-in machines, data in " << data_.string() << "\n";
+    std::cout << "larchlever demo: " << kNodeCount << " nodes before " << fleet_->machines().size()
+              << " stand-in machines, data in " << data_folder_.string() << "\n";
     for (const auto& node : nodes_) {
       std::cout << "  " << node->settings().name << "  zone " << node->settings().zone << "  service http://"
                 << node->service_address() << "  admin " << node->admin_address() << "\n";
@@ -217,7 +217,7 @@
   }
 
   asio::io_context& context_;
-  fs::path data_;
+  fs::path data_folder_;
   std::unique_ptr<emulator::EmulatedFleet> fleet_;
   std::vector<std::unique_ptr<node::NodeProcess>> nodes_;
 };
@@ -233,17 +233,17 @@
     std::cerr << "larchlever: " << error << "\n";
     return kExitFailed;
   }
-  asio::co_spawn(context, demo.configure(), asio::detached);
+  asio::co_spawn(context, demo.apply_configuration(), asio::detached);
   asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&](boost::system::error_code, int) { context.stop(); });
-  asio::steady_timer limit(context);
+  asio::steady_timer run_timer(context);
   if (FLAGS_seconds > 0) {
-    limit.expires_after(std::chrono::seconds(FLAGS_seconds));
-    limit.async_wait([&](boost::system::error_code) { context.stop(); });
+    run_timer.expires_after(std::chrono::seconds(FLAGS_seconds));
+    run_timer.async_wait([&](boost::system::error_code) { context.stop(); });
   }
   context.run();
   demo.stop();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 }  // namespace larchlever::cli
--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr size_t kFaultsShown = 20;
+constexpr size_t kMaxViolationsShown = 20;
 
 void print_report(const load::LoadReport& report) {
   std::cout << "requests " << report.requests << "  sendings " << report.sendings << "  answered " << report.answered
@@ -63,19 +63,19 @@
   context.run();
   print_report(generator.report());
   if (FLAGS_execution_log.empty()) {
-    return kExitDone;
+    return kExitSuccess;
   }
   if (!error.empty()) {
     std::cerr << "larchlever: " << error << "\n";
     return kExitUnreachable;
   }
-  const auto faults = load::check_history(generator.history(), executions);
+  const auto violations = load::check_history(generator.history(), executions);
   std::cout << "history " << generator.history().size() << " sendings against " << executions.size()
-            << " executions: " << faults.size() << " faults\n";
-  for (size_t shown = 0; shown < faults.size() && shown < kFaultsShown; ++shown) {
-    std::cout << "  " << faults[shown] << "\n";
+            << " executions: " << violations.size() << " faults\n";
+  for (size_t shown = 0; shown < violations.size() && shown < kMaxViolationsShown; ++shown) {
+    std::cout << "  " << violations[shown] << "\n";
   }
-  return faults.empty() ? kExitDone : kExitFailed;
+  return violations.empty() ? kExitSuccess : kExitFailed;
 }
 
 }  // namespace larchlever::cli
--- a/src/cli/main.cc
+++ b/src/cli/main.cc
@@ -14,9 +14,9 @@
     gflags::SetUsageMessage("larchlever COMMAND [ARGUMENTS]; 'larchlever help' lists the commands");
     gflags::SetVersionString(LARCHLEVER_VERSION);
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    return larchlever::cli::run(std::vector<std::string>(argv + 1, argv + argc));
-  } catch (const std::exception& problem) {
-    std::cerr << "larchlever: " << problem.what() << "\n";
+    return larchlever::cli::run_command(std::vector<std::string>(argv + 1, argv + argc));
+  } catch (const std::exception& error) {
+    std::cerr << "larchlever: " << error.what() << "\n";
     return larchlever::cli::kExitFailed;
   }
 }
--- a/src/cli/operator_commands.cc
+++ b/src/cli/operator_commands.cc
@@ -26,7 +26,7 @@
 constexpr auto kCallTimeout = std::chrono::milliseconds(20'000);
 
 /// Sends a request to the first node that answers; nothing when none does, with the reason on standard error.
-std::optional<wire::OperatorReply> operate(const wire::OperatorRequest& request) {
+std::optional<wire::OperatorReply> send_operator_request(const wire::OperatorRequest& request) {
   std::string reason = "no node named; use --node IP:PORT";
   for (const auto& node : settings::split_list(FLAGS_node)) {
     asio::io_context context(1);
@@ -101,7 +101,7 @@
  public:
   explicit Table(std::vector<std::string> headings) : headings_(std::move(headings)) {}
   void add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
-  json::array as_json() const {
+  json::array to_json() const {
     json::array list;
     for (const auto& row : rows_) {
       json::object object;
@@ -114,7 +114,7 @@
   }
   void print() const {
     if (FLAGS_output == "json") {
-      std::cout << json::serialize(as_json()) << "\n";
+      std::cout << json::serialize(to_json()) << "\n";
       return;
     }
     std::vector<size_t> widths;
@@ -155,7 +155,7 @@
 std::optional<wire::StatusReport> fetch_status() {
   wire::OperatorRequest request;
   request.action = wire::OperatorAction::STATUS;
-  const auto reply = operate(request);
+  const auto reply = send_operator_request(request);
   return reply ? std::optional(reply->status) : std::nullopt;
 }
 
@@ -163,7 +163,7 @@
   wire::OperatorRequest request;
   request.action = wire::OperatorAction::GET;
   request.prefix = prefix;
-  const auto reply = operate(request);
+  const auto reply = send_operator_request(request);
   if (!reply) {
     return std::nullopt;
   }
@@ -174,32 +174,32 @@
   return records;
 }
 
-void print_lines(const std::string& text, const char* mark) {
+void print_prefixed_lines(const std::string& text, const char* line_prefix) {
   std::istringstream lines(text);
   std::string line;
   while (std::getline(lines, line)) {
-    std::cout << mark << line << "\n";
+    std::cout << line_prefix << line << "\n";
   }
 }
 
-void print_difference(const std::map<std::string, wire::Record>& present, const std::vector<wire::KeyWrite>& writes) {
+void print_difference(const std::map<std::string, wire::Record>& current, const std::vector<wire::KeyWrite>& writes) {
   for (const auto& write : writes) {
-    const auto found = present.find(write.key);
-    const std::string before = found == present.end() ? "" : settings::format_record(found->second);
+    const auto found = current.find(write.key);
+    const std::string old_text = found == current.end() ? "" : settings::format_record(found->second);
     wire::Record after;
     after.key = write.key;
     after.value = write.value;
     const std::string text = write.remove ? "" : settings::format_record(after);
-    if (text == before) {
+    if (text == old_text) {
       std::cout << "  " << write.key << ": unchanged\n";
       continue;
     }
-    print_lines(before, "- ");
-    print_lines(text, "+ ");
+    print_prefixed_lines(old_text, "- ");
+    print_prefixed_lines(text, "+ ");
   }
 }
 
-int report_answer(const wire::OperatorReply& reply, bool dry_run) {
+int print_change_answer(const wire::OperatorReply& reply, bool dry_run) {
   if (FLAGS_output == "json") {
     json::array missing(reply.missing_nodes.begin(), reply.missing_nodes.end());
     std::cout << json::serialize(json::object{{"verdict", verdict_name(reply.answer.verdict)},
@@ -224,7 +224,7 @@
     if (!dry_run && FLAGS_output == "table") {
       std::cout << "in force on every node\n";
     }
-    return kExitDone;
+    return kExitSuccess;
   }
   std::cerr << "not yet confirmed by: " << join(reply.missing_nodes) << "\n";
   return kExitNotInForce;
@@ -237,21 +237,21 @@
     std::cerr << "usage: larchlever apply FILE [--dry_run]\n";
     return kExitUsage;
   }
-  std::vector<std::string> faults;
-  const auto text = settings::read_text_file(arguments.front(), faults);
-  const auto writes = text ? settings::parse_change_file(*text, faults) : std::nullopt;
-  for (const auto& fault : faults) {
-    std::cerr << arguments.front() << ": " << fault << "\n";
+  std::vector<std::string> errors;
+  const auto text = settings::read_text_file(arguments.front(), errors);
+  const auto writes = text ? settings::parse_change_file(*text, errors) : std::nullopt;
+  for (const auto& error_text : errors) {
+    std::cerr << arguments.front() << ": " << error_text << "\n";
   }
   if (!writes) {
     return kExitInvalid;
   }
-  const auto present = fetch_records("");
-  if (!present) {
+  const auto current = fetch_records("");
+  if (!current) {
     return kExitUnreachable;
   }
   if (FLAGS_output == "table") {
-    print_difference(*present, *writes);
+    print_difference(*current, *writes);
   }
   wire::OperatorRequest request;
   request.action = wire::OperatorAction::APPLY;
@@ -261,18 +261,18 @@
   request.change.writes = *writes;
   for (const auto& write : *writes) {
     // A key that was removed earlier reads as absent here; the answer names its revision if that matters.
-    wire::KeyRevision read;
-    read.key = write.key;
-    const auto found = present->find(write.key);
-    read.revision = found == present->end() ? 0 : found->second.revision;
-    request.change.reads.push_back(std::move(read));
+    wire::KeyRevision read_revision;
+    read_revision.key = write.key;
+    const auto found = current->find(write.key);
+    read_revision.revision = found == current->end() ? 0 : found->second.revision;
+    request.change.reads.push_back(std::move(read_revision));
   }
   request.__isset.change = true;
   if (!FLAGS_dry_run && FLAGS_output == "table") {
     std::cout << "command id " << request.change.command_id << "\n";
   }
-  const auto reply = operate(request);
-  return reply ? report_answer(*reply, FLAGS_dry_run) : static_cast<int>(kExitUnreachable);
+  const auto reply = send_operator_request(request);
+  return reply ? print_change_answer(*reply, FLAGS_dry_run) : static_cast<int>(kExitUnreachable);
 }
 
 int run_get(const std::vector<std::string>& arguments) {
@@ -295,7 +295,7 @@
   if (FLAGS_output == "json") {
     std::cout << json::serialize(list) << "\n";
   }
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_status() {
@@ -336,12 +336,12 @@
                                               {"committed", status->commit_index},
                                               {"voters", status->replicas.voters.size()},
                                               {"stranded_accelerators", status->stranded_accelerators},
-                                              {"nodes", table.as_json()}})
+                                              {"nodes", table.to_json()}})
               << "\n";
-    return kExitDone;
+    return kExitSuccess;
   }
   table.print();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_groups() {
@@ -355,7 +355,7 @@
                group.template_name, group.model, group.version, group.zone, group.domain, join(group.machines)});
   }
   table.print();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_machines() {
@@ -370,7 +370,7 @@
                machine.weights.empty() ? "-" : machine.weights, machine.endpoint});
   }
   table.print();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_drain(const std::vector<std::string>& arguments) {
@@ -385,33 +385,33 @@
   request.drain.operator_name = operator_name();
   request.drain.command_id = command_id();
   request.__isset.drain = true;
-  const auto reply = operate(request);
-  return reply ? report_answer(*reply, false) : static_cast<int>(kExitUnreachable);
+  const auto reply = send_operator_request(request);
+  return reply ? print_change_answer(*reply, false) : static_cast<int>(kExitUnreachable);
 }
 
 int run_audit() {
   wire::OperatorRequest request;
   request.action = wire::OperatorAction::AUDIT;
-  const auto reply = operate(request);
+  const auto reply = send_operator_request(request);
   if (!reply) {
     return kExitUnreachable;
   }
   Table table({"time", "operator", "command", "verdict", "revision", "changed", "message"});
   for (const auto& record : reply->audit) {
     const std::time_t time = record.at_ms / 1000;
-    std::ostringstream when;
-    when << std::put_time(std::gmtime(&time), "%Y-%m-%dT%H:%M:%SZ");
+    std::ostringstream timestamp;
+    timestamp << std::put_time(std::gmtime(&time), "%Y-%m-%dT%H:%M:%SZ");
     std::vector<std::string> changed;
     for (const auto& key : record.changed_from) {
       changed.push_back(key.key + "@" + std::to_string(key.revision));
     }
     std::string message = record.message;
     std::replace(message.begin(), message.end(), '\n', ' ');
-    table.add({when.str(), record.operator_name, record.command_id, verdict_name(record.verdict),
+    table.add({timestamp.str(), record.operator_name, record.command_id, verdict_name(record.verdict),
                std::to_string(record.revision), join(changed), message});
   }
   table.print();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 }  // namespace larchlever::cli
--- a/src/cli/serve_commands.cc
+++ b/src/cli/serve_commands.cc
@@ -6,7 +6,7 @@
 
 #include "cli/command_line.h"
 #include "cli/flags.h"
-#include "cli/region_start.h"
+#include "cli/region_bootstrap.h"
 #include "emulator/emulated_fleet.h"
 #include "node/dialect.h"
 #include "node/fleet_process.h"
@@ -22,61 +22,61 @@
 namespace {
 
 /// Names the settings file where no flag does: platforms that run several nodes on a machine set it for each.
-constexpr const char* kSettingsVariable = "LARCHLEVER_CONFIG";
+constexpr const char* kSettingsPathVariable = "LARCHLEVER_CONFIG";
 
 /// The settings file that the flag names, else the environment; empty when neither does.
 std::string settings_path() {
   if (!FLAGS_settings.empty()) {
     return FLAGS_settings;
   }
-  const char* path = std::getenv(kSettingsVariable);
+  const char* path = std::getenv(kSettingsPathVariable);
   return path == nullptr ? std::string() : path;
 }
 
-void print_faults(const std::vector<std::string>& faults) {
-  for (const auto& fault : faults) {
-    std::cerr << settings_path() << ": " << fault << "\n";
+void print_errors(const std::vector<std::string>& errors) {
+  for (const auto& error_text : errors) {
+    std::cerr << settings_path() << ": " << error_text << "\n";
   }
 }
 
-void print_no_settings() {
-  std::cerr << "larchlever: name the settings file with --settings FILE or in the variable " << kSettingsVariable
+void print_missing_settings_path() {
+  std::cerr << "larchlever: name the settings file with --settings FILE or in the variable " << kSettingsPathVariable
             << "\n";
 }
 
 /// The text of the settings file. Nothing, with the reason printed, when none is named or it cannot be read.
-std::optional<std::string> read_settings() {
+std::optional<std::string> read_settings_file() {
   const std::string path = settings_path();
   if (path.empty()) {
-    print_no_settings();
+    print_missing_settings_path();
     return std::nullopt;
   }
-  std::vector<std::string> faults;
-  auto text = settings::read_text_file(path, faults);
-  print_faults(faults);
+  std::vector<std::string> errors;
+  auto text = settings::read_text_file(path, errors);
+  print_errors(errors);
   return text;
 }
 
-std::optional<settings::NodeSettings> load_settings() {
-  std::vector<std::string> faults;
-  const auto text = read_settings();
-  auto parsed = text ? settings::parse_node_settings(*text, faults) : std::nullopt;
-  print_faults(faults);
+std::optional<settings::NodeSettings> load_node_settings() {
+  std::vector<std::string> errors;
+  const auto text = read_settings_file();
+  auto parsed = text ? settings::parse_node_settings(*text, errors) : std::nullopt;
+  print_errors(errors);
   return parsed;
 }
 
 }  // namespace
 
 int run_check_settings() {
-  if (!load_settings()) {
+  if (!load_node_settings()) {
     return kExitInvalid;
   }
   std::cout << settings_path() << ": no faults\n";
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_bootstrap() {
-  const auto parsed = load_settings();
+  const auto parsed = load_node_settings();
   if (!parsed) {
     return kExitInvalid;
   }
@@ -85,16 +85,16 @@
     return kExitInvalid;
   }
   std::string error;
-  if (!begin_region(*parsed, error, false)) {
+  if (!bootstrap_region(*parsed, error, false)) {
     std::cerr << "larchlever: " << error << "\n";
     return kExitFailed;
   }
   std::cout << "region begun in " << parsed->data_folder << "; start this node, then the others\n";
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_serve() {
-  const auto parsed = load_settings();
+  const auto parsed = load_node_settings();
   if (!parsed) {
     return kExitInvalid;
   }
@@ -120,7 +120,7 @@
     }
   });
   context.run();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 namespace {
@@ -128,16 +128,16 @@
 constexpr auto kSettingsCheckInterval = std::chrono::seconds(1);
 /// Pause before a start that failed is tried again. What stood in its way, most likely a predecessor that still holds a
 /// port, is gone within its grace.
-constexpr auto kStartRetryPause = std::chrono::milliseconds(200);
+constexpr auto kStartRetryInterval = std::chrono::milliseconds(200);
 /// Longest time for which a start is tried again: well over the time in which platforms end a predecessor by force.
-constexpr auto kStartPatience = std::chrono::seconds(30);
+constexpr auto kStartRetryTimeout = std::chrono::seconds(30);
 
 /// The checked settings of a fleet node. Nothing, with every fault in `faults`, when the file is no good.
-std::optional<settings::FleetSettings> load_fleet_settings(std::vector<std::string>& faults) {
-  const auto text = settings::read_text_file(settings_path(), faults);
-  auto parsed = text ? settings::parse_fleet_settings(*text, faults) : std::nullopt;
+std::optional<settings::FleetSettings> load_fleet_settings(std::vector<std::string>& errors) {
+  const auto text = settings::read_text_file(settings_path(), errors);
+  auto parsed = text ? settings::parse_fleet_settings(*text, errors) : std::nullopt;
   if (parsed && node::find_dialect(parsed->dialect) == nullptr) {
-    faults.push_back("[node] dialect = '" + parsed->dialect + "': unknown; use larchlever, or the name of an adapter");
+    errors.push_back("[node] dialect = '" + parsed->dialect + "': unknown; use larchlever, or the name of an adapter");
     parsed.reset();
   }
   return parsed;
@@ -149,21 +149,21 @@
   explicit FleetNodeRunner(const settings::FleetSettings& settings)
       : context_(1),
         signals_(context_, SIGTERM, SIGINT, SIGHUP),
-        check_timer_(context_),
-        start_timer_(context_),
+        settings_check_timer_(context_),
+        start_retry_timer_(context_),
         settings_(settings) {}
 
   int run() {
-    written_at_ = settings_time();
-    start_deadline_ = std::chrono::steady_clock::now() + kStartPatience;
-    await_signal();
+    settings_modified_at_ = settings_modification_time();
+    start_deadline_ = std::chrono::steady_clock::now() + kStartRetryTimeout;
+    wait_for_signal();
     try_start();
     context_.run();
     return exit_code_;
   }
 
  private:
-  static std::filesystem::file_time_type settings_time() {
+  static std::filesystem::file_time_type settings_modification_time() {
     std::error_code ignored;
     return std::filesystem::last_write_time(settings_path(), ignored);
   }
@@ -176,19 +176,20 @@
     std::string error;
     if (process->start(error)) {
       process_ = std::move(process);
-      await_check();
+      schedule_settings_check();
       return;
     }
     process->stop();
-    const bool gives_up = std::chrono::steady_clock::now() >= start_deadline_;
-    node::log_warning(settings_.name, "start_failed", {{"reason", error}, {"tried_again", gives_up ? "no" : "yes"}});
-    if (gives_up) {
+    const bool is_retry_timeout_over = std::chrono::steady_clock::now() >= start_deadline_;
+    node::log_warning(settings_.name, "start_failed",
+                      {{"reason", error}, {"tried_again", is_retry_timeout_over ? "no" : "yes"}});
+    if (is_retry_timeout_over) {
       exit_code_ = kExitFailed;
       context_.stop();
       return;
     }
-    start_timer_.expires_after(kStartRetryPause);
-    start_timer_.async_wait([this](boost::system::error_code code) {
+    start_retry_timer_.expires_after(kStartRetryInterval);
+    start_retry_timer_.async_wait([this](boost::system::error_code code) {
       if (!code) {
         try_start();
       }
@@ -196,32 +197,32 @@
   }
 
   void reload() {
-    const auto written_at = settings_time();
-    std::vector<std::string> faults;
-    const auto settings = load_fleet_settings(faults);
+    const auto modified_at = settings_modification_time();
+    std::vector<std::string> errors;
+    const auto settings = load_fleet_settings(errors);
     if (!settings) {
       // The file may be in the middle of being written, within one tick of its time stamp: it is read again.
-      written_at_ = std::filesystem::file_time_type::min();
-      for (const auto& fault : faults) {
-        node::log_warning(settings_.name, "settings_refused", {{"reason", fault}});
+      settings_modified_at_ = std::filesystem::file_time_type::min();
+      for (const auto& error_text : errors) {
+        node::log_warning(settings_.name, "settings_refused", {{"reason", error_text}});
       }
       return;
     }
-    written_at_ = written_at;
+    settings_modified_at_ = modified_at;
     settings_ = *settings;
     if (process_ != nullptr) {
       process_->reload(*settings);
     }
   }
 
-  void await_signal() {
+  void wait_for_signal() {
     signals_.async_wait([this](boost::system::error_code code, int signal) {
       if (code) {
         return;
       }
       if (signal == SIGHUP) {
         reload();
-        await_signal();
+        wait_for_signal();
         return;
       }
       asio::co_spawn(context_, stop(), asio::detached);
@@ -229,17 +230,17 @@
   }
 
   /// The file may also change without a signal.
-  void await_check() {
-    check_timer_.expires_after(kSettingsCheckInterval);
-    check_timer_.async_wait([this](boost::system::error_code code) {
+  void schedule_settings_check() {
+    settings_check_timer_.expires_after(kSettingsCheckInterval);
+    settings_check_timer_.async_wait([this](boost::system::error_code code) {
       if (code) {
         return;
       }
       node::flush_log();
-      if (settings_time() != written_at_) {
+      if (settings_modification_time() != settings_modified_at_) {
         reload();
       }
-      await_check();
+      schedule_settings_check();
     });
   }
 
@@ -253,12 +254,12 @@
 
   asio::io_context context_;
   asio::signal_set signals_;
-  asio::steady_timer check_timer_;
-  asio::steady_timer start_timer_;
+  asio::steady_timer settings_check_timer_;
+  asio::steady_timer start_retry_timer_;
   settings::FleetSettings settings_;
   std::chrono::steady_clock::time_point start_deadline_;
-  int exit_code_ = kExitDone;
-  std::filesystem::file_time_type written_at_;
+  int exit_code_ = kExitSuccess;
+  std::filesystem::file_time_type settings_modified_at_;
   std::unique_ptr<node::FleetProcess> process_;
 };
 
@@ -266,13 +267,13 @@
 
 int run_fleet_node() {
   if (settings_path().empty()) {
-    print_no_settings();
+    print_missing_settings_path();
     return kExitInvalid;
   }
-  std::vector<std::string> faults;
-  const auto settings = load_fleet_settings(faults);
+  std::vector<std::string> errors;
+  const auto settings = load_fleet_settings(errors);
   if (!settings) {
-    print_faults(faults);
+    print_errors(errors);
     return kExitInvalid;
   }
   std::signal(SIGPIPE, SIG_IGN);
@@ -288,10 +289,10 @@
 }
 
 int run_emulate() {
-  std::vector<std::string> faults;
-  const auto text = read_settings();
-  const auto parsed = text ? emulator::parse_fleet_settings(*text, faults) : std::nullopt;
-  print_faults(faults);
+  std::vector<std::string> errors;
+  const auto text = read_settings_file();
+  const auto parsed = text ? emulator::parse_fleet_settings(*text, errors) : std::nullopt;
+  print_errors(errors);
   if (!parsed) {
     return kExitInvalid;
   }
@@ -313,7 +314,7 @@
   asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&](boost::system::error_code, int) { context.stop(); });
   context.run();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 }  // namespace larchlever::cli
--- a/src/cli/simulate_command.cc
+++ b/src/cli/simulate_command.cc
@@ -19,16 +19,16 @@
 namespace {
 
 /// Runs seeds on several threads; each run is a world of its own.
-class SeedRuns {
+class FaultScheduleRunner {
  public:
-  void run(uint64_t first, uint64_t count, unsigned threads) {
-    next_ = first;
-    const uint64_t end = first + count;
+  void run(uint64_t first_seed, uint64_t count, unsigned threads) {
+    next_seed_ = first_seed;
+    const uint64_t end_seed = first_seed + count;
     std::vector<std::thread> workers;
     for (unsigned number = 0; number < threads; ++number) {
-      workers.emplace_back([this, end] {
-        for (uint64_t seed = next_++; seed < end; seed = next_++) {
-          note(simulation::run_simulation(simulation::fault_run_options(seed)));
+      workers.emplace_back([this, end_seed] {
+        for (uint64_t seed = next_seed_++; seed < end_seed; seed = next_seed_++) {
+          add_result(simulation::run_simulation(simulation::fault_run_options(seed)));
         }
       });
     }
@@ -38,48 +38,49 @@
   }
 
   int report() const {
-    std::cout << "runs " << runs_ << "  violations " << failed_ << "  requests " << requests_ << " (ran " << ran_
-              << ", not run " << not_run_ << ", unknown " << unknown_ << ")  changes accepted " << accepted_
-              << "  conflicts " << conflicts_ << "  checks " << checks_ << "\nfaults:";
-    for (const auto& [fault, count] : faults_) {
+    std::cout << "runs " << runs_ << "  violations " << failed_runs_ << "  requests " << requests_ << " (ran "
+              << ran_requests_ << ", not run " << not_run_requests_ << ", unknown " << unknown_outcomes_
+              << ")  changes accepted " << accepted_changes_ << "  conflicts " << conflicting_changes_ << "  checks "
+              << checks_ << "\nfaults:";
+    for (const auto& [fault, count] : fault_counts_) {
       std::cout << "  " << fault << " " << count;
     }
     std::cout << "\n";
-    return failed_ == 0 ? kExitDone : kExitFailed;
+    return failed_runs_ == 0 ? kExitSuccess : kExitFailed;
   }
 
  private:
-  void note(const simulation::RunResult& result) {
+  void add_result(const simulation::RunResult& result) {
     const std::lock_guard lock(mutex_);
     ++runs_;
     requests_ += result.workload.requests;
-    ran_ += result.workload.ran;
-    not_run_ += result.workload.not_run;
-    unknown_ += result.workload.unknown;
-    accepted_ += result.workload.accepted;
-    conflicts_ += result.workload.conflicts;
+    ran_requests_ += result.workload.ran;
+    not_run_requests_ += result.workload.not_run;
+    unknown_outcomes_ += result.workload.unknown;
+    accepted_changes_ += result.workload.accepted;
+    conflicting_changes_ += result.workload.conflicts;
     checks_ += result.checks;
     for (const auto& [fault, count] : result.faults) {
-      faults_[fault] += count;
+      fault_counts_[fault] += count;
     }
     if (!result.violations.empty()) {
-      ++failed_;
+      ++failed_runs_;
       std::cout << "seed " << result.seed << " " << result.violations.front() << "\n";
     }
   }
 
-  std::atomic<uint64_t> next_{0};
+  std::atomic<uint64_t> next_seed_{0};
   std::mutex mutex_;
   uint64_t runs_ = 0;
-  uint64_t failed_ = 0;
+  uint64_t failed_runs_ = 0;
   uint64_t requests_ = 0;
-  uint64_t ran_ = 0;
-  uint64_t not_run_ = 0;
-  uint64_t unknown_ = 0;
-  uint64_t accepted_ = 0;
-  uint64_t conflicts_ = 0;
+  uint64_t ran_requests_ = 0;
+  uint64_t not_run_requests_ = 0;
+  uint64_t unknown_outcomes_ = 0;
+  uint64_t accepted_changes_ = 0;
+  uint64_t conflicting_changes_ = 0;
   uint64_t checks_ = 0;
-  std::map<std::string, uint64_t> faults_;
+  std::map<std::string, uint64_t> fault_counts_;
 };
 
 int run_experiment_file() {
@@ -105,10 +106,10 @@
       }
     }
   }
-  return kExitDone;
+  return kExitSuccess;
 }
 
-int run_scale_sizes() {
+int run_scale_measurements() {
   constexpr int kTargetNodes = 340;
   constexpr int kTargetMachines = 1400;
   std::vector<simulation::ScaleResult> results;
@@ -122,7 +123,7 @@
     std::cerr << "measured " << nodes << " nodes\n";
   }
   std::cout << simulation::scale_csv(results);
-  return kExitDone;
+  return kExitSuccess;
 }
 
 }  // namespace
@@ -132,10 +133,10 @@
     return run_experiment_file();
   }
   if (FLAGS_hollow > 0) {
-    return run_scale_sizes();
+    return run_scale_measurements();
   }
   const auto started = std::chrono::steady_clock::now();
-  SeedRuns runs;
+  FaultScheduleRunner runs;
   runs.run(static_cast<uint64_t>(FLAGS_first_seed), static_cast<uint64_t>(FLAGS_runs),
            std::max(1U, std::thread::hardware_concurrency()));
   const int code = runs.report();
--- a/src/cli/zone_commands.cc
+++ b/src/cli/zone_commands.cc
@@ -31,7 +31,7 @@
 }
 
 /// Sends a call to one control replica after the other until one answers it for good. Orders on zones may be repeated.
-std::optional<net::HttpResponse> call_control(const std::string& method, const std::string& target) {
+std::optional<net::HttpResponse> call_control_replica(const std::string& method, const std::string& target) {
   std::string reason = "no control replica named; use --control IP:PORT";
   net::HttpRequest request;
   request.method = method;
@@ -51,18 +51,18 @@
   return std::nullopt;
 }
 
-int change_zone(const std::vector<std::string>& arguments, const std::string& operation) {
+int send_zone_operation(const std::vector<std::string>& arguments, const std::string& operation) {
   if (arguments.size() != 1) {
     std::cerr << "larchlever: name one zone: larchlever " << operation << " ZONE --control IP:PORT\n";
     return kExitUsage;
   }
-  const auto answer = call_control("POST", "/v1/zones/" + arguments.front() + "/" + operation);
+  const auto answer = call_control_replica("POST", "/v1/zones/" + arguments.front() + "/" + operation);
   if (!answer) {
     return kExitUnreachable;
   }
   if (answer->status == http_status::kOk) {
     std::cout << operation << " " << arguments.front() << ": accepted\n";
-    return kExitDone;
+    return kExitSuccess;
   }
   std::cerr << "larchlever: " << answer->body << "\n";
   return answer->status == http_status::kNotFound ? kExitInvalid : kExitFailed;
@@ -71,7 +71,7 @@
 }  // namespace
 
 int run_zones() {
-  const auto answer = call_control("GET", "/v1/zones");
+  const auto answer = call_control_replica("GET", "/v1/zones");
   if (!answer) {
     return kExitUnreachable;
   }
@@ -83,18 +83,18 @@
   }
   if (FLAGS_output == "json") {
     std::cout << answer->body << "\n";
-    return kExitDone;
+    return kExitSuccess;
   }
   const auto& evacuated = body.at("evacuated").as_array();
   for (const auto& zone : body.at("zones").as_array()) {
     const bool is_evacuated = std::find(evacuated.begin(), evacuated.end(), zone) != evacuated.end();
     std::cout << json::value_to<std::string>(zone) << (is_evacuated ? "  evacuated" : "  in use") << "\n";
   }
-  return kExitDone;
+  return kExitSuccess;
 }
 
-int run_evacuate(const std::vector<std::string>& arguments) { return change_zone(arguments, "evacuate"); }
+int run_evacuate(const std::vector<std::string>& arguments) { return send_zone_operation(arguments, "evacuate"); }
 
-int run_restore(const std::vector<std::string>& arguments) { return change_zone(arguments, "restore"); }
+int run_restore(const std::vector<std::string>& arguments) { return send_zone_operation(arguments, "restore"); }
 
 }  // namespace larchlever::cli
--- a/src/emulator/emulated_fleet.cc
+++ b/src/emulator/emulated_fleet.cc
@@ -12,18 +12,18 @@
 void read_zone(const std::string& zone, const settings::IniDocument::Section& section, const std::string& address,
                int64_t& next_port, FleetSettings& fleet, std::vector<std::string>& errors) {
   settings::SectionReader reader(section.name, &section, errors);
-  const int64_t domains = reader.integer("domains", 1, 1, 1000);
-  const int64_t machines = reader.integer("machines_per_domain", 8, 1, 1000);
-  const int64_t accelerators = reader.integer("accelerators", 8, 1, 64);
-  const std::string kind = reader.choice("kind", "fenced", {"fenced", "basic"});
-  const int64_t lag = reader.integer("load_report_lag_ms", 300, 0, 60'000);
+  const int64_t domains = reader.read_integer("domains", 1, 1, 1000);
+  const int64_t machines = reader.read_integer("machines_per_domain", 8, 1, 1000);
+  const int64_t accelerators = reader.read_integer("accelerators", 8, 1, 64);
+  const std::string kind = reader.read_choice("kind", "fenced", {"fenced", "basic"});
+  const int64_t lag = reader.read_integer("load_report_lag_ms", 300, 0, 60'000);
   EngineModelOptions engine;
-  engine.most_running = static_cast<size_t>(reader.integer("most_running", 64, 1, 4096));
-  engine.step_base = microseconds(reader.integer("step_us", 12'000, 1, 10'000'000));
-  engine.step_per_sequence = microseconds(reader.integer("step_per_sequence_us", 150, 0, 1'000'000));
-  engine.prefill_per_token = microseconds(reader.integer("prefill_per_token_us", 50, 0, 1'000'000));
-  engine.cache_blocks = static_cast<size_t>(reader.integer("cache_blocks", 4096, 1, 10'000'000));
-  reader.finish();
+  engine.most_running = static_cast<size_t>(reader.read_integer("most_running", 64, 1, 4096));
+  engine.step_base = microseconds(reader.read_integer("step_us", 12'000, 1, 10'000'000));
+  engine.step_per_sequence = microseconds(reader.read_integer("step_per_sequence_us", 150, 0, 1'000'000));
+  engine.prefill_per_token = microseconds(reader.read_integer("prefill_per_token_us", 50, 0, 1'000'000));
+  engine.cache_blocks = static_cast<size_t>(reader.read_integer("cache_blocks", 4096, 1, 10'000'000));
+  reader.report_unknown_keys();
   for (int64_t domain = 0; domain < domains; ++domain) {
     for (int64_t machine = 0; machine < machines; ++machine) {
       MachineOptions options;
@@ -48,11 +48,11 @@
   settings::SectionReader reader(section.name, &section, errors);
   EmulatedService service;
   service.name = name;
-  service.zone = reader.required_text("zone");
-  for (const auto& port : reader.list("ports")) {
+  service.zone = reader.read_required_string("zone");
+  for (const auto& port : reader.read_list("ports")) {
     service.ports.push_back(static_cast<uint16_t>(std::atoi(port.c_str())));
   }
-  reader.finish();
+  reader.report_unknown_keys();
   fleet.services.push_back(std::move(service));
 }
 
@@ -62,15 +62,17 @@
   const size_t faults_before = errors.size();
   const auto document = settings::IniDocument::parse(text, errors);
   FleetSettings fleet;
-  settings::SectionReader reader("fleet", document.find("fleet"), errors);
-  fleet.address = reader.text("address", fleet.address);
-  fleet.membership_port = static_cast<uint16_t>(reader.integer("membership_port", 0, 0, 65535));
-  fleet.membership_lag = std::chrono::milliseconds(reader.integer("membership_lag_ms", 2000, 0, 600'000));
-  fleet.weight_store_port = static_cast<uint16_t>(reader.integer("weight_store_port", 0, 0, 65535));
-  fleet.weight_store.transfers_at_once = static_cast<int>(reader.integer("weight_transfers_at_once", 8, 1, 10'000));
-  fleet.weight_store.transfer_time = std::chrono::milliseconds(reader.integer("weight_transfer_ms", 400, 0, 600'000));
-  int64_t next_port = reader.integer("machine_port_base", 0, 0, 65535);
-  reader.finish();
+  settings::SectionReader reader("fleet", document.find_section("fleet"), errors);
+  fleet.address = reader.read_string("address", fleet.address);
+  fleet.membership_port = static_cast<uint16_t>(reader.read_integer("membership_port", 0, 0, 65535));
+  fleet.membership_lag = std::chrono::milliseconds(reader.read_integer("membership_lag_ms", 2000, 0, 600'000));
+  fleet.weight_store_port = static_cast<uint16_t>(reader.read_integer("weight_store_port", 0, 0, 65535));
+  fleet.weight_store.transfers_at_once =
+      static_cast<int>(reader.read_integer("weight_transfers_at_once", 8, 1, 10'000));
+  fleet.weight_store.transfer_time =
+      std::chrono::milliseconds(reader.read_integer("weight_transfer_ms", 400, 0, 600'000));
+  int64_t next_port = reader.read_integer("machine_port_base", 0, 0, 65535);
+  reader.report_unknown_keys();
   for (const auto& section : document.sections()) {
     if (section.name.starts_with("zone ")) {
       read_zone(section.name.substr(5), section, fleet.address, next_port, fleet, errors);
--- a/src/node/control_process.cc
+++ b/src/node/control_process.cc
@@ -76,7 +76,7 @@
         settings_(settings),
         dialect_(*find_dialect(settings.dialect)),
         identity_(make_fleet_identity(settings)),
-        controller_(settings.options, identity_, settings.seed_peers, std::random_device()()),
+        controller_(settings.options, identity_, settings.seed_peer_addresses, std::random_device()()),
         transport_(executor,
                    [this](wire::Envelope envelope) {
                      controller_.receive(monotonic_now(), envelope);
@@ -96,8 +96,8 @@
 
   bool start(std::string& error) override;
   void reload(const settings::FleetSettings& settings) override {
-    controller_.add_peers(settings.seed_peers);
-    log_event(settings_.name, "settings_reloaded", {{"seeds", std::to_string(settings.seeds.size())}});
+    controller_.add_peers(settings.seed_peer_addresses);
+    log_event(settings_.name, "settings_reloaded", {{"seeds", std::to_string(settings.seed_control_addresses.size())}});
   }
   asio::awaitable<void> drain() override;
   void stop() override {
--- a/src/node/entry_process.cc
+++ b/src/node/entry_process.cc
@@ -37,8 +37,8 @@
 constexpr auto kShutdownReserve = std::chrono::milliseconds(500);
 
 size_t response_buffer_bytes(const settings::FleetSettings& settings) {
-  if (settings.answer_buffers > 0) {
-    return settings.answer_buffers;
+  if (settings.answer_buffer_bytes > 0) {
+    return settings.answer_buffer_bytes;
   }
   const auto pages = static_cast<size_t>(std::max<int64_t>(0, ::sysconf(_SC_PHYS_PAGES)));
   const auto page_size = static_cast<size_t>(std::max<int64_t>(0, ::sysconf(_SC_PAGESIZE)));
@@ -69,7 +69,7 @@
       : executor_(executor),
         settings_(settings),
         identity_(make_fleet_identity(settings)),
-        state_(settings.options, identity_, settings.seed_peers, std::random_device()()),
+        state_(settings.options, identity_, settings.seed_peer_addresses, std::random_device()()),
         search_logger_(settings.name),
         transport_(executor, [this](wire::Envelope envelope) { receive(envelope); }),
         slot_requester_(executor, state_, [this](wire::Envelope envelope) { send(std::move(envelope)); }),
@@ -95,8 +95,8 @@
   }
 
   void reload(const settings::FleetSettings& settings) override {
-    state_.subscription.add_peers(settings.seed_peers);
-    log_event(settings_.name, "settings_reloaded", {{"seeds", std::to_string(settings.seeds.size())}});
+    state_.subscription.add_peers(settings.seed_peer_addresses);
+    log_event(settings_.name, "settings_reloaded", {{"seeds", std::to_string(settings.seed_control_addresses.size())}});
   }
 
   asio::awaitable<void> drain() override;
@@ -248,7 +248,7 @@
 
 asio::awaitable<void> EntryProcess::drain() {
   asio::steady_timer timer(executor_);
-  const TimePoint deadline = monotonic_now() + settings_.stop_grace - kShutdownReserve;
+  const TimePoint deadline = monotonic_now() + settings_.stop_grace_period - kShutdownReserve;
   is_draining_ = true;
   caller_server_.begin_draining();
   log_event(settings_.name, "draining", {{"requests", std::to_string(caller_server_.stats().active_requests)}});
--- a/src/node/model_request_handler.cc
+++ b/src/node/model_request_handler.cc
@@ -155,7 +155,7 @@
 
 asio::awaitable<void> ModelRequestHandler::run_attempts(RequestContext& context) {
   auto& router = runtime_.controller().entry().router();
-  requests::RetryState retries(context.model_request.is_repeatable, runtime_.settings().requests.most_attempts,
+  requests::RetryState retries(context.model_request.is_repeatable, runtime_.settings().requests.max_attempts,
                                context.deadline);
   routing::RouteQuery query;
   query.tenant = context.model_request.tenant;
@@ -281,7 +281,7 @@
   AttemptStatus result;
   result.result = AttemptResult::kCutInStream;
   while (true) {
-    std::string piece = co_await stream.read_some(limits.between_bytes_timeout);
+    std::string piece = co_await stream.read_some(limits.inter_byte_timeout);
     std::string events = verifier.feed(piece);
     context.next_offset = verifier.next_offset();
     if (!events.empty()) {
--- a/src/node/node_process.cc
+++ b/src/node/node_process.cc
@@ -13,9 +13,9 @@
 
 net::HttpServerOptions server_options(const settings::RequestSettings& requests) {
   net::HttpServerOptions options;
-  options.largest_body = requests.largest_body;
-  options.largest_head = requests.largest_head;
-  options.most_connections = requests.most_connections;
+  options.largest_body = requests.max_body_bytes;
+  options.largest_head = requests.max_header_bytes;
+  options.most_connections = requests.max_connections;
   return options;
 }
 
--- a/src/node/service_request_handler.cc
+++ b/src/node/service_request_handler.cc
@@ -108,8 +108,7 @@
 
 asio::awaitable<void> ServiceRequestHandler::run_attempts(RequestContext& context) {
   const auto& limits = runtime_.settings().requests;
-  requests::RetryState retries(context.is_repeatable, limits.most_attempts,
-                               NodeRuntime::now() + limits.request_timeout);
+  requests::RetryState retries(context.is_repeatable, limits.max_attempts, NodeRuntime::now() + limits.request_timeout);
   std::set<std::string> tried;
   while (true) {
     const std::string endpoint =
@@ -155,7 +154,7 @@
 }
 
 asio::awaitable<bool> ServiceRequestHandler::relay_response(RequestContext& context, net::ClientStream& stream) {
-  const auto timeout = runtime_.settings().requests.between_bytes_timeout;
+  const auto timeout = runtime_.settings().requests.inter_byte_timeout;
   net::HttpResponse response = stream.head();
   response.headers.set("Larchlever-Outcome", "ran");
   const bool is_buffered = is_small(response);
--- a/src/settings/fleet_settings.h
+++ b/src/settings/fleet_settings.h
@@ -25,17 +25,17 @@
   std::string metrics_address;
   std::string data_folder;
   /// Control addresses that the settings name, and the peer addresses derived from them.
-  std::vector<std::string> seeds;
-  std::vector<std::string> seed_peers;
+  std::vector<std::string> seed_control_addresses;
+  std::vector<std::string> seed_peer_addresses;
   /// True only when the whole fleet starts for the first time, on empty disks.
   bool first_start = false;
   /// Names the headers and calls that callers and engines speak; see node/dialect.h.
   std::string dialect = "larchlever";
   /// A stopping process is killed after this time.
-  Duration stop_grace = seconds(8);
+  Duration stop_grace_period = seconds(8);
   /// Bytes of answers that an entry holds for callers that have not read them yet; 0 for a part of the machine's
   /// memory.
-  size_t answer_buffers = 0;
+  size_t answer_buffer_bytes = 0;
   std::string log_level = "info";
   fleet::FleetOptions options;
 
--- a/src/settings/ini_document.cc
+++ b/src/settings/ini_document.cc
@@ -28,7 +28,7 @@
   std::vector<std::string>* errors;
 };
 
-IniDocument::Section& section_called(std::vector<IniDocument::Section>& sections, const std::string& name) {
+IniDocument::Section& find_or_add_section(std::vector<IniDocument::Section>& sections, const std::string& name) {
   const auto found =
       std::find_if(sections.begin(), sections.end(), [&name](const auto& section) { return section.name == name; });
   if (found != sections.end()) {
@@ -38,9 +38,9 @@
   return sections.back();
 }
 
-int on_value(void* user, const char* section, const char* name, const char* value) {
+int add_ini_value(void* user, const char* section, const char* name, const char* value) {
   auto& state = *static_cast<ParseState*>(user);
-  auto& target = section_called(*state.sections, section);
+  auto& target = find_or_add_section(*state.sections, section);
   if (!target.values.emplace(name, std::string(trim(value))).second) {
     state.errors->push_back("[" + target.name + "] " + name + ": given twice; keep one of the lines");
   }
@@ -61,14 +61,14 @@
     errors.emplace_back("the file contains a NUL byte; settings are plain text");
     return document;
   }
-  const int line = ini_parse_string(text.c_str(), on_value, &state);
+  const int line = ini_parse_string(text.c_str(), add_ini_value, &state);
   if (line > 0) {
     errors.push_back("line " + std::to_string(line) + ": neither '[section]' nor 'key = value'; correct the line");
   }
   return document;
 }
 
-const IniDocument::Section* IniDocument::find(std::string_view name) const {
+const IniDocument::Section* IniDocument::find_section(std::string_view name) const {
   const auto found =
       std::find_if(sections_.begin(), sections_.end(), [name](const auto& section) { return section.name == name; });
   return found == sections_.end() ? nullptr : &*found;
@@ -77,8 +77,8 @@
 SectionReader::SectionReader(std::string name, const IniDocument::Section* section, std::vector<std::string>& errors)
     : name_(std::move(name)), section_(section), errors_(errors) {}
 
-const std::string* SectionReader::find(const std::string& key) {
-  known_.insert(key);
+const std::string* SectionReader::find_value(const std::string& key) {
+  recognized_keys_.insert(key);
   if (section_ == nullptr) {
     return nullptr;
   }
@@ -86,120 +86,121 @@
   return found == section_->values.end() ? nullptr : &found->second;
 }
 
-void SectionReader::fault(const std::string& key, const std::string& value, const std::string& remedy) {
+void SectionReader::add_error(const std::string& key, const std::string& value, const std::string& remedy) {
   errors_.push_back("[" + name_ + "] " + key + " = '" + value + "': " + remedy);
 }
 
-std::string SectionReader::text(const std::string& key, const std::string& fallback) {
-  const auto* value = find(key);
-  return value == nullptr ? fallback : *value;
+std::string SectionReader::read_string(const std::string& key, const std::string& default_value) {
+  const auto* value = find_value(key);
+  return value == nullptr ? default_value : *value;
 }
 
-std::string SectionReader::required_text(const std::string& key) {
-  const auto* value = find(key);
+std::string SectionReader::read_required_string(const std::string& key) {
+  const auto* value = find_value(key);
   if (value == nullptr || value->empty()) {
-    fault(key, "", "missing; add the line '" + key + " = ...'");
+    add_error(key, "", "missing; add the line '" + key + " = ...'");
     return "";
   }
   return *value;
 }
 
-int64_t SectionReader::integer(const std::string& key, int64_t fallback, int64_t least, int64_t most) {
-  const auto* value = find(key);
+int64_t SectionReader::read_integer(const std::string& key, int64_t default_value, int64_t minimum, int64_t maximum) {
+  const auto* value = find_value(key);
   if (value == nullptr) {
-    return fallback;
+    return default_value;
   }
   int64_t number = 0;
   if (!parse_integer(*value, number)) {
-    fault(key, *value, "not a whole number; write digits only, the unit is in the key's name");
-    return fallback;
+    add_error(key, *value, "not a whole number; write digits only, the unit is in the key's name");
+    return default_value;
   }
-  if (number < least || number > most) {
-    fault(key, *value, "out of range; choose " + std::to_string(least) + " to " + std::to_string(most));
-    return fallback;
+  if (number < minimum || number > maximum) {
+    add_error(key, *value, "out of range; choose " + std::to_string(minimum) + " to " + std::to_string(maximum));
+    return default_value;
   }
   return number;
 }
 
-double SectionReader::fraction(const std::string& key, double fallback) {
-  const auto* value = find(key);
+double SectionReader::read_non_negative_number(const std::string& key, double default_value) {
+  const auto* value = find_value(key);
   if (value == nullptr) {
-    return fallback;
+    return default_value;
   }
   char* end = nullptr;
   const double number = std::strtod(value->c_str(), &end);
   if (value->empty() || *end != '\0' || !(number >= 0)) {
-    fault(key, *value, "not a number of 0 or more; write for example 0.2");
-    return fallback;
+    add_error(key, *value, "not a number of 0 or more; write for example 0.2");
+    return default_value;
   }
   return number;
 }
 
-std::chrono::microseconds SectionReader::duration(const std::string& key, std::chrono::microseconds fallback) {
-  const auto* value = find(key);
+std::chrono::microseconds SectionReader::read_duration(const std::string& key,
+                                                       std::chrono::microseconds default_value) {
+  const auto* value = find_value(key);
   if (value == nullptr) {
-    return fallback;
+    return default_value;
   }
   char* end = nullptr;
   const double number = std::strtod(value->c_str(), &end);
   const std::string_view unit = end;
   const bool valid = end != value->c_str() && (unit == "ms" || unit == "s") && number > 0;
   if (!valid) {
-    fault(key, *value, "not a time above 0; write a number with its unit, for example 2500ms or 2.5s");
-    return fallback;
+    add_error(key, *value, "not a time above 0; write a number with its unit, for example 2500ms or 2.5s");
+    return default_value;
   }
   return std::chrono::microseconds(static_cast<int64_t>(number * (unit == "s" ? 1e6 : 1e3)));
 }
 
-std::string SectionReader::address(const std::string& key, bool required) {
-  const auto* value = find(key);
+std::string SectionReader::read_address(const std::string& key, bool required) {
+  const auto* value = find_value(key);
   if (value == nullptr || value->empty()) {
     if (required) {
-      fault(key, "", "missing; add IP:PORT");
+      add_error(key, "", "missing; add IP:PORT");
     }
     return "";
   }
   if (!is_ip_endpoint(*value)) {
-    fault(key, *value, "not an address; write IP:PORT with a literal IP, for example 10.0.0.1:7400");
+    add_error(key, *value, "not an address; write IP:PORT with a literal IP, for example 10.0.0.1:7400");
     return *value;
   }
   return canonical_endpoint(*value);
 }
 
-std::vector<std::string> SectionReader::list(const std::string& key) {
-  const auto* value = find(key);
+std::vector<std::string> SectionReader::read_list(const std::string& key) {
+  const auto* value = find_value(key);
   return value == nullptr ? std::vector<std::string>() : split_list(*value);
 }
 
-std::string SectionReader::choice(const std::string& key, const std::string& fallback,
-                                  const std::vector<std::string>& allowed) {
-  const auto* value = find(key);
+std::string SectionReader::read_choice(const std::string& key, const std::string& default_value,
+                                       const std::vector<std::string>& allowed) {
+  const auto* value = find_value(key);
   if (value == nullptr) {
-    return fallback;
+    return default_value;
   }
   if (std::find(allowed.begin(), allowed.end(), *value) == allowed.end()) {
     std::string names;
     for (const auto& name : allowed) {
       names += (names.empty() ? "" : ", ") + name;
     }
-    fault(key, *value, "unknown choice; use one of " + names);
-    return fallback;
+    add_error(key, *value, "unknown choice; use one of " + names);
+    return default_value;
   }
   return *value;
 }
 
-bool SectionReader::flag(const std::string& key, bool fallback) {
-  const auto value = choice(key, fallback ? "yes" : "no", {"yes", "no", "true", "false"});
+bool SectionReader::read_flag(const std::string& key, bool default_value) {
+  const auto value = read_choice(key, default_value ? "yes" : "no", {"yes", "no", "true", "false"});
   return value == "yes" || value == "true";
 }
 
-void SectionReader::finish() {
+void SectionReader::report_unknown_keys() {
   if (section_ == nullptr) {
     return;
   }
   for (const auto& [key, value] : section_->values) {
-    if (!known_.contains(key)) {
-      fault(key, value, "unknown key; remove it or correct its spelling");
+    if (!recognized_keys_.contains(key)) {
+      add_error(key, value, "unknown key; remove it or correct its spelling");
     }
   }
 }
@@ -220,12 +221,12 @@
     host = host.substr(1, host.size() - 2);
   }
   in6_addr address{};
-  char spelled[INET6_ADDRSTRLEN] = {};
+  char canonical_host[INET6_ADDRSTRLEN] = {};
   if (inet_pton(family, host.c_str(), &address) != 1 ||
-      inet_ntop(family, &address, spelled, sizeof(spelled)) == nullptr) {
+      inet_ntop(family, &address, canonical_host, sizeof(canonical_host)) == nullptr) {
     return std::nullopt;
   }
-  return std::pair(is_bracketed ? "[" + std::string(spelled) + "]" : std::string(spelled), port);
+  return std::pair(is_bracketed ? "[" + std::string(canonical_host) + "]" : std::string(canonical_host), port);
 }
 
 }  // namespace
--- a/src/settings/ini_document.h
+++ b/src/settings/ini_document.h
@@ -22,7 +22,7 @@
   static IniDocument parse(const std::string& text, std::vector<std::string>& errors);
 
   const std::vector<Section>& sections() const { return sections_; }
-  const Section* find(std::string_view name) const;
+  const Section* find_section(std::string_view name) const;
 
  private:
   std::vector<Section> sections_;
@@ -35,29 +35,30 @@
   /// `section` may be null: then every value takes its default, and required ones are reported missing.
   SectionReader(std::string name, const IniDocument::Section* section, std::vector<std::string>& errors);
 
-  std::string text(const std::string& key, const std::string& fallback);
-  std::string required_text(const std::string& key);
-  int64_t integer(const std::string& key, int64_t fallback, int64_t least, int64_t most);
+  std::string read_string(const std::string& key, const std::string& default_value);
+  std::string read_required_string(const std::string& key);
+  int64_t read_integer(const std::string& key, int64_t default_value, int64_t minimum, int64_t maximum);
   /// A number that may have a fraction, not below 0.
-  double fraction(const std::string& key, double fallback);
+  double read_non_negative_number(const std::string& key, double default_value);
   /// A time as NUMBERms or NUMBERs, for example 2500ms or 2.5s; above 0.
-  std::chrono::microseconds duration(const std::string& key, std::chrono::microseconds fallback);
+  std::chrono::microseconds read_duration(const std::string& key, std::chrono::microseconds default_value);
   /// IP:PORT with a literal IP address, in its canonical spelling; empty when absent and not required.
-  std::string address(const std::string& key, bool required);
-  std::vector<std::string> list(const std::string& key);
-  std::string choice(const std::string& key, const std::string& fallback, const std::vector<std::string>& allowed);
-  bool flag(const std::string& key, bool fallback);
+  std::string read_address(const std::string& key, bool required);
+  std::vector<std::string> read_list(const std::string& key);
+  std::string read_choice(const std::string& key, const std::string& default_value,
+                          const std::vector<std::string>& allowed);
+  bool read_flag(const std::string& key, bool default_value);
   /// Reports keys that nobody asked for. Call last.
-  void finish();
-  void fault(const std::string& key, const std::string& value, const std::string& remedy);
+  void report_unknown_keys();
+  void add_error(const std::string& key, const std::string& value, const std::string& remedy);
 
  private:
-  const std::string* find(const std::string& key);
+  const std::string* find_value(const std::string& key);
 
   std::string name_;
   const IniDocument::Section* section_;
   std::vector<std::string>& errors_;
-  std::set<std::string> known_;
+  std::set<std::string> recognized_keys_;
 };
 
 /// True for IP:PORT with a literal IPv4 or bracketed IPv6 address and a port up to 65535.
--- a/src/settings/node_settings.h
+++ b/src/settings/node_settings.h
@@ -18,13 +18,13 @@
   std::chrono::milliseconds queue_timeout{10'000};
   std::chrono::milliseconds claim_timeout{3'000};
   std::chrono::milliseconds first_byte_timeout{30'000};
-  std::chrono::milliseconds between_bytes_timeout{15'000};
-  int most_attempts = 3;
+  std::chrono::milliseconds inter_byte_timeout{15'000};
+  int max_attempts = 3;
   /// Retries allowed per hundred requests of a tenant.
   int retry_budget_percent = 20;
-  size_t largest_body = 8U << 20U;
-  size_t largest_head = 16U << 10U;
-  size_t most_connections = 20'000;
+  size_t max_body_bytes = 8U << 20U;
+  size_t max_header_bytes = 16U << 10U;
+  size_t max_connections = 20'000;
 };
 
 /// Everything a node reads from its INI file.
--- a/src/simulation/deployment.cc
+++ b/src/simulation/deployment.cc
@@ -18,12 +18,12 @@
                                            std::vector<std::string>& errors) {
   const size_t faults_before = errors.size();
   Deployment deployment;
-  settings::SectionReader reader("deployment", document.find("deployment"), errors);
-  deployment.name = reader.required_text("name");
-  deployment.nodes = static_cast<int>(reader.integer("nodes", 9, 1, 1000));
-  deployment.disks = static_cast<int>(reader.integer("disks", 5, 1, 1000));
-  const std::string changes = reader.required_text("changes");
-  reader.finish();
+  settings::SectionReader reader("deployment", document.find_section("deployment"), errors);
+  deployment.name = reader.read_required_string("name");
+  deployment.nodes = static_cast<int>(reader.read_integer("nodes", 9, 1, 1000));
+  deployment.disks = static_cast<int>(reader.read_integer("disks", 5, 1, 1000));
+  const std::string changes = reader.read_required_string("changes");
+  reader.report_unknown_keys();
   for (const auto& section : document.sections()) {
     if (!section.name.starts_with("zone ")) {
       continue;
@@ -31,11 +31,11 @@
     settings::SectionReader zone(section.name, &section, errors);
     ZoneShape shape;
     shape.name = section.name.substr(5);
-    shape.domains = static_cast<int>(zone.integer("domains", 1, 1, 1000));
-    shape.machines_per_domain = static_cast<int>(zone.integer("machines_per_domain", 8, 1, 1000));
-    shape.accelerators = static_cast<int>(zone.integer("accelerators", 8, 1, 64));
-    shape.checks_fences = zone.choice("kind", "fenced", {"fenced", "basic"}) == "fenced";
-    zone.finish();
+    shape.domains = static_cast<int>(zone.read_integer("domains", 1, 1, 1000));
+    shape.machines_per_domain = static_cast<int>(zone.read_integer("machines_per_domain", 8, 1, 1000));
+    shape.accelerators = static_cast<int>(zone.read_integer("accelerators", 8, 1, 64));
+    shape.checks_fences = zone.read_choice("kind", "fenced", {"fenced", "basic"}) == "fenced";
+    zone.report_unknown_keys();
     deployment.zones.push_back(std::move(shape));
   }
   if (const auto text = settings::read_text_file(folder + "/" + changes, errors)) {
--- a/src/simulation/experiment.cc
+++ b/src/simulation/experiment.cc
@@ -62,20 +62,20 @@
   const size_t faults_before = errors.size();
   const auto document = settings::IniDocument::parse(*text, errors);
   Experiment experiment;
-  settings::SectionReader reader("experiment", document.find("experiment"), errors);
-  experiment.name = reader.required_text("name");
-  experiment.kind = reader.choice("kind", "placement", {"placement", "routing", "certification"});
-  experiment.policies = reader.list("policies");
-  for (const auto& weight : reader.list("downtime_weights")) {
+  settings::SectionReader reader("experiment", document.find_section("experiment"), errors);
+  experiment.name = reader.read_required_string("name");
+  experiment.kind = reader.read_choice("kind", "placement", {"placement", "routing", "certification"});
+  experiment.policies = reader.read_list("policies");
+  for (const auto& weight : reader.read_list("downtime_weights")) {
     experiment.weights.push_back(std::atoll(weight.c_str()));
   }
-  experiment.seeds = static_cast<int>(reader.integer("seeds", 10, 1, 10'000));
-  experiment.duration_seconds = reader.integer("duration_s", 1800, 1, 864'000);
-  experiment.seconds_between_failures = reader.integer("seconds_between_failures", 60, 1, 864'000);
-  experiment.repair_seconds = reader.integer("repair_s", 300, 1, 864'000);
-  experiment.requests_per_second = reader.integer("requests_per_second", 60, 1, 100'000);
-  experiment.operators = reader.integer("operators", 6, 1, 10'000);
-  reader.finish();
+  experiment.seeds = static_cast<int>(reader.read_integer("seeds", 10, 1, 10'000));
+  experiment.duration_seconds = reader.read_integer("duration_s", 1800, 1, 864'000);
+  experiment.seconds_between_failures = reader.read_integer("seconds_between_failures", 60, 1, 864'000);
+  experiment.repair_seconds = reader.read_integer("repair_s", 300, 1, 864'000);
+  experiment.requests_per_second = reader.read_integer("requests_per_second", 60, 1, 100'000);
+  experiment.operators = reader.read_integer("operators", 6, 1, 10'000);
+  reader.report_unknown_keys();
   if (experiment.kind == "placement") {
     const std::string folder = std::filesystem::path(path).parent_path().string();
     if (auto deployment = parse_deployment(document, folder.empty() ? "." : folder, errors)) {
--- a/tests/unit/fleet_test.cc
+++ b/tests/unit/fleet_test.cc
@@ -626,7 +626,7 @@
   ASSERT_TRUE(settings) << errors.front();
   EXPECT_EQ(settings->options.document_lease, milliseconds(5500));
   EXPECT_EQ(settings->options.minimum_voters, 5U);
-  EXPECT_EQ(settings->seed_peers.back(), "10.0.0.2:7000");
+  EXPECT_EQ(settings->seed_peer_addresses.back(), "10.0.0.2:7000");
   EXPECT_TRUE(settings->may_found_cluster());
   EXPECT_DOUBLE_EQ(settings->options.retry_ratio, 0.25);
 }
--- a/tests/unit/platform_template_test.cc
+++ b/tests/unit/platform_template_test.cc
@@ -11,9 +11,9 @@
 namespace {
 
 /// Fields of the platform by dotted name; one that is missing has no value.
-using Fields = std::map<std::string, std::string>;
+using PlatformFields = std::map<std::string, std::string>;
 
-Fields control_fields() {
+PlatformFields control_fields() {
   return {{"node_name", "core-1"},
           {"zone", "north"},
           {"ip", "10.0.0.1"},
@@ -37,13 +37,13 @@
           {"bounds.grace_s", "8"}};
 }
 
-std::string value_of(const Fields& fields, const std::string& name) {
+std::string field_value(const PlatformFields& fields, const std::string& name) {
   const auto found = fields.find(name);
   return found == fields.end() ? std::string() : found->second;
 }
 
 /// Replaces every `{{#name}} .. {{/name}}` by what stands inside where the field has a value, and by nothing otherwise.
-std::string without_empty_sections(std::string text, const Fields& fields) {
+std::string expand_sections(std::string text, const PlatformFields& fields) {
   for (size_t start = text.find("{{#"); start != std::string::npos; start = text.find("{{#", start)) {
     const size_t name_end = text.find("}}", start);
     const std::string name = text.substr(start + 3, name_end - start - 3);
@@ -57,30 +57,30 @@
 }
 
 /// Fills a template as the platform does.
-std::string fill(const std::string& file, const Fields& fields) {
+std::string render_template(const std::string& file, const PlatformFields& fields) {
   std::ifstream stream(std::string(LARCHLEVER_SOURCE_FOLDER) + "/platform/" + file);
   std::ostringstream content;
   content << stream.rdbuf();
-  std::string text = without_empty_sections(content.str(), fields);
+  std::string text = expand_sections(content.str(), fields);
   for (size_t start = text.find("{{"); start != std::string::npos; start = text.find("{{", start)) {
     const size_t end = text.find("}}", start);
-    text.replace(start, end + 2 - start, value_of(fields, text.substr(start + 2, end - start - 2)));
+    text.replace(start, end + 2 - start, field_value(fields, text.substr(start + 2, end - start - 2)));
   }
   return text;
 }
 
-std::string faults_of(const std::string& text) {
+std::string settings_errors(const std::string& text) {
   std::vector<std::string> errors;
   parse_fleet_settings(text, errors);
-  std::string all;
+  std::string all_errors;
   for (const auto& error : errors) {
-    all += error + "\n";
+    all_errors += error + "\n";
   }
-  return all;
+  return all_errors;
 }
 
 /// Fields that no node can run without.
-bool is_essential(const std::string& field) {
+bool is_required_field(const std::string& field) {
   return !field.starts_with("bounds.") && field != "heartbeat_ms" && field != "fault_tolerance.machines" &&
          field != "bootstrap";
 }
@@ -89,35 +89,35 @@
 // process of the fleet ended at once, exit code 3, with
 //   [bounds] stall = 'ms': not a time above 0; write a number with its unit, for example 2500ms or 2.5s
 // though the settings have a default for each.
-TEST(PlatformTemplates, EveryFieldThatHasADefaultMayBeMissing) {
+TEST(PlatformTemplates, FieldsWithDefaultsAreOptional) {
   for (const std::string file : {"control.ini", "entry.ini"}) {
-    EXPECT_EQ(faults_of(fill(file, control_fields())), "") << file;
+    EXPECT_EQ(settings_errors(render_template(file, control_fields())), "") << file;
     for (const auto& [field, value] : control_fields()) {
-      Fields fields = control_fields();
+      PlatformFields fields = control_fields();
       fields.erase(field);
-      if (!is_essential(field)) {
-        EXPECT_EQ(faults_of(fill(file, fields)), "") << file << " without " << field;
+      if (!is_required_field(field)) {
+        EXPECT_EQ(settings_errors(render_template(file, fields)), "") << file << " without " << field;
       }
     }
   }
 }
 
-TEST(PlatformTemplates, AFleetBearsWhatItsSeedsBearWhereNobodySaysMore) {
+TEST(PlatformTemplates, ToleratedLossesDefaultToMinorityOfSeeds) {
   std::vector<std::string> errors;
-  Fields fields = control_fields();
+  PlatformFields fields = control_fields();
   fields.erase("fault_tolerance.machines");
-  const auto settings = parse_fleet_settings(fill("control.ini", fields), errors);
+  const auto settings = parse_fleet_settings(render_template("control.ini", fields), errors);
   ASSERT_TRUE(settings);
   EXPECT_EQ(settings->options.minimum_voters, 3U);
 }
 
-TEST(PlatformTemplates, CarryTheValuesThatAreGiven) {
+TEST(PlatformTemplates, GivenFieldsSetTheirSettings) {
   std::vector<std::string> errors;
-  Fields fields = control_fields();
+  PlatformFields fields = control_fields();
   fields["bounds.revoke_ms"] = "6000";
   fields["bounds.evacuate_ms"] = "9000";
   fields["bounds.stall_ms"] = "7000";
-  const auto settings = parse_fleet_settings(fill("control.ini", fields), errors);
+  const auto settings = parse_fleet_settings(render_template("control.ini", fields), errors);
   ASSERT_TRUE(settings) << errors.front();
   EXPECT_EQ(settings->options.document_lease, milliseconds(5500));
   EXPECT_EQ(settings->options.stall_time, milliseconds(7000));
@@ -125,11 +125,11 @@
   EXPECT_TRUE(settings->may_found_cluster());
 }
 
-TEST(PlatformTemplates, TheShorterOfTwoBoundsMakesTheLease) {
+TEST(PlatformTemplates, ShorterBoundDeterminesLease) {
   std::vector<std::string> errors;
-  Fields fields = control_fields();
+  PlatformFields fields = control_fields();
   fields["bounds.evacuate_ms"] = "3000";
-  const auto settings = parse_fleet_settings(fill("entry.ini", fields), errors);
+  const auto settings = parse_fleet_settings(render_template("entry.ini", fields), errors);
   ASSERT_TRUE(settings) << errors.front();
   EXPECT_EQ(settings->options.document_lease, milliseconds(2500));
 }
--- a/tests/unit/settings_test.cc
+++ b/tests/unit/settings_test.cc
@@ -7,7 +7,7 @@
 namespace larchlever::settings {
 namespace {
 
-constexpr const char* kGood = R"(
+constexpr const char* kValidSettings = R"(
 [node]
 name = n1
 zone = a
@@ -20,42 +20,42 @@
 n2 = 127.0.0.1:7402
 )";
 
-TEST(NodeSettings, AcceptsAGoodFileWithDefaults) {
+TEST(NodeSettings, AppliesDefaultsToValidFile) {
   std::vector<std::string> errors;
-  const auto settings = parse_node_settings(kGood, errors);
+  const auto settings = parse_node_settings(kValidSettings, errors);
   ASSERT_TRUE(settings) << errors.front();
   EXPECT_EQ(settings->control_nodes.size(), 2U);
   EXPECT_EQ(settings->controller.control.heartbeat_interval, milliseconds(250));
 }
 
-TEST(NodeSettings, ReportsEveryFaultAtOnceWithSectionKeyValueAndRemedy) {
+TEST(NodeSettings, ReportsAllErrorsWithSectionKeyValueAndRemedy) {
   std::vector<std::string> errors;
-  const std::string text = std::string(kGood) +
+  const std::string text = std::string(kValidSettings) +
                            "[control]\nheartbeat_ms = soon\nlease = 4\nconfiguration_lease_ms = 100\n"
                            "[requests]\nrouting_policy = best\nmost_attempts = 99\n[colour]\nx = 1\n";
   EXPECT_FALSE(parse_node_settings(text, errors));
-  std::string all;
+  std::string all_errors;
   for (const auto& error : errors) {
-    all += error + "\n";
+    all_errors += error + "\n";
   }
   for (const char* expected :
        {"[control] heartbeat_ms = 'soon': not a whole number", "[control] lease = '4': unknown key",
         "shorter than two heartbeats", "[requests] routing_policy = 'best': unknown choice",
         "[requests] most_attempts = '99': out of range; choose 1 to 10", "[colour]: unknown section"}) {
-    EXPECT_NE(all.find(expected), std::string::npos) << expected << "\nin\n" << all;
+    EXPECT_NE(all_errors.find(expected), std::string::npos) << expected << "\nin\n" << all_errors;
   }
 }
 
-TEST(NodeSettings, RefusesAControlNodeWithoutADataFolder) {
+TEST(NodeSettings, RejectsControlNodeWithoutDataFolder) {
   std::vector<std::string> errors;
-  std::string text = kGood;
+  std::string text = kValidSettings;
   text.replace(text.find("data_folder"), std::string("data_folder = /var/lib/larchlever").size(), "");
   EXPECT_FALSE(parse_node_settings(text, errors));
   ASSERT_FALSE(errors.empty());
   EXPECT_NE(errors.front().find("data_folder"), std::string::npos);
 }
 
-TEST(ChangeFile, RoundTripsThroughItsText) {
+TEST(ChangeFile, FormattedRecordMatchesParsedText) {
   std::vector<std::string> errors;
   const std::string text =
       "[tenant north]\ntemplate = census\nzones = a, b\nadapters = x\nshare_percent = 12\nmax_concurrent = 9\n"
@@ -68,7 +68,7 @@
   EXPECT_EQ(format_record(record), text);
 }
 
-TEST(History, CatchesEachKindOfFault) {
+TEST(History, DetectsEachKindOfViolation) {
   using load::check_history;
   using load::ExecutionRecord;
   using load::HistoryRecord;
@@ -83,71 +83,71 @@
   record.outcome = "ran";
   record.sent_ms = 100;
   record.done_ms = 200;
-  ExecutionRecord run;
-  run.tag = "t";
-  run.machine = "m1";
-  run.started_ms = 150;
-  EXPECT_TRUE(check_history({record}, {run}).empty());
-  EXPECT_EQ(check_history({record}, {run, run}).size(), 1U) << "doubled";
+  ExecutionRecord execution;
+  execution.tag = "t";
+  execution.machine = "m1";
+  execution.started_ms = 150;
+  EXPECT_TRUE(check_history({record}, {execution}).empty());
+  EXPECT_EQ(check_history({record}, {execution, execution}).size(), 1U) << "doubled";
   EXPECT_EQ(check_history({record}, {}).size(), 1U) << "invented";
-  auto crossed = record;
-  crossed.answer = "wrong";
-  EXPECT_EQ(check_history({crossed}, {run}).size(), 1U) << "crossed";
-  auto denied = record;
-  denied.outcome = "not-run";
-  denied.status = 503;
-  EXPECT_EQ(check_history({denied}, {run}).size(), 1U) << "false not-run";
-  EXPECT_TRUE(check_history({denied}, {}).empty());
+  auto with_wrong_answer = record;
+  with_wrong_answer.answer = "wrong";
+  EXPECT_EQ(check_history({with_wrong_answer}, {execution}).size(), 1U) << "crossed";
+  auto reported_not_run = record;
+  reported_not_run.outcome = "not-run";
+  reported_not_run.status = 503;
+  EXPECT_EQ(check_history({reported_not_run}, {execution}).size(), 1U) << "false not-run";
+  EXPECT_TRUE(check_history({reported_not_run}, {}).empty());
 }
 
-TEST(History, HoldsARunAgainstTheAttemptThatItBelongsTo) {
+TEST(History, MatchesExecutionToItsRequestAttempt) {
   using load::check_history;
   using load::ExecutionRecord;
   using load::HistoryRecord;
   using load::NotRunScope;
-  HistoryRecord cut;
-  cut.tag = "t";
-  cut.node = "n1";
-  cut.safe = true;
-  cut.status = 502;
-  cut.outcome = "unknown";
-  cut.sent_ms = 100;
-  cut.done_ms = 200;
-  HistoryRecord refused = cut;
-  refused.status = 503;
-  refused.outcome = "not-run";
-  refused.sent_ms = 300;
-  refused.done_ms = 400;
-  ExecutionRecord run;
-  run.tag = "t";
-  run.machine = "m1";
-  run.started_ms = 150;
-  EXPECT_TRUE(check_history({cut, refused}, {run}, NotRunScope::kAttempt).empty());
-  EXPECT_EQ(check_history({cut, refused}, {run}).size(), 1U)
+  HistoryRecord interrupted;
+  interrupted.tag = "t";
+  interrupted.node = "n1";
+  interrupted.safe = true;
+  interrupted.status = 502;
+  interrupted.outcome = "unknown";
+  interrupted.sent_ms = 100;
+  interrupted.done_ms = 200;
+  HistoryRecord rejected = interrupted;
+  rejected.status = 503;
+  rejected.outcome = "not-run";
+  rejected.sent_ms = 300;
+  rejected.done_ms = 400;
+  ExecutionRecord execution;
+  execution.tag = "t";
+  execution.machine = "m1";
+  execution.started_ms = 150;
+  EXPECT_TRUE(check_history({interrupted, rejected}, {execution}, NotRunScope::kAttempt).empty());
+  EXPECT_EQ(check_history({interrupted, rejected}, {execution}).size(), 1U)
       << "what is excused for the attempt is not for the request";
-  auto between = run;
-  between.started_ms = 250;
-  EXPECT_EQ(check_history({cut, refused}, {between}, NotRunScope::kAttempt).size(), 1U)
+  auto execution_between_attempts = execution;
+  execution_between_attempts.started_ms = 250;
+  EXPECT_EQ(check_history({interrupted, rejected}, {execution_between_attempts}, NotRunScope::kAttempt).size(), 1U)
       << "a run that no attempt explains";
-  auto within = run;
-  within.started_ms = 350;
-  EXPECT_EQ(check_history({cut, refused}, {within}, NotRunScope::kAttempt).size(), 1U)
+  auto execution_of_rejected_attempt = execution;
+  execution_of_rejected_attempt.started_ms = 350;
+  EXPECT_EQ(check_history({interrupted, rejected}, {execution_of_rejected_attempt}, NotRunScope::kAttempt).size(), 1U)
       << "a run of the refused attempt itself";
-  auto denied = cut;
-  denied.outcome = "not-run";
-  EXPECT_EQ(check_history({denied, refused}, {run}, NotRunScope::kAttempt).size(), 2U)
+  auto reported_not_run = interrupted;
+  reported_not_run.outcome = "not-run";
+  EXPECT_EQ(check_history({reported_not_run, rejected}, {execution}, NotRunScope::kAttempt).size(), 2U)
       << "an earlier attempt that was denied falsely";
-  auto unsafe_cut = cut;
-  auto unsafe_refused = refused;
-  unsafe_cut.safe = false;
-  unsafe_refused.safe = false;
-  EXPECT_EQ(check_history({unsafe_cut, unsafe_refused}, {run}, NotRunScope::kAttempt).size(), 1U)
+  auto unsafe_interrupted = interrupted;
+  auto unsafe_rejected = rejected;
+  unsafe_interrupted.safe = false;
+  unsafe_rejected.safe = false;
+  EXPECT_EQ(check_history({unsafe_interrupted, unsafe_rejected}, {execution}, NotRunScope::kAttempt).size(), 1U)
       << "who may not repeat asks for all attempts";
-  auto keyed_cut = cut;
-  auto keyed_refused = refused;
-  keyed_cut.key = "k";
-  keyed_refused.key = "k";
-  EXPECT_EQ(check_history({keyed_cut, keyed_refused}, {run}, NotRunScope::kAttempt).size(), 1U)
+  auto keyed_interrupted = interrupted;
+  auto keyed_rejected = rejected;
+  keyed_interrupted.key = "k";
+  keyed_rejected.key = "k";
+  EXPECT_EQ(check_history({keyed_interrupted, keyed_rejected}, {execution}, NotRunScope::kAttempt).size(), 1U)
       << "a key ties the attempts together";
 }
 
