--- a/src/cli/demo_command.cc
+++ b/src/cli/demo_command.cc
@@ -91,8 +91,8 @@
     return loopback_address(2, node);
   }
   asio::io_context context;
-  asio::ip::tcp::acceptor acceptor(context, {asio::ip::make_address("127.0.0.1"), 0});
-  return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
+  asio::ip::tcp::acceptor port_probe(context, {asio::ip::make_address("127.0.0.1"), 0});
+  return "127.0.0.1:" + std::to_string(port_probe.local_endpoint().port());
 }
 
 std::string node_name(int node) { return "n" + std::to_string(node); }
