--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -53,7 +53,7 @@
             << std::setprecision(4) << measured << std::setw(8) << unit << (met ? "met" : "NOT MET") << std::endl;
 }
 
-/// Routing decision over ninety groups.
+/// Time of one routing decision with 90 groups.
 void bench_routing() {
   constexpr int kGroups = 90;
   const auto records = simulation::routing_records(kGroups);
@@ -81,7 +81,7 @@
   print_measurement("routing decision, 90 groups", "<= 5 us", per_decision_us, "us", per_decision_us <= 5);
 }
 
-/// Planning pass over 1,400 machines.
+/// Time of one placement planning pass over 1,400 machines.
 void bench_planning() {
   const auto deployment = simulation::uniform_deployment(9, 1400, 15);
   std::map<std::string, wire::Machine> machines;
@@ -115,7 +115,7 @@
                     "<= 50 ms", duration_ms, "ms", duration_ms <= 50);
 }
 
-/// Restart of a replica that holds 100,000 entries after its snapshot.
+/// Time to recover a replica with 100,000 log entries after its snapshot.
 void bench_restart(const fs::path& folder) {
   storage::FileSystem files;
   storage::StorageError error;
@@ -149,7 +149,7 @@
                     duration_ms <= 2000);
 }
 
-/// What a claim costs the log when claims are batched.
+/// Log bytes, disk syncs and CPU time per claim when claims are batched.
 void bench_claims(const fs::path& folder) {
   constexpr int kBatch = 64;
   constexpr int kBatches = 200;
@@ -188,7 +188,7 @@
   }
   const double claims = kBatch * kBatches;
   std::cout << "    a claim in batches of " << kBatch << ": " << static_cast<double>(bytes) / claims << " bytes, "
-            << 1.0 / kBatch << " syncs, " << cpu_ms * 1000 / claims << " us processor; with this disk "
+            << 1.0 / kBatch << " syncs, " << cpu_ms * 1000 / claims << " us CPU time; rate with this disk "
             << claims / elapsed_ms(started_at) * 1000 << " /s\n";
 }
 
@@ -197,7 +197,7 @@
     "[fleet]\nmembership_lag_ms = 0\nweight_transfer_ms = 0\n[zone a]\nmachines_per_domain = 1\nstep_us = 20\n"
     "step_per_sequence_us = 0\nprefill_per_token_us = 0\nmost_running = 4096\n[service s]\nzone = a\nports = 0\n";
 
-/// A node on one thread, with back ends and callers on several, so that the node is what limits.
+/// A node on one thread with back ends and callers on several threads each, so that the node is the bottleneck.
 class RequestPathBench {
  public:
   explicit RequestPathBench(const fs::path& folder) : node_context_(1) {
@@ -271,7 +271,8 @@
     std::vector<double> latency_ms;
   };
 
-  /// `connections` callers, spread over the caller threads, send `request` to `endpoint` in closed loops.
+  /// Sends `request` to `endpoint` from `connections` concurrent callers, spread over the caller threads. Each caller
+  /// waits for a response before it sends the next request.
   LoadRunResult run(const std::string& endpoint, const net::HttpRequest& request, int connections,
                     uint64_t total_requests) {
     const int64_t cpu_ns_before = thread_cpu_time_ns(node_thread_);
@@ -305,7 +306,7 @@
   std::string back_end_address() const { return load_shards_.front()->fleet->service_endpoints("s").front(); }
 
  private:
-  /// Back ends on one thread and callers on another.
+  /// One thread that runs back ends and one that runs callers.
   struct LoadShard {
     LoadShard() : back_end_context(1), caller_context(1) {
       std::vector<std::string> errors;
@@ -385,7 +386,7 @@
 void bench_request_path(const fs::path& folder) {
   RequestPathBench bench(folder);
   if (!bench.apply_configuration()) {
-    std::cout << "the bench's node did not come up; path figures are missing\n";
+    std::cout << "the benchmark node did not become ready; request path results are missing\n";
     return;
   }
   net::HttpRequest small_request;
@@ -404,8 +405,8 @@
   const double requests_per_second = static_cast<double>(throughput_result.requests) / throughput_result.seconds;
   print_measurement("small requests through one entry (one thread)", ">= 15000 /s", requests_per_second, "/s",
                     requests_per_second >= 15'000);
-  std::cout << "    node processor time per small request " << throughput_result.node_cpu_us
-            << " us, by which one thread carries " << 1e6 / throughput_result.node_cpu_us << " /s\n";
+  std::cout << "    node CPU time per small request " << throughput_result.node_cpu_us << " us; maximum for one thread "
+            << 1e6 / throughput_result.node_cpu_us << " /s\n";
   net::HttpRequest stream_request;
   stream_request.method = "POST";
   stream_request.target = "/v1/chat/completions";
@@ -417,8 +418,8 @@
       static_cast<double>(stream_result.requests) * kEventsPerStream / stream_result.seconds;
   print_measurement("SSE events relayed by one entry (one thread)", ">= 150000 /s", events_per_second, "/s",
                     events_per_second >= 150'000);
-  std::cout << "    node processor time per event " << stream_result.node_cpu_us / kEventsPerStream
-            << " us, by which one thread carries " << 1e6 * kEventsPerStream / stream_result.node_cpu_us
+  std::cout << "    node CPU time per event " << stream_result.node_cpu_us / kEventsPerStream
+            << " us; maximum for one thread " << 1e6 * kEventsPerStream / stream_result.node_cpu_us
             << " /s; bytes per event "
             << static_cast<double>(stream_result.bytes) / static_cast<double>(stream_result.requests) / kEventsPerStream
             << "\n";
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -5,21 +5,21 @@
 
 namespace larchlever::cli {
 
-/// Exit codes of the command, as documented in docs/OPERATIONS.md.
+/// Process exit codes, documented in docs/OPERATIONS.md.
 enum ExitCode : int {
   kExitSuccess = 0,
   kExitUsage = 2,
-  kExitInvalid = 3,      ///< Settings or a change were refused by validation.
-  kExitConflict = 4,     ///< Another change came first.
-  kExitUnreachable = 5,  ///< No node, or no leader, answered.
-  kExitNotInForce = 6,   ///< Accepted, but not yet in force on every node.
+  kExitInvalid = 3,      ///< Validation rejected the settings or the change.
+  kExitConflict = 4,     ///< A concurrent change was accepted first.
+  kExitUnreachable = 5,  ///< No node or no leader responded.
+  kExitNotInForce = 6,   ///< Accepted, but not yet applied on every node.
   kExitFailed = 7,
 };
 
-/// Runs a subcommand; `arguments` starts with its name.
+/// Runs the subcommand named by the first argument and returns the exit code.
 int run_command(const std::vector<std::string>& arguments);
 
-// The subcommands, each in a unit of its own.
+// Subcommands; each returns the exit code.
 int run_serve();
 int run_fleet_node();
 int run_bootstrap();
--- a/src/cli/demo_command.cc
+++ b/src/cli/demo_command.cc
@@ -85,7 +85,8 @@
   return "127.0.0.1:" + std::to_string(port);
 }
 
-/// Finds free ports for the control nodes' peer links, which must be known before the nodes start.
+/// Peer address of a node. With --port_base=0 picks a free port, because control nodes need the peer addresses of all
+/// others before any of them starts.
 std::string peer_address(int node) {
   if (FLAGS_port_base != 0) {
     return loopback_address(2, node);
@@ -207,13 +208,14 @@
   }
 
   void print_addresses() const {
-    std::cout << "larchlever demo: " << kNodeCount << " nodes before " << fleet_->machines().size()
-              << " stand-in machines, data in " << data_folder_.string() << "\n";
+    std::cout << "larchlever demo: " << kNodeCount << " nodes in front of " << fleet_->machines().size()
+              << " emulated machines, data in " << data_folder_.string() << "\n";
     for (const auto& node : nodes_) {
       std::cout << "  " << node->settings().name << "  zone " << node->settings().zone << "  service http://"
                 << node->service_address() << "  admin " << node->admin_address() << "\n";
     }
-    std::cout << "  membership list and faults http://" << fleet_->membership_endpoint() << "\nready" << std::endl;
+    std::cout << "  membership list and fault injection http://" << fleet_->membership_endpoint() << "\nready"
+              << std::endl;
   }
 
   asio::io_context& context_;
--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -15,8 +15,8 @@
 constexpr size_t kMaxViolationsShown = 20;
 
 void print_report(const load::LoadReport& report) {
-  std::cout << "requests " << report.requests << "  sendings " << report.sendings << "  answered " << report.answered
-            << "  without answer " << report.lost << "  told not-run " << report.not_run << "  told unknown "
+  std::cout << "requests " << report.requests << "  attempts " << report.sendings << "  answered " << report.answered
+            << "  unanswered " << report.lost << "  reported not-run " << report.not_run << "  reported unknown "
             << report.unknown << "\nrate " << static_cast<double>(report.answered) / report.seconds
             << " /s  latency ms p50 " << load::percentile(report.latency_ms, 50) << " p95 "
             << load::percentile(report.latency_ms, 95) << " p99 " << load::percentile(report.latency_ms, 99)
@@ -37,7 +37,7 @@
   options.requests = static_cast<uint64_t>(FLAGS_requests);
   options.seed = static_cast<uint64_t>(FLAGS_first_seed);
   if (options.nodes.empty() || options.tenants.empty()) {
-    std::cerr << "larchlever: name the nodes with --targets and the tenants with --tenants\n";
+    std::cerr << "larchlever: set the nodes with --targets and the tenants with --tenants\n";
     return kExitUsage;
   }
   for (const auto& node : options.nodes) {
@@ -70,8 +70,8 @@
     return kExitUnreachable;
   }
   const auto violations = load::check_history(generator.history(), executions);
-  std::cout << "history " << generator.history().size() << " sendings against " << executions.size()
-            << " executions: " << violations.size() << " faults\n";
+  std::cout << "history " << generator.history().size() << " attempts checked against " << executions.size()
+            << " executions: " << violations.size() << " violations\n";
   for (size_t shown = 0; shown < violations.size() && shown < kMaxViolationsShown; ++shown) {
     std::cout << "  " << violations[shown] << "\n";
   }
--- a/src/cli/operator_commands.cc
+++ b/src/cli/operator_commands.cc
@@ -25,9 +25,10 @@
 
 constexpr auto kCallTimeout = std::chrono::milliseconds(20'000);
 
-/// Sends a request to the first node that answers; nothing when none does, with the reason on standard error.
+/// Sends a request to one node after the other until a leader has answered it. If none has, prints the reason and
+/// returns nothing.
 std::optional<wire::OperatorReply> send_operator_request(const wire::OperatorRequest& request) {
-  std::string reason = "no node named; use --node IP:PORT";
+  std::string reason = "no node given; use --node IP:PORT";
   for (const auto& node : settings::split_list(FLAGS_node)) {
     asio::io_context context(1);
     net::HttpClient client(context.get_executor());
@@ -48,7 +49,7 @@
     if (reply && !reply->leader.empty()) {
       return reply;
     }
-    reason = node + ": no leader answered in time; check that a majority of the control replicas is up";
+    reason = node + ": no leader responded in time; check that a majority of the control replicas is running";
   }
   std::cerr << "larchlever: " << reason << "\n";
   return std::nullopt;
@@ -96,7 +97,7 @@
   return machine.leaving && machine.state == wire::MachineState::FREE ? "leaving" : names[machine.state];
 }
 
-/// Prints rows under headings, or as a JSON list of objects.
+/// Prints rows as an aligned text table or as a JSON array of objects.
 class Table {
  public:
   explicit Table(std::vector<std::string> headings) : headings_(std::move(headings)) {}
@@ -260,7 +261,8 @@
   request.change.command_id = command_id();
   request.change.writes = *writes;
   for (const auto& write : *writes) {
-    // A key that was removed earlier reads as absent here; the answer names its revision if that matters.
+    // A removed key counts as absent, revision 0, although it has a later revision. If that leads to a conflict, the
+    // response contains the actual revision.
     wire::KeyRevision read_revision;
     read_revision.key = write.key;
     const auto found = current->find(write.key);
--- a/src/cli/region_bootstrap.h
+++ b/src/cli/region_bootstrap.h
@@ -6,8 +6,8 @@
 
 namespace larchlever::cli {
 
-/// Gives the node's data folder an identity and the first log of a new region, of which it is the only voter. True also
-/// when the folder belongs to a region already and `allow_existing` allows that. False with `error` set otherwise.
+/// Initializes the node's data folder with a replica id and the log of a new region whose only voter is this node. If
+/// the folder already belongs to a region, returns `allow_existing`. Returns false and sets `error` on failure.
 bool bootstrap_region(const settings::NodeSettings& node_settings, std::string& error, bool allow_existing = true);
 
 }  // namespace larchlever::cli
--- a/src/cli/serve_commands.cc
+++ b/src/cli/serve_commands.cc
@@ -21,10 +21,11 @@
 
 namespace {
 
-/// Names the settings file where no flag does: platforms that run several nodes on a machine set it for each.
+/// Environment variable with the path of the settings file, used without --settings. Platforms that run several nodes
+/// on one machine set it per process.
 constexpr const char* kSettingsPathVariable = "LARCHLEVER_CONFIG";
 
-/// The settings file that the flag names, else the environment; empty when neither does.
+/// Path of the settings file from the flag or the environment variable; empty if neither is set.
 std::string settings_path() {
   if (!FLAGS_settings.empty()) {
     return FLAGS_settings;
@@ -40,11 +41,11 @@
 }
 
 void print_missing_settings_path() {
-  std::cerr << "larchlever: name the settings file with --settings FILE or in the variable " << kSettingsPathVariable
-            << "\n";
+  std::cerr << "larchlever: no settings file; use --settings FILE or set the environment variable "
+            << kSettingsPathVariable << "\n";
 }
 
-/// The text of the settings file. Nothing, with the reason printed, when none is named or it cannot be read.
+/// Reads the settings file. Prints the reason and returns nothing if no path is set or the file cannot be read.
 std::optional<std::string> read_settings_file() {
   const std::string path = settings_path();
   if (path.empty()) {
@@ -71,7 +72,7 @@
   if (!load_node_settings()) {
     return kExitInvalid;
   }
-  std::cout << settings_path() << ": no faults\n";
+  std::cout << settings_path() << ": valid\n";
   return kExitSuccess;
 }
 
@@ -89,7 +90,7 @@
     std::cerr << "larchlever: " << error << "\n";
     return kExitFailed;
   }
-  std::cout << "region begun in " << parsed->data_folder << "; start this node, then the others\n";
+  std::cout << "region initialized in " << parsed->data_folder << "; start this node, then the others\n";
   return kExitSuccess;
 }
 
@@ -126,13 +127,15 @@
 namespace {
 
 constexpr auto kSettingsCheckInterval = std::chrono::seconds(1);
-/// Pause before a start that failed is tried again. What stood in its way, most likely a predecessor that still holds a
-/// port, is gone within its grace.
+/// Delay before a failed start is retried. Most start failures come from a previous process that still holds a port and
+/// exits within its grace period.
 constexpr auto kStartRetryInterval = std::chrono::milliseconds(200);
-/// Longest time for which a start is tried again: well over the time in which platforms end a predecessor by force.
+/// Time after which a failing start is no longer retried. Must be well above the time after which platforms kill the
+/// previous process.
 constexpr auto kStartRetryTimeout = std::chrono::seconds(30);
 
-/// The checked settings of a fleet node. Nothing, with every fault in `faults`, when the file is no good.
+/// Reads and validates the settings of a fleet node. If the file is invalid, returns nothing and adds all problems to
+/// `errors`.
 std::optional<settings::FleetSettings> load_fleet_settings(std::vector<std::string>& errors) {
   const auto text = settings::read_text_file(settings_path(), errors);
   auto parsed = text ? settings::parse_fleet_settings(*text, errors) : std::nullopt;
@@ -143,7 +146,7 @@
   return parsed;
 }
 
-/// Runs one node of a registered fleet until it is told to stop, and hands it its settings whenever they change.
+/// Runs one node of a registered fleet until SIGTERM or SIGINT, and reloads its settings file when it changes.
 class FleetNodeRunner {
  public:
   explicit FleetNodeRunner(const settings::FleetSettings& settings)
@@ -168,7 +171,7 @@
     return std::filesystem::last_write_time(settings_path(), ignored);
   }
 
-  /// Starts the node; where that fails, tries again until the patience is over.
+  /// Starts the node. Retries after a failure until `start_deadline_`.
   void try_start() {
     auto process = settings_.role == settings::FleetRole::kEntry
                        ? node::make_entry_process(context_.get_executor(), settings_)
@@ -201,7 +204,8 @@
     std::vector<std::string> errors;
     const auto settings = load_fleet_settings(errors);
     if (!settings) {
-      // The file may be in the middle of being written, within one tick of its time stamp: it is read again.
+      // The file may be partly written, and the rest may arrive without a change of its modification time. Resetting
+      // the stored time forces another read.
       settings_modified_at_ = std::filesystem::file_time_type::min();
       for (const auto& error_text : errors) {
         node::log_warning(settings_.name, "settings_refused", {{"reason", error_text}});
@@ -229,7 +233,7 @@
     });
   }
 
-  /// The file may also change without a signal.
+  /// Polls the modification time, because the file may change without a SIGHUP.
   void schedule_settings_check() {
     settings_check_timer_.expires_after(kSettingsCheckInterval);
     settings_check_timer_.async_wait([this](boost::system::error_code code) {
@@ -283,8 +287,8 @@
   const int exit_code = runner.run();
   node::log_event(settings->name, "stopped", {{"exit_code", std::to_string(exit_code)}});
   node::flush_log();
-  // Sockets and data folder are closed. Returning would run the destructors of libraries, some of which wait for
-  // threads of theirs: a stopped process must not stay until it is killed.
+  // Sockets and the data folder are closed. Exit without running library destructors, some of which wait for their
+  // threads and could keep the stopped process alive until the platform kills it.
   std::_Exit(exit_code);
 }
 
--- a/src/cli/simulate_command.cc
+++ b/src/cli/simulate_command.cc
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Runs seeds on several threads; each run is a world of its own.
+/// Runs one independent simulation per seed, on several threads, and adds up the results.
 class FaultScheduleRunner {
  public:
   void run(uint64_t first_seed, uint64_t count, unsigned threads) {
--- a/src/cli/zone_commands.cc
+++ b/src/cli/zone_commands.cc
@@ -1,4 +1,4 @@
-// Operators' commands for the zones of a registered fleet: list, evacuate, restore.
+// Operator commands for the zones of a registered fleet: zones, evacuate, restore.
 
 #include <boost/asio.hpp>
 #include <boost/json.hpp>
@@ -30,9 +30,10 @@
   return result;
 }
 
-/// Sends a call to one control replica after the other until one answers it for good. Orders on zones may be repeated.
+/// Sends a request to one control replica after the other until one returns a status other than 503. Retries are safe,
+/// because evacuating and restoring a zone are idempotent.
 std::optional<net::HttpResponse> call_control_replica(const std::string& method, const std::string& target) {
-  std::string reason = "no control replica named; use --control IP:PORT";
+  std::string reason = "no control replica given; use --control IP:PORT";
   net::HttpRequest request;
   request.method = method;
   request.target = target;
@@ -53,7 +54,7 @@
 
 int send_zone_operation(const std::vector<std::string>& arguments, const std::string& operation) {
   if (arguments.size() != 1) {
-    std::cerr << "larchlever: name one zone: larchlever " << operation << " ZONE --control IP:PORT\n";
+    std::cerr << "usage: larchlever " << operation << " ZONE --control IP:PORT\n";
     return kExitUsage;
   }
   const auto answer = call_control_replica("POST", "/v1/zones/" + arguments.front() + "/" + operation);
--- a/src/settings/change_file.cc
+++ b/src/settings/change_file.cc
@@ -104,7 +104,7 @@
     writes.push_back(std::move(write));
   }
   if (writes.empty() && errors.size() == errors_before) {
-    errors.emplace_back("the file holds no section; add [template NAME], [tenant NAME] or [service NAME]");
+    errors.emplace_back("the file contains no section; add [template NAME], [tenant NAME] or [service NAME]");
   }
   return errors.size() > errors_before ? std::nullopt : std::optional(std::move(writes));
 }
--- a/src/settings/fleet_settings.cc
+++ b/src/settings/fleet_settings.cc
@@ -9,17 +9,18 @@
 
 namespace {
 
-/// Of the time in which a revoked key must stop working, what is left for sending a request on after the check.
+/// Part of the revocation and evacuation bounds that is reserved for forwarding a request after the lease check.
 constexpr Duration kRevocationSendMargin = milliseconds(500);
 constexpr Duration kEvacuationSendMargin = kRevocationSendMargin;
 constexpr int64_t kMaxAnswerBufferMegabytes = 1'000'000;
-/// An instance is silent once two of its heartbeats are overdue.
+/// An instance counts as silent after two missed heartbeats, plus a tolerance for delays.
 constexpr int kMissedHeartbeatsUntilSilent = 2;
 constexpr Duration kHeartbeatDelayTolerance = milliseconds(300);
-/// A replacement must be a voter well within the time in which it counts as lost.
+/// A failed replica is replaced after this fraction of the catch-up bound, which leaves the rest of the bound for the
+/// replacement to become a voter.
 constexpr int kReplicaTimeoutsPerCatchUp = 3;
 
-/// Control replicas stand close to each other, so a leader is missed soon.
+/// Short, because the network latency between control replicas is low.
 constexpr Duration kRaftHeartbeatInterval = milliseconds(80);
 constexpr Duration kMinElectionTimeout = milliseconds(600);
 
@@ -38,7 +39,8 @@
   settings.role = role == "control" ? FleetRole::kControl : FleetRole::kEntry;
   settings.peer_address = node.read_address("peer_address", true);
   if (is_unspecified(settings.peer_address)) {
-    node.add_error("peer_address", settings.peer_address, "no address that peers can dial; name the node's own IP");
+    node.add_error("peer_address", settings.peer_address,
+                   "not an address that peers can connect to; use the node's own IP");
   }
   const bool is_entry = settings.role == FleetRole::kEntry;
   settings.caller_address = node.read_address("caller_address", is_entry);
@@ -50,7 +52,7 @@
   settings.answer_buffer_bytes =
       static_cast<size_t>(node.read_integer("answer_buffers_mb", 0, 0, kMaxAnswerBufferMegabytes)) << 20U;
   if (!is_entry && settings.data_folder.empty()) {
-    node.add_error("data_folder", "", "missing; a control replica keeps the log on disk, name a folder");
+    node.add_error("data_folder", "", "missing; a control replica stores its log on disk; set a folder");
   }
   node.report_unknown_keys();
 }
@@ -60,7 +62,7 @@
   settings.seed_control_addresses = cluster.read_list("seeds");
   const auto peer_port = cluster.read_integer("peer_port", 0, 1, 65535);
   settings.first_start = cluster.read_flag("first_start", false);
-  // Where nobody says what may be lost, at least what the seeds bear among them.
+  // By default, tolerate the loss of as many replicas as a quorum of the seeds allows.
   const auto losses_tolerated_by_seeds = settings.seed_control_addresses.empty()
                                              ? 0
                                              : static_cast<int64_t>((settings.seed_control_addresses.size() - 1) / 2);
@@ -91,7 +93,8 @@
 void read_bounds(const IniDocument& document, FleetSettings& settings, std::vector<std::string>& errors) {
   SectionReader bounds("bounds", document.find_section("bounds"), errors);
   auto& options = settings.options;
-  // One lease covers both: an entry that is cut off sends by an old key, or into an emptied zone, no longer than this.
+  // One lease enforces both bounds: a partitioned entry stops accepting revoked keys and stops sending to evacuated
+  // zones when it expires.
   const Duration revocation = bounds.read_duration("revocation", seconds(5));
   const Duration revocation_lease_limit = revocation - kRevocationSendMargin;
   const Duration evacuation_lease_limit = bounds.read_duration("evacuation", revocation) - kEvacuationSendMargin;
@@ -142,7 +145,7 @@
   read_cluster(document, settings, errors);
   read_bounds(document, settings, errors);
   read_log(document, settings, errors);
-  // A document may be large and the log short: snapshots are cheap, entries are not.
+  // Log entries may contain whole configuration documents, so frequent snapshots are cheaper than a long log.
   settings.options.control.snapshot_interval_entries = 64;
   settings.options.control.snapshot_trailing_entries = 16;
   settings.options.control.node_timeout = settings.options.node_timeout;
--- a/src/settings/fleet_settings.h
+++ b/src/settings/fleet_settings.h
@@ -10,40 +10,40 @@
 
 enum class FleetRole { kEntry, kControl };
 
-/// Everything that a node of a registered fleet reads from its INI file. Every time that the operators' bounds fix is
-/// derived from them here, in one place.
+/// Settings of one node of a registered fleet, read from its INI file. All durations that follow from the operators'
+/// `[bounds]` are derived when this file is parsed.
 struct FleetSettings {
   std::string name;
   FleetRole role = FleetRole::kEntry;
   std::string zone;
   std::string peer_address;
-  /// Where callers connect, and where the balancer asks for readiness; entries only.
+  /// Listen addresses for callers and for the load balancer's readiness checks; entries only.
   std::string caller_address;
   std::string ready_address;
-  /// Where instances and operators call; control replicas only.
+  /// Listen address for calls from instances and operators; control replicas only.
   std::string control_address;
   std::string metrics_address;
   std::string data_folder;
-  /// Control addresses that the settings name, and the peer addresses derived from them.
+  /// Control addresses of the configured seed replicas, and their peer addresses: the same hosts with `peer_port`.
   std::vector<std::string> seed_control_addresses;
   std::vector<std::string> seed_peer_addresses;
-  /// True only when the whole fleet starts for the first time, on empty disks.
+  /// Set only for the very first start of the whole fleet, on empty disks.
   bool first_start = false;
-  /// Names the headers and calls that callers and engines speak; see node/dialect.h.
+  /// Name of the set of HTTP headers and paths used with callers and engines; see node/dialect.h.
   std::string dialect = "larchlever";
-  /// A stopping process is killed after this time.
+  /// Time after which the platform kills a stopping process.
   Duration stop_grace_period = seconds(8);
-  /// Bytes of answers that an entry holds for callers that have not read them yet; 0 for a part of the machine's
-  /// memory.
+  /// Limit on the response bytes that an entry buffers for slow callers; 0 selects a share of the machine's memory.
   size_t answer_buffer_bytes = 0;
   std::string log_level = "info";
   fleet::FleetOptions options;
 
-  /// First start, and this replica is one of the seeds, which settle among them who makes the first log.
+  /// True for a seed control replica at the first start. The seeds elect one of them to create the replicated log.
   bool may_found_cluster() const;
 };
 
-/// Reads and checks a whole settings text. Returns nothing when there are faults; all of them are in `errors`.
+/// Parses and validates the text of a settings file. If it is invalid, returns nothing and adds all problems to
+/// `errors`.
 std::optional<FleetSettings> parse_fleet_settings(const std::string& text, std::vector<std::string>& errors);
 
 }  // namespace larchlever::settings
--- a/src/settings/ini_document.cc
+++ b/src/settings/ini_document.cc
@@ -42,7 +42,7 @@
   auto& state = *static_cast<ParseState*>(user);
   auto& target = find_or_add_section(*state.sections, section);
   if (!target.values.emplace(name, std::string(trim(value))).second) {
-    state.errors->push_back("[" + target.name + "] " + name + ": given twice; keep one of the lines");
+    state.errors->push_back("[" + target.name + "] " + name + ": duplicate key; keep only one of the lines");
   }
   return 1;
 }
@@ -207,7 +207,7 @@
 
 namespace {
 
-/// Host and port of a literal endpoint, both in canonical spelling.
+/// Splits IP:PORT into host and port, both in canonical form.
 std::optional<std::pair<std::string, int64_t>> parse_endpoint(std::string_view text) {
   const size_t colon = text.rfind(':');
   int64_t port = -1;
--- a/src/settings/node_settings.cc
+++ b/src/settings/node_settings.cc
@@ -73,11 +73,11 @@
   control.snapshot_trailing_entries = reader.read_integer("snapshot_trailing_entries", 2000, 0, 1'000'000);
   if (control.configuration_lease < 2 * control.heartbeat_interval) {
     reader.add_error("configuration_lease_ms", std::to_string(control.configuration_lease.count() / 1000),
-                     "shorter than two heartbeats, so leases would lapse; raise it or lower heartbeat_ms");
+                     "shorter than two heartbeats, so leases would expire; raise it or lower heartbeat_ms");
   }
   if (control.serve_lease < 2 * control.heartbeat_interval) {
     reader.add_error("serve_lease_ms", std::to_string(control.serve_lease.count() / 1000),
-                     "shorter than two heartbeats, so leases would lapse; raise it or lower heartbeat_ms");
+                     "shorter than two heartbeats, so leases would expire; raise it or lower heartbeat_ms");
   }
   reader.report_unknown_keys();
 }
@@ -91,7 +91,7 @@
   raft.restart_check = raft.election_timeout_min + raft.election_timeout_min / 5;
   if (raft.election_timeout_max <= raft.election_timeout_min) {
     reader.add_error("election_timeout_max_ms", std::to_string(raft.election_timeout_max.count() / 1000),
-                     "must exceed election_timeout_min_ms, else candidates collide; raise it");
+                     "must be above election_timeout_min_ms, or candidates will split the vote; raise it");
   }
   if (raft.election_timeout_min < 3 * raft.heartbeat_interval) {
     reader.add_error("election_timeout_min_ms", std::to_string(raft.election_timeout_min.count() / 1000),
--- a/tests/unit/platform_template_test.cc
+++ b/tests/unit/platform_template_test.cc
@@ -10,7 +10,7 @@
 namespace larchlever::settings {
 namespace {
 
-/// Fields of the platform by dotted name; one that is missing has no value.
+/// Values of the platform's deployment fields by dotted name.
 using PlatformFields = std::map<std::string, std::string>;
 
 PlatformFields control_fields() {
@@ -42,7 +42,7 @@
   return found == fields.end() ? std::string() : found->second;
 }
 
-/// Replaces every `{{#name}} .. {{/name}}` by what stands inside where the field has a value, and by nothing otherwise.
+/// Replaces each `{{#name}} .. {{/name}}` section with its content if the field exists, else with nothing.
 std::string expand_sections(std::string text, const PlatformFields& fields) {
   for (size_t start = text.find("{{#"); start != std::string::npos; start = text.find("{{#", start)) {
     const size_t name_end = text.find("}}", start);
@@ -56,7 +56,7 @@
   return text;
 }
 
-/// Fills a template as the platform does.
+/// Renders a settings template the way the platform does.
 std::string render_template(const std::string& file, const PlatformFields& fields) {
   std::ifstream stream(std::string(LARCHLEVER_SOURCE_FOLDER) + "/platform/" + file);
   std::ostringstream content;
@@ -79,16 +79,15 @@
   return all_errors;
 }
 
-/// Fields that no node can run without.
+/// True for fields without a default, which every node needs.
 bool is_required_field(const std::string& field) {
   return !field.starts_with("bounds.") && field != "heartbeat_ms" && field != "fault_tolerance.machines" &&
          field != "bootstrap";
 }
 
-// A platform whose fields lacked any one of the bounds left a line like "stall = ms" in the filled template; every
-// process of the fleet ended at once, exit code 3, with
+// When a platform omitted an optional field, the rendered template contained a line like "stall = ms" in place of the
+// default, and every process of the fleet exited with code 3 and the message
 //   [bounds] stall = 'ms': not a time above 0; write a number with its unit, for example 2500ms or 2.5s
-// though the settings have a default for each.
 TEST(PlatformTemplates, FieldsWithDefaultsAreOptional) {
   for (const std::string file : {"control.ini", "entry.ini"}) {
     EXPECT_EQ(settings_errors(render_template(file, control_fields())), "") << file;
--- a/tests/unit/settings_test.cc
+++ b/tests/unit/settings_test.cc
@@ -88,15 +88,15 @@
   execution.machine = "m1";
   execution.started_ms = 150;
   EXPECT_TRUE(check_history({record}, {execution}).empty());
-  EXPECT_EQ(check_history({record}, {execution, execution}).size(), 1U) << "doubled";
-  EXPECT_EQ(check_history({record}, {}).size(), 1U) << "invented";
+  EXPECT_EQ(check_history({record}, {execution, execution}).size(), 1U) << "the request ran twice";
+  EXPECT_EQ(check_history({record}, {}).size(), 1U) << "the response has no execution";
   auto with_wrong_answer = record;
   with_wrong_answer.answer = "wrong";
-  EXPECT_EQ(check_history({with_wrong_answer}, {execution}).size(), 1U) << "crossed";
+  EXPECT_EQ(check_history({with_wrong_answer}, {execution}).size(), 1U) << "the response belongs to another request";
   auto reported_not_run = record;
   reported_not_run.outcome = "not-run";
   reported_not_run.status = 503;
-  EXPECT_EQ(check_history({reported_not_run}, {execution}).size(), 1U) << "false not-run";
+  EXPECT_EQ(check_history({reported_not_run}, {execution}).size(), 1U) << "reported as not run, but it ran";
   EXPECT_TRUE(check_history({reported_not_run}, {}).empty());
 }
 
@@ -124,31 +124,31 @@
   execution.started_ms = 150;
   EXPECT_TRUE(check_history({interrupted, rejected}, {execution}, NotRunScope::kAttempt).empty());
   EXPECT_EQ(check_history({interrupted, rejected}, {execution}).size(), 1U)
-      << "what is excused for the attempt is not for the request";
+      << "an execution by another attempt is a violation in request scope";
   auto execution_between_attempts = execution;
   execution_between_attempts.started_ms = 250;
   EXPECT_EQ(check_history({interrupted, rejected}, {execution_between_attempts}, NotRunScope::kAttempt).size(), 1U)
-      << "a run that no attempt explains";
+      << "an execution outside of all attempts";
   auto execution_of_rejected_attempt = execution;
   execution_of_rejected_attempt.started_ms = 350;
   EXPECT_EQ(check_history({interrupted, rejected}, {execution_of_rejected_attempt}, NotRunScope::kAttempt).size(), 1U)
-      << "a run of the refused attempt itself";
+      << "an execution by the rejected attempt itself";
   auto reported_not_run = interrupted;
   reported_not_run.outcome = "not-run";
   EXPECT_EQ(check_history({reported_not_run, rejected}, {execution}, NotRunScope::kAttempt).size(), 2U)
-      << "an earlier attempt that was denied falsely";
+      << "the earlier attempt was wrongly reported as not run";
   auto unsafe_interrupted = interrupted;
   auto unsafe_rejected = rejected;
   unsafe_interrupted.safe = false;
   unsafe_rejected.safe = false;
   EXPECT_EQ(check_history({unsafe_interrupted, unsafe_rejected}, {execution}, NotRunScope::kAttempt).size(), 1U)
-      << "who may not repeat asks for all attempts";
+      << "for a request that is unsafe to repeat, not-run applies to all attempts";
   auto keyed_interrupted = interrupted;
   auto keyed_rejected = rejected;
   keyed_interrupted.key = "k";
   keyed_rejected.key = "k";
   EXPECT_EQ(check_history({keyed_interrupted, keyed_rejected}, {execution}, NotRunScope::kAttempt).size(), 1U)
-      << "a key ties the attempts together";
+      << "for requests with an idempotency key, not-run applies to all attempts";
 }
 
 }  // namespace
