--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -48,17 +48,18 @@
 }
 
 void print_measurement(const std::string& measurement, const std::string& budget, double measured,
-                       const std::string& unit, bool met) {
+                       const std::string& unit, bool is_within_budget) {
   std::cout << std::left << std::setw(58) << measurement << std::setw(18) << budget << std::setw(12)
-            << std::setprecision(4) << measured << std::setw(8) << unit << (met ? "met" : "NOT MET") << std::endl;
+            << std::setprecision(4) << measured << std::setw(8) << unit << (is_within_budget ? "met" : "NOT MET")
+            << std::endl;
 }
 
 /// Time of one routing decision with 90 groups.
 void bench_routing() {
-  constexpr int kGroups = 90;
-  const auto records = simulation::routing_records(kGroups);
+  constexpr int kGroupCount = 90;
+  const auto records = simulation::routing_records(kGroupCount);
   std::vector<wire::GroupLease> leases;
-  for (int64_t id = 1; id <= kGroups; ++id) {
+  for (int64_t id = 1; id <= kGroupCount; ++id) {
     wire::GroupLease lease;
     lease.group_id = id;
     lease.epoch = 1;
@@ -71,13 +72,13 @@
   routing::RouteQuery query;
   query.tenant = "t";
   query.model = "model";
-  constexpr int kDecisions = 50'000;
+  constexpr int kDecisionCount = 50'000;
   const auto started_at = Clock::now();
-  for (int decision = 0; decision < kDecisions; ++decision) {
+  for (int decision = 0; decision < kDecisionCount; ++decision) {
     query.prefix_hash = static_cast<uint64_t>(decision) * 0x9E3779B97F4A7C15ULL | 1U;
     router.route(TimePoint(), query);
   }
-  const double per_decision_us = elapsed_ms(started_at) * 1000 / kDecisions;
+  const double per_decision_us = elapsed_ms(started_at) * 1000 / kDecisionCount;
   print_measurement("routing decision, 90 groups", "<= 5 us", per_decision_us, "us", per_decision_us <= 5);
 }
 
@@ -117,10 +118,10 @@
 
 /// Time to recover a replica with 100,000 log entries after its snapshot.
 void bench_restart(const fs::path& folder) {
-  storage::FileSystem files;
+  storage::FileSystem file_system;
   storage::StorageError error;
   {
-    auto data = storage::DataFolder::open(folder, files, error);
+    auto data = storage::DataFolder::open(folder, file_system, error);
     consensus::RaftOutput output;
     for (int64_t index = 1; index <= 100'000; ++index) {
       wire::Command command;
@@ -138,7 +139,7 @@
     data->write({&output});
   }
   const auto started_at = Clock::now();
-  auto data = storage::DataFolder::open(folder, files, error);
+  auto data = storage::DataFolder::open(folder, file_system, error);
   auto recovered = data->take_recovered();
   control::ControlState state;
   for (const auto& entry : recovered.entries) {
@@ -151,22 +152,22 @@
 
 /// Log bytes, disk syncs and CPU time per claim when claims are batched.
 void bench_claims(const fs::path& folder) {
-  constexpr int kBatch = 64;
-  constexpr int kBatches = 200;
-  storage::FileSystem files;
+  constexpr int kClaimsPerBatch = 64;
+  constexpr int kBatchCount = 200;
+  storage::FileSystem file_system;
   storage::StorageError error;
-  auto data = storage::DataFolder::open(folder, files, error);
+  auto data = storage::DataFolder::open(folder, file_system, error);
   control::ControlState state;
   size_t bytes = 0;
   double cpu_ms = 0;
   const auto started_at = Clock::now();
-  for (int batch = 1; batch <= kBatches; ++batch) {
+  for (int batch = 1; batch <= kBatchCount; ++batch) {
     const auto batch_started_at = Clock::now();
     wire::Command command;
-    for (int number = 0; number < kBatch; ++number) {
+    for (int number = 0; number < kClaimsPerBatch; ++number) {
       wire::Claim claim;
       claim.tenant = "coast-office";
-      claim.key = "letter-" + std::to_string(batch * kBatch + number) + "-0123456789abcdef";
+      claim.key = "letter-" + std::to_string(batch * kClaimsPerBatch + number) + "-0123456789abcdef";
       claim.body_digest = number;
       claim.entry = "n" + std::to_string(number % 9);
       claim.entry_incarnation = 1'796'205'542'609'733;
@@ -186,10 +187,10 @@
     cpu_ms += elapsed_ms(batch_started_at);
     data->write({&output});
   }
-  const double claims = kBatch * kBatches;
-  std::cout << "    a claim in batches of " << kBatch << ": " << static_cast<double>(bytes) / claims << " bytes, "
-            << 1.0 / kBatch << " syncs, " << cpu_ms * 1000 / claims << " us CPU time; rate with this disk "
-            << claims / elapsed_ms(started_at) * 1000 << " /s\n";
+  const double claims = kClaimsPerBatch * kBatchCount;
+  std::cout << "    a claim in batches of " << kClaimsPerBatch << ": " << static_cast<double>(bytes) / claims
+            << " bytes, " << 1.0 / kClaimsPerBatch << " syncs, " << cpu_ms * 1000 / claims
+            << " us CPU time; rate with this disk " << claims / elapsed_ms(started_at) * 1000 << " /s\n";
 }
 
 constexpr int kLoadShards = 3;
@@ -221,7 +222,7 @@
     node_->start(error);
     node_thread_ = std::thread([this] { node_context_.run(); });
     for (auto& shard : load_shards_) {
-      shard->run();
+      shard->start_threads();
     }
   }
 
@@ -319,7 +320,7 @@
       back_end_thread.join();
       caller_thread.join();
     }
-    void run() {
+    void start_threads() {
       back_end_thread = std::thread([this] { back_end_context.run(); });
       caller_thread = std::thread([this] {
         const auto work = asio::make_work_guard(caller_context);
--- a/src/cli/demo_command.cc
+++ b/src/cli/demo_command.cc
@@ -99,7 +99,7 @@
 std::string node_name(int node) { return "n" + std::to_string(node); }
 
 settings::NodeSettings node_settings(int node, const std::map<std::string, std::string>& control_nodes,
-                                     const fs::path& data, const std::string& membership_list) {
+                                     const fs::path& data_root, const std::string& membership_list) {
   settings::NodeSettings settings;
   settings.name = node_name(node);
   settings.zone = kZoneNames[(node - 1) % kZoneCount];
@@ -112,7 +112,7 @@
   settings.service_address = loopback_address(0, node);
   settings.admin_address = loopback_address(1, node);
   if (peer != control_nodes.end()) {
-    settings.data_folder = data / settings.name;
+    settings.data_folder = data_root / settings.name;
   }
   settings.membership_list = membership_list;
   settings.kinds_without_fences = {"basic"};
--- a/src/cli/operator_commands.cc
+++ b/src/cli/operator_commands.cc
@@ -55,7 +55,7 @@
   return std::nullopt;
 }
 
-std::string operator_name() {
+std::string effective_operator_name() {
   if (!FLAGS_operator_name.empty()) {
     return FLAGS_operator_name;
   }
@@ -63,7 +63,7 @@
   return user == nullptr ? "unnamed" : user;
 }
 
-std::string command_id() {
+std::string effective_command_id() {
   if (!FLAGS_command_id.empty()) {
     return FLAGS_command_id;
   }
@@ -101,7 +101,7 @@
 class Table {
  public:
   explicit Table(std::vector<std::string> headings) : headings_(std::move(headings)) {}
-  void add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
+  void add_row(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
   json::array to_json() const {
     json::array list;
     for (const auto& row : rows_) {
@@ -257,8 +257,8 @@
   wire::OperatorRequest request;
   request.action = wire::OperatorAction::APPLY;
   request.dry_run = FLAGS_dry_run;
-  request.change.operator_name = operator_name();
-  request.change.command_id = command_id();
+  request.change.operator_name = effective_operator_name();
+  request.change.command_id = effective_command_id();
   request.change.writes = *writes;
   for (const auto& write : *writes) {
     // A removed key counts as absent, revision 0, although it has a later revision. If that leads to a conflict, the
@@ -325,12 +325,12 @@
   Table table({"node", "zone", "state", "revision", "replica", "identity", "service"});
   for (const auto& node : status->nodes) {
     const std::string replica = node.replica_id == 0 ? "-" : voters.contains(node.replica_id) ? "voter" : "standby";
-    table.add({node.node, node.zone,
-               node.leaving ? "leaving"
-               : node.live  ? "live"
-                            : "silent",
-               std::to_string(node.revision), replica, node.replica_id == 0 ? "-" : std::to_string(node.replica_id),
-               node.service_address});
+    table.add_row({node.node, node.zone,
+                   node.leaving ? "leaving"
+                   : node.live  ? "live"
+                                : "silent",
+                   std::to_string(node.revision), replica, node.replica_id == 0 ? "-" : std::to_string(node.replica_id),
+                   node.service_address});
   }
   if (FLAGS_output == "json") {
     std::cout << json::serialize(json::object{{"leader", status->leader},
@@ -353,8 +353,8 @@
   }
   Table table({"group", "epoch", "state", "template", "model", "version", "zone", "domain", "machines"});
   for (const auto& group : status->groups) {
-    table.add({std::to_string(group.id), std::to_string(group.epoch), group_state_name(group.state),
-               group.template_name, group.model, group.version, group.zone, group.domain, join(group.machines)});
+    table.add_row({std::to_string(group.id), std::to_string(group.epoch), group_state_name(group.state),
+                   group.template_name, group.model, group.version, group.zone, group.domain, join(group.machines)});
   }
   table.print();
   return kExitSuccess;
@@ -367,9 +367,9 @@
   }
   Table table({"machine", "zone", "domain", "accelerators", "state", "group", "weights", "endpoint"});
   for (const auto& machine : status->machines) {
-    table.add({machine.id, machine.zone, machine.domain, std::to_string(machine.accelerators),
-               machine_state_name(machine), machine.group_id == 0 ? "-" : std::to_string(machine.group_id),
-               machine.weights.empty() ? "-" : machine.weights, machine.endpoint});
+    table.add_row({machine.id, machine.zone, machine.domain, std::to_string(machine.accelerators),
+                   machine_state_name(machine), machine.group_id == 0 ? "-" : std::to_string(machine.group_id),
+                   machine.weights.empty() ? "-" : machine.weights, machine.endpoint});
   }
   table.print();
   return kExitSuccess;
@@ -384,8 +384,8 @@
   request.action = wire::OperatorAction::DRAIN;
   request.drain.machine = arguments.front();
   request.drain.leaving = !FLAGS_undo;
-  request.drain.operator_name = operator_name();
-  request.drain.command_id = command_id();
+  request.drain.operator_name = effective_operator_name();
+  request.drain.command_id = effective_command_id();
   request.__isset.drain = true;
   const auto reply = send_operator_request(request);
   return reply ? print_change_answer(*reply, false) : static_cast<int>(kExitUnreachable);
@@ -409,8 +409,8 @@
     }
     std::string message = record.message;
     std::replace(message.begin(), message.end(), '\n', ' ');
-    table.add({timestamp.str(), record.operator_name, record.command_id, verdict_name(record.verdict),
-               std::to_string(record.revision), join(changed), message});
+    table.add_row({timestamp.str(), record.operator_name, record.command_id, verdict_name(record.verdict),
+                   std::to_string(record.revision), join(changed), message});
   }
   table.print();
   return kExitSuccess;
--- a/src/cli/zone_commands.cc
+++ b/src/cli/zone_commands.cc
@@ -19,7 +19,7 @@
 
 constexpr auto kCallTimeout = std::chrono::milliseconds(3000);
 
-net::FetchResult fetch(const std::string& endpoint, const net::HttpRequest& request) {
+net::FetchResult fetch_response(const std::string& endpoint, const net::HttpRequest& request) {
   asio::io_context context(1);
   net::HttpClient client(context.get_executor());
   net::FetchResult result;
@@ -38,7 +38,7 @@
   request.method = method;
   request.target = target;
   for (const auto& endpoint : settings::split_list(FLAGS_control)) {
-    const auto result = fetch(endpoint, request);
+    const auto result = fetch_response(endpoint, request);
     if (!result.response) {
       reason = result.error;
       continue;
--- a/src/settings/fleet_settings.cc
+++ b/src/settings/fleet_settings.cc
@@ -24,97 +24,98 @@
 constexpr Duration kRaftHeartbeatInterval = milliseconds(80);
 constexpr Duration kMinElectionTimeout = milliseconds(600);
 
-std::string host_of(const std::string& endpoint) { return endpoint.substr(0, endpoint.rfind(':')); }
+std::string endpoint_host(const std::string& endpoint) { return endpoint.substr(0, endpoint.rfind(':')); }
 
-bool is_unspecified(const std::string& endpoint) {
-  const std::string host = host_of(endpoint);
+bool is_wildcard_address(const std::string& endpoint) {
+  const std::string host = endpoint_host(endpoint);
   return host == "0.0.0.0" || host == "[::]";
 }
 
 void read_node(const IniDocument& document, FleetSettings& settings, std::vector<std::string>& errors) {
-  SectionReader node("node", document.find_section("node"), errors);
-  settings.name = node.read_required_string("name");
-  settings.zone = node.read_required_string("zone");
-  const auto role = node.read_choice("role", "entry", {"entry", "control"});
+  SectionReader node_section("node", document.find_section("node"), errors);
+  settings.name = node_section.read_required_string("name");
+  settings.zone = node_section.read_required_string("zone");
+  const auto role = node_section.read_choice("role", "entry", {"entry", "control"});
   settings.role = role == "control" ? FleetRole::kControl : FleetRole::kEntry;
-  settings.peer_address = node.read_address("peer_address", true);
-  if (is_unspecified(settings.peer_address)) {
-    node.add_error("peer_address", settings.peer_address,
-                   "not an address that peers can connect to; use the node's own IP");
+  settings.peer_address = node_section.read_address("peer_address", true);
+  if (is_wildcard_address(settings.peer_address)) {
+    node_section.add_error("peer_address", settings.peer_address,
+                           "not an address that peers can connect to; use the node's own IP");
   }
   const bool is_entry = settings.role == FleetRole::kEntry;
-  settings.caller_address = node.read_address("caller_address", is_entry);
-  settings.ready_address = node.read_address("ready_address", is_entry);
-  settings.control_address = node.read_address("control_address", !is_entry);
-  settings.metrics_address = node.read_address("metrics_address", false);
-  settings.data_folder = node.read_string("data_folder", "");
-  settings.dialect = node.read_string("dialect", settings.dialect);
+  settings.caller_address = node_section.read_address("caller_address", is_entry);
+  settings.ready_address = node_section.read_address("ready_address", is_entry);
+  settings.control_address = node_section.read_address("control_address", !is_entry);
+  settings.metrics_address = node_section.read_address("metrics_address", false);
+  settings.data_folder = node_section.read_string("data_folder", "");
+  settings.dialect = node_section.read_string("dialect", settings.dialect);
   settings.answer_buffer_bytes =
-      static_cast<size_t>(node.read_integer("answer_buffers_mb", 0, 0, kMaxAnswerBufferMegabytes)) << 20U;
+      static_cast<size_t>(node_section.read_integer("answer_buffers_mb", 0, 0, kMaxAnswerBufferMegabytes)) << 20U;
   if (!is_entry && settings.data_folder.empty()) {
-    node.add_error("data_folder", "", "missing; a control replica stores its log on disk; set a folder");
+    node_section.add_error("data_folder", "", "missing; a control replica stores its log on disk; set a folder");
   }
-  node.report_unknown_keys();
+  node_section.report_unknown_keys();
 }
 
 void read_cluster(const IniDocument& document, FleetSettings& settings, std::vector<std::string>& errors) {
-  SectionReader cluster("cluster", document.find_section("cluster"), errors);
-  settings.seed_control_addresses = cluster.read_list("seeds");
-  const auto peer_port = cluster.read_integer("peer_port", 0, 1, 65535);
-  settings.first_start = cluster.read_flag("first_start", false);
+  SectionReader cluster_section("cluster", document.find_section("cluster"), errors);
+  settings.seed_control_addresses = cluster_section.read_list("seeds");
+  const auto peer_port = cluster_section.read_integer("peer_port", 0, 1, 65535);
+  settings.first_start = cluster_section.read_flag("first_start", false);
   // By default, tolerate the loss of as many replicas as a quorum of the seeds allows.
   const auto losses_tolerated_by_seeds = settings.seed_control_addresses.empty()
                                              ? 0
                                              : static_cast<int64_t>((settings.seed_control_addresses.size() - 1) / 2);
-  const auto tolerated_losses = cluster.read_integer("tolerated_losses", losses_tolerated_by_seeds, 0, 8);
+  const auto tolerated_losses = cluster_section.read_integer("tolerated_losses", losses_tolerated_by_seeds, 0, 8);
   settings.options.minimum_voters = static_cast<size_t>(2 * tolerated_losses + 1);
   settings.options.control.minimum_voters = settings.options.minimum_voters;
-  for (const auto& zone_entry : cluster.read_list("zones")) {
+  for (const auto& zone_entry : cluster_section.read_list("zones")) {
     const size_t colon = zone_entry.find(':');
     const std::string region = colon == std::string::npos ? "" : zone_entry.substr(colon + 1);
     if (colon == 0) {
-      cluster.add_error("zones", zone_entry, "no zone before the colon; write ZONE or ZONE:REGION");
+      cluster_section.add_error("zones", zone_entry, "no zone before the colon; write ZONE or ZONE:REGION");
     }
     settings.options.zones[zone_entry.substr(0, colon)] = region;
   }
   if (settings.seed_control_addresses.empty()) {
-    cluster.add_error("seeds", "", "missing; list the control addresses of up to three control replicas");
+    cluster_section.add_error("seeds", "", "missing; list the control addresses of up to three control replicas");
   }
   for (const auto& seed : settings.seed_control_addresses) {
     if (!is_ip_endpoint(seed)) {
-      cluster.add_error("seeds", seed, "not IP:PORT; list control addresses");
+      cluster_section.add_error("seeds", seed, "not IP:PORT; list control addresses");
       continue;
     }
-    settings.seed_peer_addresses.push_back(host_of(canonical_endpoint(seed)) + ":" + std::to_string(peer_port));
+    settings.seed_peer_addresses.push_back(endpoint_host(canonical_endpoint(seed)) + ":" + std::to_string(peer_port));
   }
-  cluster.report_unknown_keys();
+  cluster_section.report_unknown_keys();
 }
 
 void read_bounds(const IniDocument& document, FleetSettings& settings, std::vector<std::string>& errors) {
-  SectionReader bounds("bounds", document.find_section("bounds"), errors);
+  SectionReader bounds_section("bounds", document.find_section("bounds"), errors);
   auto& options = settings.options;
   // One lease enforces both bounds: a partitioned entry stops accepting revoked keys and stops sending to evacuated
   // zones when it expires.
-  const Duration revocation = bounds.read_duration("revocation", seconds(5));
+  const Duration revocation = bounds_section.read_duration("revocation", seconds(5));
   const Duration revocation_lease_limit = revocation - kRevocationSendMargin;
-  const Duration evacuation_lease_limit = bounds.read_duration("evacuation", revocation) - kEvacuationSendMargin;
+  const Duration evacuation_lease_limit =
+      bounds_section.read_duration("evacuation", revocation) - kEvacuationSendMargin;
   options.document_lease = std::min(revocation_lease_limit, evacuation_lease_limit);
   options.instance_timeout =
-      kMissedHeartbeatsUntilSilent * bounds.read_duration("instance_heartbeat", milliseconds(1200)) +
+      kMissedHeartbeatsUntilSilent * bounds_section.read_duration("instance_heartbeat", milliseconds(1200)) +
       kHeartbeatDelayTolerance;
-  options.stall_time = bounds.read_duration("stall", seconds(5));
-  options.control.replica_timeout = bounds.read_duration("catch_up", seconds(4)) / kReplicaTimeoutsPerCatchUp;
-  options.load_window = bounds.read_duration("load_window", seconds(5));
-  options.retry_window = bounds.read_duration("retry_window", seconds(10));
-  options.retry_ratio = bounds.read_non_negative_number("retry_ratio", 0.2);
-  options.retry_slack = bounds.read_non_negative_number("retry_slack", 10);
-  settings.stop_grace_period = bounds.read_duration("stop_grace", seconds(8));
+  options.stall_time = bounds_section.read_duration("stall", seconds(5));
+  options.control.replica_timeout = bounds_section.read_duration("catch_up", seconds(4)) / kReplicaTimeoutsPerCatchUp;
+  options.load_window = bounds_section.read_duration("load_window", seconds(5));
+  options.retry_window = bounds_section.read_duration("retry_window", seconds(10));
+  options.retry_ratio = bounds_section.read_non_negative_number("retry_ratio", 0.2);
+  options.retry_slack = bounds_section.read_non_negative_number("retry_slack", 10);
+  settings.stop_grace_period = bounds_section.read_duration("stop_grace", seconds(8));
   if (options.document_lease < 3 * options.heartbeat_interval) {
     const bool is_revocation_shorter = revocation_lease_limit <= evacuation_lease_limit;
-    bounds.add_error(is_revocation_shorter ? "revocation" : "evacuation", "",
-                     "too short for a lease of three heartbeats; raise it");
+    bounds_section.add_error(is_revocation_shorter ? "revocation" : "evacuation", "",
+                             "too short for a lease of three heartbeats; raise it");
   }
-  bounds.report_unknown_keys();
+  bounds_section.report_unknown_keys();
 }
 
 void read_log(const IniDocument& document, FleetSettings& settings, std::vector<std::string>& errors) {
--- a/src/settings/ini_document.cc
+++ b/src/settings/ini_document.cc
@@ -38,8 +38,8 @@
   return sections.back();
 }
 
-int add_ini_value(void* user, const char* section, const char* name, const char* value) {
-  auto& state = *static_cast<ParseState*>(user);
+int add_ini_value(void* parse_state, const char* section, const char* name, const char* value) {
+  auto& state = *static_cast<ParseState*>(parse_state);
   auto& target = find_or_add_section(*state.sections, section);
   if (!target.values.emplace(name, std::string(trim(value))).second) {
     state.errors->push_back("[" + target.name + "] " + name + ": duplicate key; keep only one of the lines");
--- a/src/settings/node_settings.cc
+++ b/src/settings/node_settings.cc
@@ -14,46 +14,49 @@
 Duration duration_from_ms(int64_t value_ms) { return milliseconds(value_ms); }
 
 void read_node(const IniDocument& document, NodeSettings& settings, std::vector<std::string>& errors) {
-  SectionReader node("node", document.find_section("node"), errors);
-  settings.name = node.read_required_string("name");
-  settings.zone = node.read_required_string("zone");
-  settings.peer_address = node.read_address("peer_address", true);
-  settings.service_address = node.read_address("service_address", true);
-  settings.admin_address = node.read_address("admin_address", true);
-  settings.data_folder = node.read_string("data_folder", "");
+  SectionReader node_section("node", document.find_section("node"), errors);
+  settings.name = node_section.read_required_string("name");
+  settings.zone = node_section.read_required_string("zone");
+  settings.peer_address = node_section.read_address("peer_address", true);
+  settings.service_address = node_section.read_address("service_address", true);
+  settings.admin_address = node_section.read_address("admin_address", true);
+  settings.data_folder = node_section.read_string("data_folder", "");
   settings.unready_before_drain =
-      std::chrono::milliseconds(node.read_integer("unready_before_drain_ms", 3000, 0, kMinuteMs));
-  settings.drain_timeout = std::chrono::milliseconds(node.read_integer("drain_timeout_ms", 600'000, 0, 60 * kMinuteMs));
-  node.report_unknown_keys();
+      std::chrono::milliseconds(node_section.read_integer("unready_before_drain_ms", 3000, 0, kMinuteMs));
+  settings.drain_timeout =
+      std::chrono::milliseconds(node_section.read_integer("drain_timeout_ms", 600'000, 0, 60 * kMinuteMs));
+  node_section.report_unknown_keys();
 }
 
 void read_control_nodes(const IniDocument& document, NodeSettings& settings, std::vector<std::string>& errors) {
   const auto* section = document.find_section("control_nodes");
-  SectionReader peers("control_nodes", section, errors);
+  SectionReader control_nodes_section("control_nodes", section, errors);
   if (section == nullptr || section->values.empty()) {
-    peers.add_error("", "", "missing; list the nodes with a data folder, one 'NAME = IP:PORT' (peer address) a line");
+    control_nodes_section.add_error(
+        "", "", "missing; list the nodes with a data folder, one 'NAME = IP:PORT' (peer address) a line");
     return;
   }
   for (const auto& [name, value] : section->values) {
-    settings.control_nodes[name] = peers.read_address(name, true);
+    settings.control_nodes[name] = control_nodes_section.read_address(name, true);
     settings.controller.control_nodes.push_back(name);
   }
   if (!settings.data_folder.empty() && !settings.control_nodes.contains(settings.name)) {
-    peers.add_error(settings.name, "", "this node has a data folder but is not listed; add it, or remove data_folder");
+    control_nodes_section.add_error(settings.name, "",
+                                    "this node has a data folder but is not listed; add it, or remove data_folder");
   }
   if (settings.data_folder.empty() && settings.control_nodes.contains(settings.name)) {
-    peers.add_error(settings.name, settings.control_nodes[settings.name],
-                    "this node is listed but has no [node] data_folder; set one, or remove the line");
+    control_nodes_section.add_error(settings.name, settings.control_nodes[settings.name],
+                                    "this node is listed but has no [node] data_folder; set one, or remove the line");
   }
 }
 
 void read_platform(const IniDocument& document, NodeSettings& settings, std::vector<std::string>& errors) {
-  SectionReader platform("platform", document.find_section("platform"), errors);
-  settings.membership_list = platform.read_address("membership_list", false);
-  for (auto& kind : platform.read_list("kinds_without_fences")) {
+  SectionReader platform_section("platform", document.find_section("platform"), errors);
+  settings.membership_list = platform_section.read_address("membership_list", false);
+  for (auto& kind : platform_section.read_list("kinds_without_fences")) {
     settings.kinds_without_fences.insert(std::move(kind));
   }
-  platform.report_unknown_keys();
+  platform_section.report_unknown_keys();
 }
 
 void read_control(const IniDocument& document, NodeSettings& settings, std::vector<std::string>& errors) {
