--- a/src/cli/serve_commands.cc
+++ b/src/cli/serve_commands.cc
@@ -204,7 +204,7 @@
     std::vector<std::string> errors;
     const auto settings = load_fleet_settings(errors);
     if (!settings) {
-      // The file may be partly written, and the rest may arrive without a change of its modification time. Resetting
+      // The file may be partly written, and the rest may arrive within the same tick of its modification time. Resetting
       // the stored time forces another read.
       settings_modified_at_ = std::filesystem::file_time_type::min();
       for (const auto& error_text : errors) {
--- a/src/settings/fleet_settings.cc
+++ b/src/settings/fleet_settings.cc
@@ -16,7 +16,7 @@
 /// An instance counts as silent after two missed heartbeats, plus a tolerance for delays.
 constexpr int kMissedHeartbeatsUntilSilent = 2;
 constexpr Duration kHeartbeatDelayTolerance = milliseconds(300);
-/// A failed replica is replaced after this fraction of the catch-up bound, which leaves the rest of the bound for the
+/// A failed replica is replaced after the catch-up bound divided by this. The rest of the bound is left for the
 /// replacement to become a voter.
 constexpr int kReplicaTimeoutsPerCatchUp = 3;
 
--- a/src/settings/fleet_settings.h
+++ b/src/settings/fleet_settings.h
@@ -11,7 +11,7 @@
 enum class FleetRole { kEntry, kControl };
 
 /// Settings of one node of a registered fleet, read from its INI file. All durations that follow from the operators'
-/// `[bounds]` are derived when this file is parsed.
+/// `[bounds]` are derived in `parse_fleet_settings`.
 struct FleetSettings {
   std::string name;
   FleetRole role = FleetRole::kEntry;
--- a/src/settings/ini_document.cc
+++ b/src/settings/ini_document.cc
@@ -207,7 +207,7 @@
 
 namespace {
 
-/// Splits IP:PORT into host and port, both in canonical form.
+/// Splits IP:PORT into host and port, both in canonical form. Returns nothing if `text` is invalid.
 std::optional<std::pair<std::string, int64_t>> parse_endpoint(std::string_view text) {
   const size_t colon = text.rfind(':');
   int64_t port = -1;
--- a/src/settings/ini_document.h
+++ b/src/settings/ini_document.h
@@ -39,7 +39,7 @@
   std::string read_string(const std::string& key, const std::string& default_value);
   std::string read_required_string(const std::string& key);
   int64_t read_integer(const std::string& key, int64_t default_value, int64_t minimum, int64_t maximum);
-  /// Reads a decimal number that must be 0 or more.
+  /// Reads a decimal number that must not be below 0.
   double read_non_negative_number(const std::string& key, double default_value);
   /// Reads a positive duration in milliseconds or seconds, for example 2500ms or 2.5s.
   std::chrono::microseconds read_duration(const std::string& key, std::chrono::microseconds default_value);
