--- a/src/cli/serve_commands.cc
+++ b/src/cli/serve_commands.cc
@@ -204,8 +204,8 @@
     std::vector<std::string> errors;
     const auto settings = load_fleet_settings(errors);
     if (!settings) {
-      // The file may be partly written, and the rest may arrive within the same tick of its modification time. Resetting
-      // the stored time forces another read.
+      // The file may be partly written, and the rest may arrive within the same tick of its modification time.
+      // Resetting the stored time forces another read.
       settings_modified_at_ = std::filesystem::file_time_type::min();
       for (const auto& error_text : errors) {
         node::log_warning(settings_.name, "settings_refused", {{"reason", error_text}});
