--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -121,7 +121,7 @@
   storage::FileSystem file_system;
   storage::StorageError error;
   {
-    auto data = storage::DataFolder::open(folder, file_system, error);
+    auto data_folder = storage::DataFolder::open(folder, file_system, error);
     consensus::RaftOutput output;
     for (int64_t index = 1; index <= 100'000; ++index) {
       wire::Command command;
@@ -136,11 +136,11 @@
       entry.payload = wire::encode(command);
       output.entries.push_back(std::move(entry));
     }
-    data->write({&output});
+    data_folder->write({&output});
   }
   const auto started_at = Clock::now();
-  auto data = storage::DataFolder::open(folder, file_system, error);
-  auto recovered = data->take_recovered();
+  auto data_folder = storage::DataFolder::open(folder, file_system, error);
+  auto recovered = data_folder->take_recovered();
   control::ControlState state;
   for (const auto& entry : recovered.entries) {
     state.apply(entry.index, *wire::decode<wire::Command>(entry.payload));
@@ -156,7 +156,7 @@
   constexpr int kBatchCount = 200;
   storage::FileSystem file_system;
   storage::StorageError error;
-  auto data = storage::DataFolder::open(folder, file_system, error);
+  auto data_folder = storage::DataFolder::open(folder, file_system, error);
   control::ControlState state;
   size_t bytes = 0;
   double cpu_ms = 0;
@@ -185,12 +185,12 @@
     state.apply(batch, *wire::decode<wire::Command>(entry.payload));
     output.entries.push_back(std::move(entry));
     cpu_ms += elapsed_ms(batch_started_at);
-    data->write({&output});
+    data_folder->write({&output});
   }
-  const double claims = kClaimsPerBatch * kBatchCount;
-  std::cout << "    a claim in batches of " << kClaimsPerBatch << ": " << static_cast<double>(bytes) / claims
-            << " bytes, " << 1.0 / kClaimsPerBatch << " syncs, " << cpu_ms * 1000 / claims
-            << " us CPU time; rate with this disk " << claims / elapsed_ms(started_at) * 1000 << " /s\n";
+  const double claim_count = kClaimsPerBatch * kBatchCount;
+  std::cout << "    a claim in batches of " << kClaimsPerBatch << ": " << static_cast<double>(bytes) / claim_count
+            << " bytes, " << 1.0 / kClaimsPerBatch << " syncs, " << cpu_ms * 1000 / claim_count
+            << " us CPU time; rate with this disk " << claim_count / elapsed_ms(started_at) * 1000 << " /s\n";
 }
 
 constexpr int kLoadShards = 3;
@@ -280,15 +280,15 @@
     const auto started_at = Clock::now();
     const int threads = std::min(connections, kLoadShards);
     std::vector<LoadRunResult> thread_results(static_cast<size_t>(threads));
-    std::vector<std::future<void>> completions;
+    std::vector<std::future<void>> caller_tasks;
     for (int thread = 0; thread < threads; ++thread) {
-      completions.push_back(asio::co_spawn(
+      caller_tasks.push_back(asio::co_spawn(
           load_shards_[static_cast<size_t>(thread)]->caller_context,
           run_callers(endpoint, request, connections / threads, total_requests / static_cast<uint64_t>(threads),
                       thread_results[static_cast<size_t>(thread)]),
           asio::use_future));
     }
-    for (auto& part : completions) {
+    for (auto& part : caller_tasks) {
       part.get();
     }
     LoadRunResult result;
--- a/src/cli/operator_commands.cc
+++ b/src/cli/operator_commands.cc
@@ -98,9 +98,9 @@
 }
 
 /// Prints rows as an aligned text table or as a JSON array of objects.
-class Table {
+class OutputTable {
  public:
-  explicit Table(std::vector<std::string> headings) : headings_(std::move(headings)) {}
+  explicit OutputTable(std::vector<std::string> headings) : headings_(std::move(headings)) {}
   void add_row(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
   json::array to_json() const {
     json::array list;
@@ -145,7 +145,7 @@
   std::vector<std::vector<std::string>> rows_;
 };
 
-std::string join(const std::vector<std::string>& items) {
+std::string join_with_commas(const std::vector<std::string>& items) {
   std::string result;
   for (const auto& item : items) {
     result += (result.empty() ? "" : ",") + item;
@@ -227,7 +227,7 @@
     }
     return kExitSuccess;
   }
-  std::cerr << "not yet confirmed by: " << join(reply.missing_nodes) << "\n";
+  std::cerr << "not yet confirmed by: " << join_with_commas(reply.missing_nodes) << "\n";
   return kExitNotInForce;
 }
 
@@ -322,7 +322,7 @@
     }
     std::cout << "\n\n";
   }
-  Table table({"node", "zone", "state", "revision", "replica", "identity", "service"});
+  OutputTable table({"node", "zone", "state", "revision", "replica", "identity", "service"});
   for (const auto& node : status->nodes) {
     const std::string replica = node.replica_id == 0 ? "-" : voters.contains(node.replica_id) ? "voter" : "standby";
     table.add_row({node.node, node.zone,
@@ -351,10 +351,11 @@
   if (!status) {
     return kExitUnreachable;
   }
-  Table table({"group", "epoch", "state", "template", "model", "version", "zone", "domain", "machines"});
+  OutputTable table({"group", "epoch", "state", "template", "model", "version", "zone", "domain", "machines"});
   for (const auto& group : status->groups) {
     table.add_row({std::to_string(group.id), std::to_string(group.epoch), group_state_name(group.state),
-                   group.template_name, group.model, group.version, group.zone, group.domain, join(group.machines)});
+                   group.template_name, group.model, group.version, group.zone, group.domain,
+                   join_with_commas(group.machines)});
   }
   table.print();
   return kExitSuccess;
@@ -365,7 +366,7 @@
   if (!status) {
     return kExitUnreachable;
   }
-  Table table({"machine", "zone", "domain", "accelerators", "state", "group", "weights", "endpoint"});
+  OutputTable table({"machine", "zone", "domain", "accelerators", "state", "group", "weights", "endpoint"});
   for (const auto& machine : status->machines) {
     table.add_row({machine.id, machine.zone, machine.domain, std::to_string(machine.accelerators),
                    machine_state_name(machine), machine.group_id == 0 ? "-" : std::to_string(machine.group_id),
@@ -398,7 +399,7 @@
   if (!reply) {
     return kExitUnreachable;
   }
-  Table table({"time", "operator", "command", "verdict", "revision", "changed", "message"});
+  OutputTable table({"time", "operator", "command", "verdict", "revision", "changed", "message"});
   for (const auto& record : reply->audit) {
     const std::time_t time = record.at_ms / 1000;
     std::ostringstream timestamp;
@@ -410,7 +411,7 @@
     std::string message = record.message;
     std::replace(message.begin(), message.end(), '\n', ' ');
     table.add_row({timestamp.str(), record.operator_name, record.command_id, verdict_name(record.verdict),
-                   std::to_string(record.revision), join(changed), message});
+                   std::to_string(record.revision), join_with_commas(changed), message});
   }
   table.print();
   return kExitSuccess;
--- a/src/cli/serve_commands.cc
+++ b/src/cli/serve_commands.cc
@@ -61,9 +61,9 @@
 std::optional<settings::NodeSettings> load_node_settings() {
   std::vector<std::string> errors;
   const auto text = read_settings_file();
-  auto parsed = text ? settings::parse_node_settings(*text, errors) : std::nullopt;
+  auto loaded_settings = text ? settings::parse_node_settings(*text, errors) : std::nullopt;
   print_errors(errors);
-  return parsed;
+  return loaded_settings;
 }
 
 }  // namespace
@@ -77,31 +77,31 @@
 }
 
 int run_bootstrap() {
-  const auto parsed = load_node_settings();
-  if (!parsed) {
+  const auto loaded_settings = load_node_settings();
+  if (!loaded_settings) {
     return kExitInvalid;
   }
-  if (parsed->data_folder.empty()) {
+  if (loaded_settings->data_folder.empty()) {
     std::cerr << "larchlever: this node has no data folder; bootstrap a node that has one\n";
     return kExitInvalid;
   }
   std::string error;
-  if (!bootstrap_region(*parsed, error, false)) {
+  if (!bootstrap_region(*loaded_settings, error, false)) {
     std::cerr << "larchlever: " << error << "\n";
     return kExitFailed;
   }
-  std::cout << "region initialized in " << parsed->data_folder << "; start this node, then the others\n";
+  std::cout << "region initialized in " << loaded_settings->data_folder << "; start this node, then the others\n";
   return kExitSuccess;
 }
 
 int run_serve() {
-  const auto parsed = load_node_settings();
-  if (!parsed) {
+  const auto loaded_settings = load_node_settings();
+  if (!loaded_settings) {
     return kExitInvalid;
   }
-  node::configure_logging(parsed->log_level, parsed->log_file);
+  node::configure_logging(loaded_settings->log_level, loaded_settings->log_file);
   asio::io_context context(1);
-  node::NodeProcess process(context.get_executor(), *parsed);
+  node::NodeProcess process(context.get_executor(), *loaded_settings);
   std::string error;
   if (!process.start(error)) {
     std::cerr << "larchlever: " << error << "\n";
@@ -138,12 +138,13 @@
 /// `errors`.
 std::optional<settings::FleetSettings> load_fleet_settings(std::vector<std::string>& errors) {
   const auto text = settings::read_text_file(settings_path(), errors);
-  auto parsed = text ? settings::parse_fleet_settings(*text, errors) : std::nullopt;
-  if (parsed && node::find_dialect(parsed->dialect) == nullptr) {
-    errors.push_back("[node] dialect = '" + parsed->dialect + "': unknown; use larchlever, or the name of an adapter");
-    parsed.reset();
+  auto loaded_settings = text ? settings::parse_fleet_settings(*text, errors) : std::nullopt;
+  if (loaded_settings && node::find_dialect(loaded_settings->dialect) == nullptr) {
+    errors.push_back("[node] dialect = '" + loaded_settings->dialect +
+                     "': unknown; use larchlever, or the name of an adapter");
+    loaded_settings.reset();
   }
-  return parsed;
+  return loaded_settings;
 }
 
 /// Runs one node of a registered fleet until SIGTERM or SIGINT, and reloads its settings file when it changes.
@@ -295,19 +296,19 @@
 int run_emulate() {
   std::vector<std::string> errors;
   const auto text = read_settings_file();
-  const auto parsed = text ? emulator::parse_fleet_settings(*text, errors) : std::nullopt;
+  const auto loaded_settings = text ? emulator::parse_fleet_settings(*text, errors) : std::nullopt;
   print_errors(errors);
-  if (!parsed) {
+  if (!loaded_settings) {
     return kExitInvalid;
   }
   asio::io_context context(1);
-  emulator::EmulatedFleet fleet(context.get_executor(), *parsed);
+  emulator::EmulatedFleet fleet(context.get_executor(), *loaded_settings);
   std::string error;
   if (!fleet.start(error)) {
     std::cerr << "larchlever: " << error << "\n";
     return kExitFailed;
   }
-  for (const auto& service : parsed->services) {
+  for (const auto& service : loaded_settings->services) {
     std::cout << "service " << service.name << " at ";
     for (const auto& endpoint : fleet.service_endpoints(service.name)) {
       std::cout << endpoint << ", ";
--- a/src/cli/simulate_command.cc
+++ b/src/cli/simulate_command.cc
@@ -38,10 +38,10 @@
   }
 
   int report() const {
-    std::cout << "runs " << runs_ << "  violations " << failed_runs_ << "  requests " << requests_ << " (ran "
-              << ran_requests_ << ", not run " << not_run_requests_ << ", unknown " << unknown_outcomes_
+    std::cout << "runs " << total_runs_ << "  violations " << failed_runs_ << "  requests " << total_requests_
+              << " (ran " << ran_requests_ << ", not run " << not_run_requests_ << ", unknown " << unknown_outcomes_
               << ")  changes accepted " << accepted_changes_ << "  conflicts " << conflicting_changes_ << "  checks "
-              << checks_ << "\nfaults:";
+              << total_checks_ << "\nfaults:";
     for (const auto& [fault, count] : fault_counts_) {
       std::cout << "  " << fault << " " << count;
     }
@@ -52,14 +52,14 @@
  private:
   void add_result(const simulation::RunResult& result) {
     const std::lock_guard lock(mutex_);
-    ++runs_;
-    requests_ += result.workload.requests;
+    ++total_runs_;
+    total_requests_ += result.workload.requests;
     ran_requests_ += result.workload.ran;
     not_run_requests_ += result.workload.not_run;
     unknown_outcomes_ += result.workload.unknown;
     accepted_changes_ += result.workload.accepted;
     conflicting_changes_ += result.workload.conflicts;
-    checks_ += result.checks;
+    total_checks_ += result.checks;
     for (const auto& [fault, count] : result.faults) {
       fault_counts_[fault] += count;
     }
@@ -71,15 +71,15 @@
 
   std::atomic<uint64_t> next_seed_{0};
   std::mutex mutex_;
-  uint64_t runs_ = 0;
+  uint64_t total_runs_ = 0;
   uint64_t failed_runs_ = 0;
-  uint64_t requests_ = 0;
+  uint64_t total_requests_ = 0;
   uint64_t ran_requests_ = 0;
   uint64_t not_run_requests_ = 0;
   uint64_t unknown_outcomes_ = 0;
   uint64_t accepted_changes_ = 0;
   uint64_t conflicting_changes_ = 0;
-  uint64_t checks_ = 0;
+  uint64_t total_checks_ = 0;
   std::map<std::string, uint64_t> fault_counts_;
 };
 
--- a/src/settings/change_file.cc
+++ b/src/settings/change_file.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string join(const std::vector<std::string>& items) {
+std::string join_with_commas(const std::vector<std::string>& items) {
   std::string result;
   for (const auto& item : items) {
     result += (result.empty() ? "" : ", ") + item;
@@ -124,14 +124,14 @@
     const auto value = wire::decode<wire::Template>(record.value).value_or(wire::Template());
     add_line("model", value.model);
     add_line("version", value.version);
-    add_line("adapters", join(value.adapters));
+    add_line("adapters", join_with_commas(value.adapters));
     add_line("machines_per_group", std::to_string(value.machines_per_group));
     add_line("repeat", repeat_name(value.repeat));
   } else if (kind == "tenant") {
     const auto value = wire::decode<wire::Tenant>(record.value).value_or(wire::Tenant());
     add_line("template", value.template_name);
-    add_line("zones", join(value.zones));
-    add_line("adapters", join(value.adapters));
+    add_line("zones", join_with_commas(value.zones));
+    add_line("adapters", join_with_commas(value.adapters));
     add_line("share_percent", std::to_string(value.share_percent));
     add_line("max_concurrent", std::to_string(value.max_concurrent));
     add_line("priority", std::to_string(value.priority));
@@ -141,8 +141,8 @@
   } else if (kind == "service") {
     const auto value = wire::decode<wire::Service>(record.value).value_or(wire::Service());
     add_line("path_prefix", value.path_prefix);
-    add_line("endpoints", join(value.endpoints));
-    add_line("zones", join(value.zones));
+    add_line("endpoints", join_with_commas(value.endpoints));
+    add_line("zones", join_with_commas(value.zones));
   } else if (kind == "parameter") {
     const auto value = wire::decode<wire::FleetParameters>(record.value).value_or(wire::FleetParameters());
     add_line("placement_policy", value.placement_policy);
--- a/tests/unit/platform_template_test.cc
+++ b/tests/unit/platform_template_test.cc
@@ -13,7 +13,7 @@
 /// Values of the platform's deployment fields by dotted name.
 using PlatformFields = std::map<std::string, std::string>;
 
-PlatformFields control_fields() {
+PlatformFields sample_platform_fields() {
   return {{"node_name", "core-1"},
           {"zone", "north"},
           {"ip", "10.0.0.1"},
@@ -90,9 +90,9 @@
 //   [bounds] stall = 'ms': not a time above 0; write a number with its unit, for example 2500ms or 2.5s
 TEST(PlatformTemplates, FieldsWithDefaultsAreOptional) {
   for (const std::string file : {"control.ini", "entry.ini"}) {
-    EXPECT_EQ(settings_errors(render_template(file, control_fields())), "") << file;
-    for (const auto& [field, value] : control_fields()) {
-      PlatformFields fields = control_fields();
+    EXPECT_EQ(settings_errors(render_template(file, sample_platform_fields())), "") << file;
+    for (const auto& [field, value] : sample_platform_fields()) {
+      PlatformFields fields = sample_platform_fields();
       fields.erase(field);
       if (!is_required_field(field)) {
         EXPECT_EQ(settings_errors(render_template(file, fields)), "") << file << " without " << field;
@@ -103,7 +103,7 @@
 
 TEST(PlatformTemplates, ToleratedLossesDefaultToMinorityOfSeeds) {
   std::vector<std::string> errors;
-  PlatformFields fields = control_fields();
+  PlatformFields fields = sample_platform_fields();
   fields.erase("fault_tolerance.machines");
   const auto settings = parse_fleet_settings(render_template("control.ini", fields), errors);
   ASSERT_TRUE(settings);
@@ -112,7 +112,7 @@
 
 TEST(PlatformTemplates, GivenFieldsSetTheirSettings) {
   std::vector<std::string> errors;
-  PlatformFields fields = control_fields();
+  PlatformFields fields = sample_platform_fields();
   fields["bounds.revoke_ms"] = "6000";
   fields["bounds.evacuate_ms"] = "9000";
   fields["bounds.stall_ms"] = "7000";
@@ -126,7 +126,7 @@
 
 TEST(PlatformTemplates, ShorterBoundDeterminesLease) {
   std::vector<std::string> errors;
-  PlatformFields fields = control_fields();
+  PlatformFields fields = sample_platform_fields();
   fields["bounds.evacuate_ms"] = "3000";
   const auto settings = parse_fleet_settings(render_template("entry.ini", fields), errors);
   ASSERT_TRUE(settings) << errors.front();
