--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -121,7 +121,7 @@
   storage::FileSystem file_system;
   storage::StorageError error;
   {
-    auto data_folder = storage::DataFolder::open(folder, file_system, error);
+    auto replica_folder = storage::DataFolder::open(folder, file_system, error);
     consensus::RaftOutput output;
     for (int64_t index = 1; index <= 100'000; ++index) {
       wire::Command command;
@@ -136,11 +136,11 @@
       entry.payload = wire::encode(command);
       output.entries.push_back(std::move(entry));
     }
-    data_folder->write({&output});
+    replica_folder->write({&output});
   }
   const auto started_at = Clock::now();
-  auto data_folder = storage::DataFolder::open(folder, file_system, error);
-  auto recovered = data_folder->take_recovered();
+  auto replica_folder = storage::DataFolder::open(folder, file_system, error);
+  auto recovered = replica_folder->take_recovered();
   control::ControlState state;
   for (const auto& entry : recovered.entries) {
     state.apply(entry.index, *wire::decode<wire::Command>(entry.payload));
@@ -156,7 +156,7 @@
   constexpr int kBatchCount = 200;
   storage::FileSystem file_system;
   storage::StorageError error;
-  auto data_folder = storage::DataFolder::open(folder, file_system, error);
+  auto replica_folder = storage::DataFolder::open(folder, file_system, error);
   control::ControlState state;
   size_t bytes = 0;
   double cpu_ms = 0;
@@ -185,7 +185,7 @@
     state.apply(batch, *wire::decode<wire::Command>(entry.payload));
     output.entries.push_back(std::move(entry));
     cpu_ms += elapsed_ms(batch_started_at);
-    data_folder->write({&output});
+    replica_folder->write({&output});
   }
   const double claim_count = kClaimsPerBatch * kBatchCount;
   std::cout << "    a claim in batches of " << kClaimsPerBatch << ": " << static_cast<double>(bytes) / claim_count
