--- a/src/cli/bench_command.cc
+++ b/src/cli/bench_command.cc
@@ -55,7 +55,7 @@
 /// Routing decision over ninety groups.
 void bench_routing() {
   constexpr int kGroups = 90;
-  const auto records = simulation::routing_records(kGroups);
+  const auto records = simulation::make_routing_records(kGroups);
   std::vector<wire::GroupLease> leases;
   for (int64_t id = 1; id <= kGroups; ++id) {
     wire::GroupLease lease;
@@ -82,7 +82,7 @@
 
 /// Planning pass over 1,400 machines.
 void bench_planning() {
-  const auto deployment = simulation::uniform_deployment(9, 1400, 15);
+  const auto deployment = simulation::make_uniform_deployment(9, 1400, 15);
   std::map<std::string, wire::Machine> machines;
   std::map<int64_t, wire::Group> groups;
   placement::PlanningInput input{machines, groups, {}, {}, {}, {}};
@@ -305,7 +305,7 @@
     Side() : back_context(1), call_context(1) {
       std::vector<std::string> faults;
       fleet = std::make_unique<emulator::EmulatedFleet>(back_context.get_executor(),
-                                                        *emulator::parse_fleet_settings(kBackEnds, faults));
+                                                        *emulator::parse_emulated_fleet_settings(kBackEnds, faults));
     }
     ~Side() {
       back_context.stop();
--- a/src/cli/demo_command.cc
+++ b/src/cli/demo_command.cc
@@ -133,7 +133,7 @@
 
   bool start(std::string& error) {
     std::vector<std::string> faults;
-    auto fleet = emulator::parse_fleet_settings(kFleetText, faults);
+    auto fleet = emulator::parse_emulated_fleet_settings(kFleetText, faults);
     fleet_ = std::make_unique<emulator::EmulatedFleet>(context_.get_executor(), std::move(*fleet));
     if (!fleet_->start(error)) {
       return false;
--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -15,8 +15,8 @@
 constexpr size_t kFaultsShown = 20;
 
 void print_report(const load::LoadReport& report) {
-  std::cout << "requests " << report.requests << "  sendings " << report.sendings << "  answered " << report.answered
-            << "  without answer " << report.lost << "  told not-run " << report.not_run << "  told unknown "
+  std::cout << "requests " << report.requests << "  sendings " << report.attempts << "  answered " << report.answered
+            << "  without answer " << report.gave_up << "  told not-run " << report.not_run << "  told unknown "
             << report.unknown << "\nrate " << static_cast<double>(report.answered) / report.seconds
             << " /s  latency ms p50 " << load::percentile(report.latency_ms, 50) << " p95 "
             << load::percentile(report.latency_ms, 95) << " p99 " << load::percentile(report.latency_ms, 99)
@@ -33,8 +33,8 @@
   options.tenants = settings::split_list(FLAGS_tenants);
   options.model = FLAGS_model;
   options.service_path = FLAGS_service_path;
-  options.callers = FLAGS_callers;
-  options.requests = static_cast<uint64_t>(FLAGS_requests);
+  options.caller_count = FLAGS_callers;
+  options.request_count = static_cast<uint64_t>(FLAGS_requests);
   options.seed = static_cast<uint64_t>(FLAGS_first_seed);
   if (options.nodes.empty() || options.tenants.empty()) {
     std::cerr << "larchlever: name the nodes with --targets and the tenants with --tenants\n";
@@ -69,7 +69,7 @@
     std::cerr << "larchlever: " << error << "\n";
     return kExitUnreachable;
   }
-  const auto faults = load::check_history(generator.history(), executions);
+  const auto faults = load::find_history_faults(generator.history(), executions);
   std::cout << "history " << generator.history().size() << " sendings against " << executions.size()
             << " executions: " << faults.size() << " faults\n";
   for (size_t shown = 0; shown < faults.size() && shown < kFaultsShown; ++shown) {
--- a/src/cli/serve_commands.cc
+++ b/src/cli/serve_commands.cc
@@ -290,7 +290,7 @@
 int run_emulate() {
   std::vector<std::string> faults;
   const auto text = read_settings();
-  const auto parsed = text ? emulator::parse_fleet_settings(*text, faults) : std::nullopt;
+  const auto parsed = text ? emulator::parse_emulated_fleet_settings(*text, faults) : std::nullopt;
   print_faults(faults);
   if (!parsed) {
     return kExitInvalid;
--- a/src/cli/simulate_command.cc
+++ b/src/cli/simulate_command.cc
@@ -49,7 +49,7 @@
   }
 
  private:
-  void note(const simulation::RunResult& result) {
+  void note(const simulation::SimulationResult& result) {
     const std::lock_guard lock(mutex_);
     ++runs_;
     requests_ += result.workload.requests;
@@ -92,16 +92,16 @@
     return kExitInvalid;
   }
   const auto rows = simulation::run_experiment(*experiment);
-  std::cout << simulation::experiment_csv(rows);
+  std::cout << simulation::format_experiment_csv(rows);
   if (!FLAGS_out.empty()) {
     const std::filesystem::path folder = FLAGS_out;
     std::filesystem::create_directories(folder);
-    std::ofstream(folder / (experiment->name + ".csv")) << simulation::experiment_csv(rows);
-    std::ofstream(folder / (experiment->name + ".json")) << simulation::experiment_json(*experiment, rows);
+    std::ofstream(folder / (experiment->name + ".csv")) << simulation::format_experiment_csv(rows);
+    std::ofstream(folder / (experiment->name + ".json")) << simulation::format_experiment_json(*experiment, rows);
     for (const auto& [measure, spread] : rows.front().measures) {
       if (measure != "violations") {
         std::ofstream(folder / (experiment->name + "-" + measure + ".svg"))
-            << simulation::experiment_svg(*experiment, rows, measure);
+            << simulation::format_experiment_svg(*experiment, rows, measure);
       }
     }
   }
@@ -121,7 +121,7 @@
     results.push_back(simulation::run_scale(nodes, machines, zones, 10));
     std::cerr << "measured " << nodes << " nodes\n";
   }
-  std::cout << simulation::scale_csv(results);
+  std::cout << simulation::format_scale_csv(results);
   return kExitDone;
 }
 
--- a/src/emulator/emulated_fleet.cc
+++ b/src/emulator/emulated_fleet.cc
@@ -9,8 +9,9 @@
 
 namespace {
 
-void read_zone(const std::string& zone, const settings::IniDocument::Section& section, const std::string& address,
-               int64_t& next_port, FleetSettings& fleet, std::vector<std::string>& errors) {
+void read_zone_section(const std::string& zone, const settings::IniDocument::Section& section,
+                       const std::string& address, int64_t& next_port, EmulatedFleetSettings& fleet,
+                       std::vector<std::string>& errors) {
   settings::SectionReader reader(section.name, &section, errors);
   const int64_t domains = reader.integer("domains", 1, 1, 1000);
   const int64_t machines = reader.integer("machines_per_domain", 8, 1, 1000);
@@ -18,11 +19,11 @@
   const std::string kind = reader.choice("kind", "fenced", {"fenced", "basic"});
   const int64_t lag = reader.integer("load_report_lag_ms", 300, 0, 60'000);
   EngineModelOptions engine;
-  engine.most_running = static_cast<size_t>(reader.integer("most_running", 64, 1, 4096));
-  engine.step_base = microseconds(reader.integer("step_us", 12'000, 1, 10'000'000));
-  engine.step_per_sequence = microseconds(reader.integer("step_per_sequence_us", 150, 0, 1'000'000));
-  engine.prefill_per_token = microseconds(reader.integer("prefill_per_token_us", 50, 0, 1'000'000));
-  engine.cache_blocks = static_cast<size_t>(reader.integer("cache_blocks", 4096, 1, 10'000'000));
+  engine.max_running_requests = static_cast<size_t>(reader.integer("most_running", 64, 1, 4096));
+  engine.step_base_time = microseconds(reader.integer("step_us", 12'000, 1, 10'000'000));
+  engine.step_time_per_sequence = microseconds(reader.integer("step_per_sequence_us", 150, 0, 1'000'000));
+  engine.prefill_time_per_token = microseconds(reader.integer("prefill_per_token_us", 50, 0, 1'000'000));
+  engine.max_cached_blocks = static_cast<size_t>(reader.integer("cache_blocks", 4096, 1, 10'000'000));
   reader.finish();
   for (int64_t domain = 0; domain < domains; ++domain) {
     for (int64_t machine = 0; machine < machines; ++machine) {
@@ -43,8 +44,8 @@
   }
 }
 
-void read_service(const std::string& name, const settings::IniDocument::Section& section, FleetSettings& fleet,
-                  std::vector<std::string>& errors) {
+void read_service_section(const std::string& name, const settings::IniDocument::Section& section,
+                          EmulatedFleetSettings& fleet, std::vector<std::string>& errors) {
   settings::SectionReader reader(section.name, &section, errors);
   EmulatedService service;
   service.name = name;
@@ -58,55 +59,57 @@
 
 }  // namespace
 
-std::optional<FleetSettings> parse_fleet_settings(const std::string& text, std::vector<std::string>& errors) {
-  const size_t faults_before = errors.size();
+std::optional<EmulatedFleetSettings> parse_emulated_fleet_settings(const std::string& text,
+                                                                   std::vector<std::string>& errors) {
+  const size_t error_count_before = errors.size();
   const auto document = settings::IniDocument::parse(text, errors);
-  FleetSettings fleet;
+  EmulatedFleetSettings fleet;
   settings::SectionReader reader("fleet", document.find("fleet"), errors);
   fleet.address = reader.text("address", fleet.address);
   fleet.membership_port = static_cast<uint16_t>(reader.integer("membership_port", 0, 0, 65535));
   fleet.membership_lag = std::chrono::milliseconds(reader.integer("membership_lag_ms", 2000, 0, 600'000));
   fleet.weight_store_port = static_cast<uint16_t>(reader.integer("weight_store_port", 0, 0, 65535));
-  fleet.weight_store.transfers_at_once = static_cast<int>(reader.integer("weight_transfers_at_once", 8, 1, 10'000));
+  fleet.weight_store.max_concurrent_transfers =
+      static_cast<int>(reader.integer("weight_transfers_at_once", 8, 1, 10'000));
   fleet.weight_store.transfer_time = std::chrono::milliseconds(reader.integer("weight_transfer_ms", 400, 0, 600'000));
   int64_t next_port = reader.integer("machine_port_base", 0, 0, 65535);
   reader.finish();
   for (const auto& section : document.sections()) {
     if (section.name.starts_with("zone ")) {
-      read_zone(section.name.substr(5), section, fleet.address, next_port, fleet, errors);
+      read_zone_section(section.name.substr(5), section, fleet.address, next_port, fleet, errors);
     } else if (section.name.starts_with("service ")) {
-      read_service(section.name.substr(8), section, fleet, errors);
+      read_service_section(section.name.substr(8), section, fleet, errors);
     } else if (section.name != "fleet") {
       errors.push_back("[" + section.name + "]: unknown section; use [fleet], [zone NAME] or [service NAME]");
     }
   }
-  return errors.size() > faults_before ? std::nullopt : std::optional(std::move(fleet));
+  return errors.size() > error_count_before ? std::nullopt : std::optional(std::move(fleet));
 }
 
-EmulatedFleet::EmulatedFleet(asio::any_io_executor executor, FleetSettings settings)
-    : executor_(executor), settings_(std::move(settings)), store_(executor, settings_.weight_store) {}
+EmulatedFleet::EmulatedFleet(asio::any_io_executor executor, EmulatedFleetSettings settings)
+    : executor_(executor), settings_(std::move(settings)), weight_store_(executor, settings_.weight_store) {}
 
 bool EmulatedFleet::start(std::string& error) {
-  servers_.push_back(std::make_unique<net::HttpServer>(executor_, net::HttpServerOptions(), store_));
+  servers_.push_back(std::make_unique<net::HttpServer>(executor_, net::HttpServerOptions(), weight_store_));
   const auto store_port = servers_.back()->listen(settings_.address, settings_.weight_store_port, error);
   if (!store_port) {
     return false;
   }
-  const std::string store = settings_.address + ":" + std::to_string(*store_port);
+  const std::string weight_store_endpoint = settings_.address + ":" + std::to_string(*store_port);
   for (auto& options : settings_.machines) {
-    options.weight_store = store;
+    options.weight_store = weight_store_endpoint;
     machines_.push_back(std::make_unique<EmulatedMachine>(executor_, options, log_,
-                                                          [this](const std::string& id) { return find(id); }));
+                                                          [this](const std::string& id) { return find_machine(id); }));
     if (!machines_.back()->start(error)) {
       return false;
     }
-    listed_[options.id] = Listed{options.id, false, false};
+    membership_listings_[options.id] = MembershipListing{options.id, false, false};
   }
   for (const auto& service : settings_.services) {
-    for (const uint16_t wanted : service.ports) {
+    for (const uint16_t configured_port : service.ports) {
       services_.push_back(std::make_unique<PlainService>(executor_, service.name, service.zone, log_));
       servers_.push_back(std::make_unique<net::HttpServer>(executor_, net::HttpServerOptions(), *services_.back()));
-      const auto port = servers_.back()->listen(settings_.address, wanted, error);
+      const auto port = servers_.back()->listen(settings_.address, configured_port, error);
       if (!port) {
         return false;
       }
@@ -128,7 +131,7 @@
   return found == service_endpoints_.end() ? std::vector<std::string>() : found->second;
 }
 
-EmulatedMachine* EmulatedFleet::find(const std::string& id) {
+EmulatedMachine* EmulatedFleet::find_machine(const std::string& id) {
   for (const auto& machine : machines_) {
     if (machine->options().id == id) {
       return machine.get();
@@ -137,11 +140,11 @@
   return nullptr;
 }
 
-std::string EmulatedFleet::member_list() const {
+std::string EmulatedFleet::membership_json() const {
   json::array members;
   for (const auto& machine : machines_) {
-    const auto& listed = listed_.at(machine->options().id);
-    if (listed.gone) {
+    const auto& listing = membership_listings_.at(machine->options().id);
+    if (listing.is_removed) {
       continue;
     }
     const auto& options = machine->options();
@@ -151,15 +154,15 @@
                                    {"domain", options.domain},
                                    {"accelerators", options.accelerators},
                                    {"kind", options.kind},
-                                   {"state", listed.leaving ? "leaving" : "live"}});
+                                   {"state", listing.leaving ? "leaving" : "live"}});
   }
   return json::serialize(json::object{{"members", members}});
 }
 
-std::string EmulatedFleet::log_as_json(size_t from) const {
+std::string EmulatedFleet::execution_log_json(size_t first_position) const {
   json::array list;
-  const auto& all = log_.all();
-  for (size_t position = from; position < all.size(); ++position) {
+  const auto& all = log_.executions();
+  for (size_t position = first_position; position < all.size(); ++position) {
     const auto& item = all[position];
     list.push_back(json::object{{"request", item.request_id},
                                 {"key", item.key},
@@ -168,30 +171,30 @@
                                 {"tenant", item.tenant},
                                 {"tag", item.tag},
                                 {"started_ms", item.started_ms},
-                                {"produced", item.produced},
+                                {"produced", item.produced_tokens},
                                 {"completed", item.completed}});
   }
   return json::serialize(json::object{{"executions", list}});
 }
 
-void EmulatedFleet::publish_later(const std::string& machine, bool leaving, bool gone) {
+void EmulatedFleet::publish_after_lag(const std::string& machine, bool leaving, bool is_removed) {
   auto timer = std::make_shared<asio::steady_timer>(executor_, settings_.membership_lag);
-  timer->async_wait([this, timer, machine, leaving, gone](boost::system::error_code error) {
+  timer->async_wait([this, timer, machine, leaving, is_removed](boost::system::error_code error) {
     if (!error) {
-      listed_[machine].leaving = leaving;
-      listed_[machine].gone = gone;
+      membership_listings_[machine].leaving = leaving;
+      membership_listings_[machine].is_removed = is_removed;
     }
   });
 }
 
-bool EmulatedFleet::fault(const std::string& id, const std::string& action) {
-  auto* machine = find(id);
+bool EmulatedFleet::inject_fault(const std::string& id, const std::string& action) {
+  auto* machine = find_machine(id);
   if (machine == nullptr) {
     return false;
   }
   if (action == "die") {
     machine->die();
-    publish_later(id, false, true);
+    publish_after_lag(id, false, true);
   } else if (action == "pause") {
     machine->pause();
   } else if (action == "resume") {
@@ -199,10 +202,10 @@
   } else if (action == "return") {
     std::string error;
     machine->die();
-    publish_later(id, false, false);
+    publish_after_lag(id, false, false);
     return machine->start(error);
   } else if (action == "leave") {
-    publish_later(id, true, false);
+    publish_after_lag(id, true, false);
   } else {
     return false;
   }
@@ -215,11 +218,13 @@
   net::HttpResponse response;
   response.headers.add("Content-Type", "application/json");
   if (path == "/members") {
-    response.body = member_list();
+    response.body = membership_json();
   } else if (path == "/emulator/log") {
-    response.body = log_as_json(static_cast<size_t>(std::atoll(query_parameter(request.target, "from").c_str())));
+    response.body =
+        execution_log_json(static_cast<size_t>(std::atoll(query_parameter(request.target, "from").c_str())));
   } else if (path == "/emulator/fault" && request.method == "POST") {
-    const bool done = fault(query_parameter(request.target, "machine"), query_parameter(request.target, "action"));
+    const bool done =
+        inject_fault(query_parameter(request.target, "machine"), query_parameter(request.target, "action"));
     response.status = done ? 200 : 400;
     response.body = done ? "{}" : R"({"error":"unknown machine or action"})";
   } else {
--- a/src/emulator/emulated_fleet.h
+++ b/src/emulator/emulated_fleet.h
@@ -21,7 +21,7 @@
 };
 
 /// What to stand in for; read from an INI file.
-struct FleetSettings {
+struct EmulatedFleetSettings {
   std::string address = "127.0.0.1";
   uint16_t membership_port = 0;
   std::chrono::milliseconds membership_lag{2000};
@@ -31,46 +31,47 @@
   std::vector<EmulatedService> services;
 };
 
-std::optional<FleetSettings> parse_fleet_settings(const std::string& text, std::vector<std::string>& errors);
+std::optional<EmulatedFleetSettings> parse_emulated_fleet_settings(const std::string& text,
+                                                                   std::vector<std::string>& errors);
 
 /// All stand-ins of one process: engines' machines, plain services, weight store, membership list. The membership port
 /// also takes faults (POST /emulator/fault?machine=ID&action=die|pause|resume|return|leave) and serves the execution
 /// log (GET /emulator/log), which belongs to the test bench and not to any published protocol.
 class EmulatedFleet : public net::HttpHandler {
  public:
-  EmulatedFleet(boost::asio::any_io_executor executor, FleetSettings settings);
+  EmulatedFleet(boost::asio::any_io_executor executor, EmulatedFleetSettings settings);
 
   bool start(std::string& error);
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
   /// Applies a fault; false for an unknown machine or action.
-  bool fault(const std::string& machine, const std::string& action);
+  bool inject_fault(const std::string& machine, const std::string& action);
 
   std::string membership_endpoint() const;
   std::vector<std::string> service_endpoints(const std::string& name) const;
   const ExecutionLog& log() const { return log_; }
-  EmulatedMachine* find(const std::string& id);
+  EmulatedMachine* find_machine(const std::string& id);
   const std::vector<std::unique_ptr<EmulatedMachine>>& machines() const { return machines_; }
 
  private:
-  struct Listed {
+  struct MembershipListing {
     std::string id;
     bool leaving = false;
-    bool gone = false;
+    bool is_removed = false;
   };
 
-  std::string member_list() const;
-  std::string log_as_json(size_t from) const;
-  void publish_later(const std::string& machine, bool leaving, bool gone);
+  std::string membership_json() const;
+  std::string execution_log_json(size_t first_position) const;
+  void publish_after_lag(const std::string& machine, bool leaving, bool is_removed);
 
   boost::asio::any_io_executor executor_;
-  FleetSettings settings_;
+  EmulatedFleetSettings settings_;
   ExecutionLog log_;
-  WeightStore store_;
+  WeightStore weight_store_;
   std::vector<std::unique_ptr<EmulatedMachine>> machines_;
   std::vector<std::unique_ptr<PlainService>> services_;
   std::map<std::string, std::vector<std::string>> service_endpoints_;
   std::vector<std::unique_ptr<net::HttpServer>> servers_;
-  std::map<std::string, Listed> listed_;
+  std::map<std::string, MembershipListing> membership_listings_;
   uint16_t membership_port_ = 0;
 };
 
--- a/src/emulator/emulated_machine.h
+++ b/src/emulator/emulated_machine.h
@@ -43,9 +43,10 @@
 /// nothing, and a dead member ends its streams. One executor; not thread-safe.
 class EmulatedMachine : public net::HttpHandler {
  public:
-  using Lookup = std::function<EmulatedMachine*(const std::string&)>;
+  using FindMachine = std::function<EmulatedMachine*(const std::string&)>;
 
-  EmulatedMachine(boost::asio::any_io_executor executor, MachineOptions options, ExecutionLog& log, Lookup lookup);
+  EmulatedMachine(boost::asio::any_io_executor executor, MachineOptions options, ExecutionLog& log,
+                  FindMachine find_machine);
   ~EmulatedMachine() override;
 
   /// Starts (again): a new incarnation that holds nothing.
@@ -66,30 +67,30 @@
   bool loaded() const { return loaded_; }
 
  private:
-  struct Stream {
-    std::deque<TokenProduced> tokens;
-    boost::asio::steady_timer wake;
+  struct ResponseStream {
+    std::deque<OutputToken> tokens;
+    boost::asio::steady_timer wake_timer;
     bool failed = false;
-    explicit Stream(const boost::asio::any_io_executor& executor) : wake(executor) {}
+    explicit ResponseStream(const boost::asio::any_io_executor& executor) : wake_timer(executor) {}
   };
 
-  boost::asio::awaitable<void> answer_state(net::HttpExchange& exchange);
-  boost::asio::awaitable<void> answer_order(net::HttpExchange& exchange);
-  boost::asio::awaitable<void> answer_generate(net::HttpExchange& exchange);
-  boost::asio::awaitable<void> answer_cache_events(net::HttpExchange& exchange);
-  boost::asio::awaitable<void> answer_kv(net::HttpExchange& exchange, bool import);
+  boost::asio::awaitable<void> handle_state_request(net::HttpExchange& exchange);
+  boost::asio::awaitable<void> handle_order(net::HttpExchange& exchange);
+  boost::asio::awaitable<void> handle_completion_request(net::HttpExchange& exchange);
+  boost::asio::awaitable<void> handle_cache_events_request(net::HttpExchange& exchange);
+  boost::asio::awaitable<void> handle_kv_transfer(net::HttpExchange& exchange, bool is_import);
   boost::asio::awaitable<void> load_weights(int64_t incarnation, int64_t epoch);
   boost::asio::awaitable<void> run_engine();
   boost::asio::awaitable<void> wait_while_paused();
-  bool replica_is_whole() const;
-  bool replica_is_broken() const;
+  bool all_members_ready() const;
+  bool any_member_lost() const;
   void fail_streams();
   void sample_load();
 
   boost::asio::any_io_executor executor_;
   MachineOptions options_;
   ExecutionLog& log_;
-  Lookup lookup_;
+  FindMachine find_machine_;
   net::HttpClient client_;
   std::unique_ptr<net::HttpServer> server_;
   MachineCondition condition_ = MachineCondition::kDead;
@@ -101,13 +102,13 @@
   int rank_ = 0;
   bool loaded_ = false;
   std::string weights_;
-  std::string wanted_weights_;
+  std::string target_weights_;
   std::vector<std::string> members_;
   EngineModel engine_;
-  std::map<uint64_t, std::shared_ptr<Stream>> streams_;
+  std::map<uint64_t, std::shared_ptr<ResponseStream>> streams_;
   uint64_t next_stream_ = 1;
   std::deque<std::pair<std::chrono::steady_clock::time_point, int>> load_samples_;
-  std::shared_ptr<bool> alive_token_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> lifetime_token_ = std::make_shared<bool>(true);
 };
 
 }  // namespace larchlever::emulator
--- a/src/emulator/engine_model.h
+++ b/src/emulator/engine_model.h
@@ -14,12 +14,12 @@
 
 /// Speed and size of a modelled replica.
 struct EngineModelOptions {
-  size_t most_running = 64;
-  Duration step_base = milliseconds(12);
-  Duration step_per_sequence = microseconds(150);
+  size_t max_running_requests = 64;
+  Duration step_base_time = milliseconds(12);
+  Duration step_time_per_sequence = microseconds(150);
   /// Time to compute one prompt token that is not in the cache.
-  Duration prefill_per_token = microseconds(50);
-  size_t cache_blocks = 4096;
+  Duration prefill_time_per_token = microseconds(50);
+  size_t max_cached_blocks = 4096;
   int tokens_per_block = 16;
 };
 
@@ -28,15 +28,15 @@
   int priority = 5;  ///< Higher runs first.
   int prompt_tokens = 0;
   int output_tokens = 0;
-  int first_offset = 0;  ///< Tokens before it are not produced again: a resumed stream.
+  int first_output_offset = 0;  ///< Tokens before it are not produced again: a resumed stream.
   /// Chained hashes of the prompt's leading blocks.
   std::vector<uint64_t> prefix_blocks;
 };
 
-struct TokenProduced {
+struct OutputToken {
   uint64_t request = 0;
   int offset = 0;
-  bool last = false;
+  bool is_last = false;
 };
 
 struct CacheEvent {
@@ -56,39 +56,39 @@
   /// Stops a request wherever it is; false when unknown.
   bool cancel(uint64_t id);
   /// Runs all steps that end by `now`; tokens in the order produced.
-  std::vector<TokenProduced> advance(TimePoint now);
+  std::vector<OutputToken> advance(TimePoint now);
   /// When the step under way ends; nothing while idle.
   std::optional<TimePoint> next_step_end() const;
 
-  size_t running() const { return running_.size(); }
-  size_t waiting() const { return waiting_.size(); }
+  size_t running_count() const { return running_requests_.size(); }
+  size_t waiting_count() const { return waiting_requests_.size(); }
   uint64_t cached_prompt_tokens() const { return cached_prompt_tokens_; }
   uint64_t total_prompt_tokens() const { return total_prompt_tokens_; }
 
   /// Cache changes after `since`; `oldest` is the first sequence still held: a gap if it exceeds since + 1.
-  std::vector<CacheEvent> cache_events(int64_t since, int64_t& oldest) const;
+  std::vector<CacheEvent> cache_events(int64_t after_sequence, int64_t& oldest_sequence) const;
   std::vector<uint64_t> cached_blocks() const;
   void import_blocks(const std::vector<uint64_t>& blocks);
   void clear();
 
  private:
-  struct Running {
+  struct RunningRequest {
     EngineRequest request;
     int next_offset = 0;
   };
 
   void start_step(TimePoint now);
   int cached_prefix_tokens(const EngineRequest& request);
-  void touch(uint64_t block);
+  void mark_block_used(uint64_t block);
 
   EngineModelOptions options_;
-  std::vector<Running> running_;
-  std::multimap<int, EngineRequest, std::greater<>> waiting_;
+  std::vector<RunningRequest> running_requests_;
+  std::multimap<int, EngineRequest, std::greater<>> waiting_requests_;
   std::optional<TimePoint> step_end_;
-  std::list<uint64_t> recency_;
-  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> blocks_;
-  std::vector<CacheEvent> events_;
-  int64_t next_event_ = 1;
+  std::list<uint64_t> blocks_by_recency_;
+  std::unordered_map<uint64_t, std::list<uint64_t>::iterator> block_positions_;
+  std::vector<CacheEvent> cache_events_;
+  int64_t next_event_sequence_ = 1;
   uint64_t cached_prompt_tokens_ = 0;
   uint64_t total_prompt_tokens_ = 0;
 };
--- a/src/emulator/plain_service.cc
+++ b/src/emulator/plain_service.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr size_t kLongestTag = 128;
+constexpr size_t kMaxTagBytes = 128;
 
 }  // namespace
 
@@ -39,8 +39,8 @@
   execution.zone = zone_;
   const auto path = request.path();
   execution.tag =
-      request.body.empty() ? std::string(path.substr(path.rfind('/') + 1)) : request.body.substr(0, kLongestTag);
-  const size_t position = log_.start(std::move(execution));
+      request.body.empty() ? std::string(path.substr(path.rfind('/') + 1)) : request.body.substr(0, kMaxTagBytes);
+  const size_t position = log_.record_start(std::move(execution));
   const std::string delay = query_parameter(request.target, "delay_ms");
   if (!delay.empty()) {
     asio::steady_timer timer(executor_, std::chrono::milliseconds(std::atoi(delay.c_str())));
@@ -58,7 +58,7 @@
   body["received_bytes"] = request.body.size();
   body["echo"] = request.body.substr(0, 1024);
   response.body = boost::json::serialize(body);
-  log_.completed(position);
+  log_.record_completion(position);
   if (!query_parameter(request.target, "cut").empty()) {
     if (co_await exchange.begin_stream(response)) {
       co_await exchange.write_piece(response.body.substr(0, response.body.size() / 2));
--- a/src/emulator/prompt_text.cc
+++ b/src/emulator/prompt_text.cc
@@ -15,17 +15,17 @@
 
 }  // namespace
 
-int count_tokens(std::string_view text) {
+int estimate_token_count(std::string_view text) {
   return static_cast<int>((text.size() + kBytesPerToken - 1) / kBytesPerToken);
 }
 
-std::vector<uint64_t> prefix_blocks(std::string_view prompt, int tokens_per_block) {
+std::vector<uint64_t> hash_prefix_blocks(std::string_view prompt, int tokens_per_block) {
   const size_t block_bytes = static_cast<size_t>(tokens_per_block) * kBytesPerToken;
   std::vector<uint64_t> hashes;
-  uint64_t chain = 0;
+  uint64_t chained_hash = 0;
   for (size_t start = 0; start + block_bytes <= prompt.size(); start += block_bytes) {
-    chain = XXH3_64bits_withSeed(prompt.data() + start, block_bytes, chain);
-    hashes.push_back(chain);
+    chained_hash = XXH3_64bits_withSeed(prompt.data() + start, block_bytes, chained_hash);
+    hashes.push_back(chained_hash);
   }
   return hashes;
 }
--- a/src/emulator/weight_store.cc
+++ b/src/emulator/weight_store.cc
@@ -16,18 +16,18 @@
     co_await exchange.respond(std::move(response));
     co_return;
   }
-  if (active_ >= options_.transfers_at_once) {
-    ++refused_;
+  if (active_transfers_ >= options_.max_concurrent_transfers) {
+    ++refused_transfers_;
     response.status = 429;
     response.headers.add("Retry-After", "1");
     co_await exchange.respond(std::move(response));
     co_return;
   }
-  ++active_;
-  ++transfers_;
+  ++active_transfers_;
+  ++started_transfers_;
   asio::steady_timer timer(executor_, options_.transfer_time);
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-  --active_;
+  --active_transfers_;
   response.headers.add("Content-Type", "application/octet-stream");
   response.body = "weights";
   co_await exchange.respond(std::move(response));
--- a/src/emulator/weight_store.h
+++ b/src/emulator/weight_store.h
@@ -9,7 +9,7 @@
 namespace larchlever::emulator {
 
 struct WeightStoreOptions {
-  int transfers_at_once = 8;
+  int max_concurrent_transfers = 8;
   std::chrono::milliseconds transfer_time{400};
 };
 
@@ -19,15 +19,15 @@
  public:
   WeightStore(boost::asio::any_io_executor executor, WeightStoreOptions options);
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
-  uint64_t transfers() const { return transfers_; }
-  uint64_t refused() const { return refused_; }
+  uint64_t started_transfers() const { return started_transfers_; }
+  uint64_t refused_transfers() const { return refused_transfers_; }
 
  private:
   boost::asio::any_io_executor executor_;
   WeightStoreOptions options_;
-  int active_ = 0;
-  uint64_t transfers_ = 0;
-  uint64_t refused_ = 0;
+  int active_transfers_ = 0;
+  uint64_t started_transfers_ = 0;
+  uint64_t refused_transfers_ = 0;
 };
 
 }  // namespace larchlever::emulator
--- a/src/load/fault_proxy.cc
+++ b/src/load/fault_proxy.cc
@@ -10,20 +10,21 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kPiece = 16 * 1024;
+constexpr size_t kReadBufferBytes = 16 * 1024;
 
-struct Pair {
-  explicit Pair(const asio::any_io_executor& executor) : dialler(executor), upstream(executor), idle(executor) {}
-  tcp::socket dialler;
+struct ProxiedConnection {
+  explicit ProxiedConnection(const asio::any_io_executor& executor)
+      : client(executor), upstream(executor), duplicate(executor) {}
+  tcp::socket client;
   tcp::socket upstream;
-  tcp::socket idle;
+  tcp::socket duplicate;
   uint64_t sent_upstream = 0;
   uint64_t sent_downstream = 0;
-  int directions = 2;  ///< How many are still carried.
+  int open_directions = 2;  ///< How many are still carried.
 
   void reset() {
     boost::system::error_code ignored;
-    for (auto* socket : {&dialler, &upstream, &idle}) {
+    for (auto* socket : {&client, &upstream, &duplicate}) {
       socket->set_option(asio::socket_base::linger(true, 0), ignored);
       socket->close(ignored);
     }
@@ -33,66 +34,68 @@
 }  // namespace
 
 struct FaultProxy::Implementation : std::enable_shared_from_this<FaultProxy::Implementation> {
-  explicit Implementation(asio::any_io_executor given) : executor(std::move(given)), acceptor(executor) {}
+  explicit Implementation(asio::any_io_executor given_executor)
+      : executor(std::move(given_executor)), acceptor(executor) {}
 
   asio::awaitable<void> accept_loop();
-  asio::awaitable<void> carry(std::shared_ptr<Pair> pair);
-  asio::awaitable<void> pump(std::shared_ptr<Pair> pair, bool upstream);
+  asio::awaitable<void> relay_connection(std::shared_ptr<ProxiedConnection> connection);
+  asio::awaitable<void> relay_direction(std::shared_ptr<ProxiedConnection> connection, bool upstream);
 
   asio::any_io_executor executor;
   tcp::acceptor acceptor;
-  std::string target;
+  std::string upstream_endpoint;
   ProxyFaults faults;
-  std::set<std::shared_ptr<Pair>> pairs;
+  std::set<std::shared_ptr<ProxiedConnection>> open_connections;
   ProxyStats stats;
 };
 
 asio::awaitable<void> FaultProxy::Implementation::accept_loop() {
   auto self = shared_from_this();
   while (acceptor.is_open()) {
-    auto pair = std::make_shared<Pair>(executor);
-    auto [error] = co_await acceptor.async_accept(pair->dialler, kAwait);
+    auto connection = std::make_shared<ProxiedConnection>(executor);
+    auto [error] = co_await acceptor.async_accept(connection->client, kAwait);
     if (error) {
       co_return;
     }
-    if (faults.refuse || target.empty()) {
-      pair->reset();
+    if (faults.refuse_connections || upstream_endpoint.empty()) {
+      connection->reset();
       continue;
     }
     ++stats.connections;
-    asio::co_spawn(executor, carry(pair), asio::detached);
+    asio::co_spawn(executor, relay_connection(connection), asio::detached);
   }
 }
 
-asio::awaitable<void> FaultProxy::Implementation::carry(std::shared_ptr<Pair> pair) {
+asio::awaitable<void> FaultProxy::Implementation::relay_connection(std::shared_ptr<ProxiedConnection> connection) {
   auto self = shared_from_this();
-  const auto [host, port] = net::split_endpoint(target);
+  const auto [host, port] = net::split_endpoint(upstream_endpoint);
   const tcp::endpoint endpoint(asio::ip::make_address(host), static_cast<uint16_t>(std::stoi(port)));
-  auto [error] = co_await pair->upstream.async_connect(endpoint, kAwait);
+  auto [error] = co_await connection->upstream.async_connect(endpoint, kAwait);
   if (error) {
-    pair->reset();
+    connection->reset();
     co_return;
   }
   if (faults.duplicate_connect) {
-    co_await pair->idle.async_connect(endpoint, kAwait);
+    co_await connection->duplicate.async_connect(endpoint, kAwait);
   }
   boost::system::error_code ignored;
-  pair->dialler.set_option(tcp::no_delay(true), ignored);
-  pair->upstream.set_option(tcp::no_delay(true), ignored);
-  pairs.insert(pair);
-  asio::co_spawn(executor, pump(pair, false), asio::detached);
-  co_await pump(pair, true);
+  connection->client.set_option(tcp::no_delay(true), ignored);
+  connection->upstream.set_option(tcp::no_delay(true), ignored);
+  open_connections.insert(connection);
+  asio::co_spawn(executor, relay_direction(connection, false), asio::detached);
+  co_await relay_direction(connection, true);
 }
 
-asio::awaitable<void> FaultProxy::Implementation::pump(std::shared_ptr<Pair> pair, bool upstream) {
+asio::awaitable<void> FaultProxy::Implementation::relay_direction(std::shared_ptr<ProxiedConnection> connection,
+                                                                  bool upstream) {
   auto self = shared_from_this();
-  auto& from = upstream ? pair->dialler : pair->upstream;
-  auto& to = upstream ? pair->upstream : pair->dialler;
-  uint64_t& sent = upstream ? pair->sent_upstream : pair->sent_downstream;
-  std::string piece(kPiece, '\0');
+  auto& from = upstream ? connection->client : connection->upstream;
+  auto& to = upstream ? connection->upstream : connection->client;
+  uint64_t& sent = upstream ? connection->sent_upstream : connection->sent_downstream;
+  std::string chunk(kReadBufferBytes, '\0');
   asio::steady_timer timer(executor);
   while (true) {
-    auto [error, count] = co_await from.async_read_some(asio::buffer(piece), kAwait);
+    auto [error, received_bytes] = co_await from.async_read_some(asio::buffer(chunk), kAwait);
     if (error) {
       break;
     }
@@ -100,31 +103,32 @@
       timer.expires_after(faults.delay);
       co_await timer.async_wait(kAwait);
     }
-    if (faults.throttle > 0) {
-      timer.expires_after(std::chrono::microseconds(count * 1'000'000 / faults.throttle));
+    if (faults.max_bytes_per_second > 0) {
+      timer.expires_after(std::chrono::microseconds(received_bytes * 1'000'000 / faults.max_bytes_per_second));
       co_await timer.async_wait(kAwait);
     }
     if (upstream ? faults.drop_upstream : faults.drop_downstream) {
-      stats.bytes_dropped += count;
+      stats.bytes_dropped += received_bytes;
       continue;
     }
-    const auto& limit = upstream ? faults.cut_after_upstream_bytes : faults.cut_after_downstream_bytes;
-    const size_t allowed =
-        limit && sent + count > *limit ? static_cast<size_t>(*limit - std::min(*limit, sent)) : count;
-    auto [write_error, written] = co_await asio::async_write(to, asio::buffer(piece.data(), allowed), kAwait);
+    const auto& byte_limit = upstream ? faults.reset_after_upstream_bytes : faults.reset_after_downstream_bytes;
+    const size_t allowed_bytes = byte_limit && sent + received_bytes > *byte_limit
+                                     ? static_cast<size_t>(*byte_limit - std::min(*byte_limit, sent))
+                                     : received_bytes;
+    auto [write_error, written] = co_await asio::async_write(to, asio::buffer(chunk.data(), allowed_bytes), kAwait);
     sent += written;
     (upstream ? stats.bytes_upstream : stats.bytes_downstream) += written;
-    if (write_error || allowed < count) {
+    if (write_error || allowed_bytes < received_bytes) {
       ++stats.resets;
-      pair->reset();
+      connection->reset();
       break;
     }
   }
   // The other direction may still carry an answer: pass the end on, keep the rest open.
   boost::system::error_code ignored;
   to.shutdown(tcp::socket::shutdown_send, ignored);
-  if (--pair->directions == 0) {
-    pairs.erase(pair);
+  if (--connection->open_directions == 0) {
+    open_connections.erase(connection);
   }
 }
 
@@ -147,15 +151,15 @@
   return "127.0.0.1:" + std::to_string(self.acceptor.local_endpoint().port());
 }
 
-void FaultProxy::set_upstream(const std::string& endpoint) { implementation_->target = endpoint; }
+void FaultProxy::set_upstream(const std::string& endpoint) { implementation_->upstream_endpoint = endpoint; }
 
 void FaultProxy::set_faults(const ProxyFaults& faults) { implementation_->faults = faults; }
 
 void FaultProxy::reset_all() {
-  const auto pairs = std::move(implementation_->pairs);
-  implementation_->pairs.clear();
-  for (const auto& pair : pairs) {
-    pair->reset();
+  const auto open_connections = std::move(implementation_->open_connections);
+  implementation_->open_connections.clear();
+  for (const auto& connection : open_connections) {
+    connection->reset();
   }
 }
 
--- a/src/load/fault_proxy.h
+++ b/src/load/fault_proxy.h
@@ -17,12 +17,12 @@
   bool drop_upstream = false;
   bool drop_downstream = false;
   /// New connections are refused.
-  bool refuse = false;
+  bool refuse_connections = false;
   /// The connection is reset once this many bytes went upstream.
-  std::optional<uint64_t> cut_after_upstream_bytes;
-  std::optional<uint64_t> cut_after_downstream_bytes;
+  std::optional<uint64_t> reset_after_upstream_bytes;
+  std::optional<uint64_t> reset_after_downstream_bytes;
   /// Bytes per second each way; zero for no limit.
-  uint64_t throttle = 0;
+  uint64_t max_bytes_per_second = 0;
   /// Every connection is made to the upstream twice; the second one carries nothing.
   bool duplicate_connect = false;
 };
--- a/src/load/history.cc
+++ b/src/load/history.cc
@@ -9,82 +9,83 @@
 namespace {
 
 /// Callers and stand-ins read the same wall clock, rounded to milliseconds.
-constexpr int64_t kClockRounding = 2;
+constexpr int64_t kClockRoundingMs = 2;
 
-std::string name_of(const HistoryRecord& record) {
+std::string describe_request(const AttemptRecord& record) {
   return "request " + record.tag + (record.key.empty() ? "" : " (key " + record.key + ")") + " through " + record.node;
 }
 
 /// The run began within an earlier attempt of this repeatable request whose caller was not told that it had not run.
 /// Nothing ties attempts without a key together, so a node can speak of the attempt at hand alone.
-bool belongs_to_earlier_attempt(const ExecutionRecord& run, const HistoryRecord& record,
-                                const std::vector<HistoryRecord>& history) {
-  if (!record.safe || !record.key.empty()) {
+bool belongs_to_earlier_attempt(const ExecutionRecord& run, const AttemptRecord& record,
+                                const std::vector<AttemptRecord>& history) {
+  if (!record.is_repeatable || !record.key.empty()) {
     return false;
   }
-  return std::any_of(history.begin(), history.end(), [&](const HistoryRecord& other) {
+  return std::any_of(history.begin(), history.end(), [&](const AttemptRecord& other) {
     const bool is_earlier = other.tag == record.tag && other.done_ms <= record.sent_ms;
     const bool spans_run =
-        other.sent_ms <= run.started_ms + kClockRounding && run.started_ms <= other.done_ms + kClockRounding;
+        other.sent_ms <= run.started_ms + kClockRoundingMs && run.started_ms <= other.done_ms + kClockRoundingMs;
     return is_earlier && spans_run && other.outcome != "not-run";
   });
 }
 
 /// Every attempt of a request and every run of it, in order of time: a fault names one of them, and which of the others
 /// explains it is seen only beside them.
-std::string story_of(const std::string& tag, const std::vector<HistoryRecord>& history,
-                     const std::vector<const ExecutionRecord*>& runs) {
-  std::vector<std::pair<int64_t, std::string>> moments;
+std::string describe_timeline(const std::string& tag, const std::vector<AttemptRecord>& history,
+                              const std::vector<const ExecutionRecord*>& runs) {
+  std::vector<std::pair<int64_t, std::string>> timeline_events;
   for (const auto& record : history) {
     if (record.tag != tag) {
       continue;
     }
-    moments.emplace_back(record.sent_ms, "sent to " + record.node + (record.safe ? ", safe" : ", unsafe"));
-    moments.emplace_back(record.done_ms, "answered by " + record.node + ": status " + std::to_string(record.status) +
-                                             ", outcome '" + record.outcome + "'" +
-                                             (record.whole ? ", whole" : ", cut"));
+    timeline_events.emplace_back(record.sent_ms,
+                                 "sent to " + record.node + (record.is_repeatable ? ", safe" : ", unsafe"));
+    timeline_events.emplace_back(record.done_ms, "answered by " + record.node + ": status " +
+                                                     std::to_string(record.status) + ", outcome '" + record.outcome +
+                                                     "'" + (record.is_complete ? ", whole" : ", cut"));
   }
   for (const auto* run : runs) {
-    moments.emplace_back(run->started_ms, "begun on " + run->machine + " as " + run->request_id +
-                                              (run->completed ? ", completed" : ", ended"));
+    timeline_events.emplace_back(run->started_ms, "begun on " + run->machine + " as " + run->request_id +
+                                                      (run->completed ? ", completed" : ", ended"));
   }
-  std::stable_sort(moments.begin(), moments.end(),
+  std::stable_sort(timeline_events.begin(), timeline_events.end(),
                    [](const auto& left, const auto& right) { return left.first < right.first; });
-  std::string story;
-  for (const auto& [at_ms, text] : moments) {
-    story += "\n  " + std::to_string(at_ms) + " ms: " + text;
+  std::string timeline;
+  for (const auto& [at_ms, text] : timeline_events) {
+    timeline += "\n  " + std::to_string(at_ms) + " ms: " + text;
   }
-  return story;
+  return timeline;
 }
 
 }  // namespace
 
-std::vector<std::string> check_history(const std::vector<HistoryRecord>& history,
-                                       const std::vector<ExecutionRecord>& executions, NotRunScope scope) {
+std::vector<std::string> find_history_faults(const std::vector<AttemptRecord>& history,
+                                             const std::vector<ExecutionRecord>& executions, NotRunScope scope) {
   std::vector<std::string> faults;
-  std::map<std::string, std::vector<const ExecutionRecord*>> by_tag;
+  std::map<std::string, std::vector<const ExecutionRecord*>> executions_by_tag;
   for (const auto& execution : executions) {
-    by_tag[execution.tag].push_back(&execution);
+    executions_by_tag[execution.tag].push_back(&execution);
   }
-  std::set<std::string> doubled;
-  std::map<std::string, int64_t> last_sent;
+  std::set<std::string> reported_duplicates;
+  std::map<std::string, int64_t> last_sent_ms;
   for (const auto& record : history) {
-    auto& last = last_sent[record.tag];
+    auto& last = last_sent_ms[record.tag];
     last = std::max(last, record.sent_ms);
   }
   for (const auto& record : history) {
-    const auto& runs = by_tag[record.tag];
-    if (!record.safe && runs.size() > 1 && doubled.insert(record.tag).second) {
-      faults.push_back("doubled: " + name_of(record) + " ran " + std::to_string(runs.size()) + " times, on " +
+    const auto& runs = executions_by_tag[record.tag];
+    if (!record.is_repeatable && runs.size() > 1 && reported_duplicates.insert(record.tag).second) {
+      faults.push_back("doubled: " + describe_request(record) + " ran " + std::to_string(runs.size()) + " times, on " +
                        runs[0]->machine + " and " + runs[1]->machine);
     }
     const bool success = record.status >= 200 && record.status < 300;
-    if (success && record.whole && record.answer != record.expected) {
-      faults.push_back("crossed or truncated: " + name_of(record) + " got '" + record.answer + "' instead of '" +
-                       record.expected + "'");
+    if (success && record.is_complete && record.answer != record.expected) {
+      faults.push_back("crossed or truncated: " + describe_request(record) + " got '" + record.answer +
+                       "' instead of '" + record.expected + "'");
     }
-    if (success && record.whole && runs.empty()) {
-      faults.push_back("invented: " + name_of(record) + " was answered but never ran");
+    if (success && record.is_complete && runs.empty()) {
+      faults.push_back("invented: " + describe_request(record) + " was answered but never ran");
     }
     if (record.outcome != "not-run") {
       continue;
@@ -92,13 +93,16 @@
     for (const auto* run : runs) {
       // Later sendings of the same request may run it; what had started when the caller was told may not exist, nor
       // may anything start when no sending followed.
-      const bool before = run->started_ms + kClockRounding < record.done_ms && run->started_ms >= record.sent_ms;
-      const bool is_excused = scope == NotRunScope::kAttempt && belongs_to_earlier_attempt(*run, record, history);
-      const bool earlier = run->started_ms < record.sent_ms && !is_excused;
-      const bool after_the_last = record.sent_ms == last_sent[record.tag] && run->started_ms > record.done_ms;
-      if (before || earlier || after_the_last) {
-        faults.push_back("false not-run: " + name_of(record) + " ran on " + run->machine +
-                         story_of(record.tag, history, runs));
+      const bool ran_before_response =
+          run->started_ms + kClockRoundingMs < record.done_ms && run->started_ms >= record.sent_ms;
+      const bool is_earlier_attempt_run =
+          scope == NotRunScope::kAttempt && belongs_to_earlier_attempt(*run, record, history);
+      const bool ran_before_attempt = run->started_ms < record.sent_ms && !is_earlier_attempt_run;
+      const bool ran_after_last_attempt =
+          record.sent_ms == last_sent_ms[record.tag] && run->started_ms > record.done_ms;
+      if (ran_before_response || ran_before_attempt || ran_after_last_attempt) {
+        faults.push_back("false not-run: " + describe_request(record) + " ran on " + run->machine +
+                         describe_timeline(record.tag, history, runs));
         break;
       }
     }
--- a/src/load/history.h
+++ b/src/load/history.h
@@ -7,10 +7,10 @@
 namespace larchlever::load {
 
 /// One sending of a request and what its caller was told.
-struct HistoryRecord {
+struct AttemptRecord {
   std::string tag;  ///< Names the request; equal for all its sendings.
   std::string key;  ///< Idempotency key, if any.
-  bool safe = false;
+  bool is_repeatable = false;
   std::string node;
   std::string expected;  ///< The answer that is right for this request.
   int64_t sent_ms = 0;   ///< Wall clock.
@@ -18,7 +18,7 @@
   bool was_sent = false;  ///< False when no byte reached the node.
   int status = 0;         ///< Zero when no answer came.
   std::string outcome;
-  bool whole = false;  ///< The answer came to its proper end.
+  bool is_complete = false;  ///< The answer came to its proper end.
   std::string answer;
 };
 
@@ -46,8 +46,8 @@
 /// Checks a history of callers against the stand-ins' execution log: unsafe requests at most once, every whole answer
 /// the right one, no request run by the time its caller was told that it had not, none completed as "ran" that never
 /// ran. Returns one line per fault. Pure.
-std::vector<std::string> check_history(const std::vector<HistoryRecord>& history,
-                                       const std::vector<ExecutionRecord>& executions,
-                                       NotRunScope scope = NotRunScope::kRequest);
+std::vector<std::string> find_history_faults(const std::vector<AttemptRecord>& history,
+                                             const std::vector<ExecutionRecord>& executions,
+                                             NotRunScope scope = NotRunScope::kRequest);
 
 }  // namespace larchlever::load
--- a/src/load/load_generator.cc
+++ b/src/load/load_generator.cc
@@ -16,13 +16,13 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 using Clock = std::chrono::steady_clock;
 
-int64_t wall_ms() {
+int64_t wall_clock_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
 /// What an attempt tells of whether its request ran. One without an answer may have run, unless nothing was sent.
-requests::Outcome outcome_of(const HistoryRecord& record) {
+requests::Outcome attempt_outcome(const AttemptRecord& record) {
   if (record.status == 0) {
     return record.was_sent ? requests::Outcome::kUnknown : requests::Outcome::kNotRun;
   }
@@ -33,13 +33,13 @@
   return std::chrono::duration<double, std::milli>(Clock::now() - since).count();
 }
 
-std::string content_of(const json::value& value, const char* pointer) {
+std::string string_at_pointer(const json::value& value, const char* pointer) {
   boost::system::error_code error;
   const auto* content = value.find_pointer(pointer, error);
   return content != nullptr && content->is_string() ? std::string(content->as_string()) : std::string();
 }
 
-std::string text_of_stream(std::string_view events, bool& terminated) {
+std::string parse_event_stream_text(std::string_view events, bool& terminated) {
   std::string text;
   terminated = false;
   while (!events.empty()) {
@@ -52,7 +52,7 @@
     boost::system::error_code error;
     const auto value = json::parse(json::string_view(data.data(), data.size()), error);
     if (!error) {
-      text += content_of(value, "/choices/0/delta/content");
+      text += string_at_pointer(value, "/choices/0/delta/content");
     }
     events = events.substr(end + 2);
   }
@@ -74,169 +74,172 @@
 LoadGenerator::LoadGenerator(asio::any_io_executor executor, LoadOptions options)
     : executor_(executor), options_(std::move(options)), client_(executor) {}
 
-int LoadGenerator::Work::random_number(int least, int most) {
-  return std::uniform_int_distribution<int>(least, most)(random);
+int LoadGenerator::GeneratedRequest::random_number(int minimum, int maximum) {
+  return std::uniform_int_distribution<int>(minimum, maximum)(random);
 }
 
-void LoadGenerator::fill_model_request(Work& work) {
+void LoadGenerator::fill_model_request(GeneratedRequest& generated) {
   const auto& tenant =
-      options_.tenants[static_cast<size_t>(work.random_number(0, static_cast<int>(options_.tenants.size()) - 1))];
-  const int tokens = work.random_number(1, options_.most_tokens);
-  std::string prompt = "shared text " + std::to_string(work.random_number(1, options_.prompts)) + " ";
+      options_.tenants[static_cast<size_t>(generated.random_number(0, static_cast<int>(options_.tenants.size()) - 1))];
+  const int tokens = generated.random_number(1, options_.max_output_tokens);
+  std::string prompt = "shared text " + std::to_string(generated.random_number(1, options_.prompt_count)) + " ";
   prompt.resize(options_.prompt_bytes, '.');
-  prompt += " question " + work.tag;
-  work.stream = work.random_number(0, 1) == 1;
+  prompt += " question " + generated.tag;
+  generated.stream = generated.random_number(0, 1) == 1;
   json::object message;
   message["role"] = "user";
   message["content"] = prompt;
   json::object body;
   body["model"] = options_.model;
   body["max_tokens"] = tokens;
-  body["stream"] = work.stream;
-  body["user"] = work.tag;
+  body["stream"] = generated.stream;
+  body["user"] = generated.tag;
   body["messages"] = json::array{message};
-  work.request.method = "POST";
-  work.request.target = "/v1/chat/completions";
-  work.request.headers.add("Content-Type", "application/json");
-  work.request.headers.add("Larchlever-Tenant", tenant);
-  work.request.body = json::serialize(body);
+  generated.request.method = "POST";
+  generated.request.target = "/v1/chat/completions";
+  generated.request.headers.add("Content-Type", "application/json");
+  generated.request.headers.add("Larchlever-Tenant", tenant);
+  generated.request.body = json::serialize(body);
   for (int offset = 0; offset < tokens; ++offset) {
-    work.expected += emulator::token_text("user:" + prompt + "\n", offset);
+    generated.expected += emulator::token_text("user:" + prompt + "\n", offset);
   }
 }
 
-LoadGenerator::Work LoadGenerator::next_work() {
-  Work work;
-  work.tag = "t" + std::to_string(options_.seed) + "-" + std::to_string(++started_);
-  std::seed_seq seeds{options_.seed, started_};
-  work.random.seed(seeds);
-  const int roll = work.random_number(0, 99);
-  const bool service = !options_.service_path.empty() && roll < options_.service_percent;
-  if (service) {
-    const bool post = work.random_number(0, 1) == 1;
-    work.kind = post ? Kind::kServicePost : Kind::kServiceGet;
-    work.request.method = post ? "POST" : "GET";
-    work.request.target = options_.service_path + "/" + work.tag;
-    if (post) {
-      work.request.body = work.tag;
-      work.key = work.tag;
+LoadGenerator::GeneratedRequest LoadGenerator::make_next_request() {
+  GeneratedRequest generated;
+  generated.tag = "t" + std::to_string(options_.seed) + "-" + std::to_string(++started_requests_);
+  std::seed_seq seeds{options_.seed, started_requests_};
+  generated.random.seed(seeds);
+  const int roll = generated.random_number(0, 99);
+  const bool is_service_request = !options_.service_path.empty() && roll < options_.service_percent;
+  if (is_service_request) {
+    const bool is_post = generated.random_number(0, 1) == 1;
+    generated.kind = is_post ? Kind::kServicePost : Kind::kServiceGet;
+    generated.request.method = is_post ? "POST" : "GET";
+    generated.request.target = options_.service_path + "/" + generated.tag;
+    if (is_post) {
+      generated.request.body = generated.tag;
+      generated.key = generated.tag;
     }
-    work.expected = work.request.target;
+    generated.expected = generated.request.target;
   } else if (roll < options_.service_percent + options_.keyed_percent) {
-    work.kind = Kind::kKeyed;
-    work.key = work.tag;
-    fill_model_request(work);
-    work.request.headers.add("Larchlever-Repeat", "unsafe");
+    generated.kind = Kind::kKeyed;
+    generated.key = generated.tag;
+    fill_model_request(generated);
+    generated.request.headers.add("Larchlever-Repeat", "unsafe");
   } else if (roll < options_.service_percent + options_.keyed_percent + options_.safe_percent) {
-    work.kind = Kind::kSafe;
-    fill_model_request(work);
-    work.request.headers.add("Larchlever-Repeat", "safe");
+    generated.kind = Kind::kSafe;
+    fill_model_request(generated);
+    generated.request.headers.add("Larchlever-Repeat", "safe");
   } else {
-    work.kind = Kind::kUnsafe;
-    fill_model_request(work);
-    work.request.headers.add("Larchlever-Repeat", "unsafe");
+    generated.kind = Kind::kUnsafe;
+    fill_model_request(generated);
+    generated.request.headers.add("Larchlever-Repeat", "unsafe");
   }
-  if (!work.key.empty()) {
-    work.request.headers.add("Idempotency-Key", work.key);
+  if (!generated.key.empty()) {
+    generated.request.headers.add("Idempotency-Key", generated.key);
   }
-  return work;
+  return generated;
 }
 
-asio::awaitable<HistoryRecord> LoadGenerator::send(Work& work) {
-  HistoryRecord record;
-  record.tag = work.tag;
-  record.key = work.key;
-  record.safe = work.kind == Kind::kSafe || work.kind == Kind::kServiceGet;
-  record.node = options_.nodes[static_cast<size_t>(work.random_number(0, static_cast<int>(options_.nodes.size()) - 1))];
-  record.expected = work.expected;
-  record.sent_ms = wall_ms();
+asio::awaitable<AttemptRecord> LoadGenerator::send_attempt(GeneratedRequest& generated) {
+  AttemptRecord record;
+  record.tag = generated.tag;
+  record.key = generated.key;
+  record.is_repeatable = generated.kind == Kind::kSafe || generated.kind == Kind::kServiceGet;
+  record.node =
+      options_.nodes[static_cast<size_t>(generated.random_number(0, static_cast<int>(options_.nodes.size()) - 1))];
+  record.expected = generated.expected;
+  record.sent_ms = wall_clock_ms();
   const auto began = Clock::now();
   net::OpenOptions open;
   open.timeout = options_.timeout;
-  open.fresh_connection = work.random_number(0, 3) == 0;
-  auto opened = co_await client_.open(record.node, work.request, open);
+  open.fresh_connection = generated.random_number(0, 3) == 0;
+  auto opened = co_await client_.open(record.node, generated.request, open);
   record.was_sent = opened.state != net::SendState::kNotSent;
   if (opened.stream != nullptr) {
     record.status = opened.stream->head().status;
     record.outcome = std::string(opened.stream->head().headers.find("larchlever-outcome"));
-    const bool events = opened.stream->head().headers.find("content-type") == "text/event-stream";
+    const bool is_event_stream = opened.stream->head().headers.find("content-type") == "text/event-stream";
     std::string body;
-    auto last = began;
+    auto last_chunk_at = began;
     while (true) {
-      std::string piece = co_await opened.stream->read_some(options_.timeout);
-      if (piece.empty()) {
+      std::string chunk = co_await opened.stream->read_some(options_.timeout);
+      if (chunk.empty()) {
         break;
       }
-      if (events && body.empty()) {
+      if (is_event_stream && body.empty()) {
         report_.first_token_ms.push_back(elapsed_ms(began));
-      } else if (events) {
-        report_.between_tokens_ms.push_back(elapsed_ms(last));
+      } else if (is_event_stream) {
+        report_.between_tokens_ms.push_back(elapsed_ms(last_chunk_at));
       }
-      last = Clock::now();
-      body += piece;
+      last_chunk_at = Clock::now();
+      body += chunk;
     }
-    record.whole = opened.stream->complete();
+    record.is_complete = opened.stream->complete();
     bool terminated = false;
     boost::system::error_code error;
-    if (events) {
-      record.answer = text_of_stream(body, terminated);
-      record.whole = record.whole && terminated;
+    if (is_event_stream) {
+      record.answer = parse_event_stream_text(body, terminated);
+      record.is_complete = record.is_complete && terminated;
     } else if (const auto value = json::parse(body, error); !error) {
-      const bool plain = work.kind == Kind::kServiceGet || work.kind == Kind::kServicePost;
-      record.answer = content_of(value, plain ? "/target" : "/choices/0/message/content");
+      const bool is_service_reply = generated.kind == Kind::kServiceGet || generated.kind == Kind::kServicePost;
+      record.answer = string_at_pointer(value, is_service_reply ? "/target" : "/choices/0/message/content");
     }
   }
-  record.done_ms = wall_ms();
+  record.done_ms = wall_clock_ms();
   co_return record;
 }
 
-asio::awaitable<void> LoadGenerator::perform(Work work) {
+asio::awaitable<void> LoadGenerator::run_request(GeneratedRequest generated) {
   const auto began = Clock::now();
   ++report_.requests;
-  for (int sending = 0; sending < options_.most_sendings; ++sending) {
-    ++report_.sendings;
-    HistoryRecord record = co_await send(work);
+  for (int attempt = 0; attempt < options_.max_attempts; ++attempt) {
+    ++report_.attempts;
+    AttemptRecord record = co_await send_attempt(generated);
     history_.push_back(record);
-    if (record.status >= 200 && record.status < 300 && record.whole) {
+    if (record.status >= 200 && record.status < 300 && record.is_complete) {
       ++report_.answered;
       report_.latency_ms.push_back(elapsed_ms(began));
       co_return;
     }
     report_.not_run += record.outcome == "not-run" ? 1 : 0;
     report_.unknown += record.outcome == "unknown" ? 1 : 0;
-    report_.refused_after_loss += work.earlier_outcome != requests::Outcome::kNotRun && record.status >= 400 ? 1 : 0;
-    work.earlier_outcome = requests::combined(work.earlier_outcome, outcome_of(record));
+    report_.refused_after_lost_answer +=
+        generated.earlier_outcome != requests::Outcome::kNotRun && record.status >= 400 ? 1 : 0;
+    generated.earlier_outcome = requests::combined(generated.earlier_outcome, attempt_outcome(record));
     // With a key the node must know by itself.
-    if (work.key.empty() && work.earlier_outcome != requests::Outcome::kNotRun) {
-      work.request.headers.set("Larchlever-Earlier-Outcome", std::string(requests::to_string(work.earlier_outcome)));
+    if (generated.key.empty() && generated.earlier_outcome != requests::Outcome::kNotRun) {
+      generated.request.headers.set("Larchlever-Earlier-Outcome",
+                                    std::string(requests::to_string(generated.earlier_outcome)));
     }
     // Unsafe without a key: only a caller who was told that nothing ran may try again.
-    const bool may_repeat = record.safe || !work.key.empty() || record.outcome == "not-run";
-    if (!may_repeat || stopped_) {
+    const bool may_repeat = record.is_repeatable || !generated.key.empty() || record.outcome == "not-run";
+    if (!may_repeat || stop_requested_) {
       break;
     }
-    asio::steady_timer timer(executor_, options_.resend_pause);
+    asio::steady_timer timer(executor_, options_.retry_delay);
     co_await timer.async_wait(kAwait);
   }
-  ++report_.lost;
+  ++report_.gave_up;
 }
 
-asio::awaitable<void> LoadGenerator::caller() {
-  while (started_ < options_.requests && !stopped_) {
-    Work work = next_work();
-    co_await perform(std::move(work));
+asio::awaitable<void> LoadGenerator::run_caller() {
+  while (started_requests_ < options_.request_count && !stop_requested_) {
+    GeneratedRequest generated = make_next_request();
+    co_await run_request(std::move(generated));
   }
-  --running_;
+  --running_callers_;
 }
 
 asio::awaitable<void> LoadGenerator::run() {
   const auto began = Clock::now();
-  for (int number = 0; number < options_.callers; ++number) {
-    ++running_;
-    asio::co_spawn(executor_, caller(), asio::detached);
+  for (int number = 0; number < options_.caller_count; ++number) {
+    ++running_callers_;
+    asio::co_spawn(executor_, run_caller(), asio::detached);
   }
   asio::steady_timer timer(executor_);
-  while (running_ > 0) {
+  while (running_callers_ > 0) {
     timer.expires_after(std::chrono::milliseconds(10));
     co_await timer.async_wait(kAwait);
   }
--- a/src/load/load_generator.h
+++ b/src/load/load_generator.h
@@ -18,30 +18,30 @@
   std::vector<std::string> tenants;
   std::string model;
   std::string service_path;  ///< Empty for no plain requests.
-  int callers = 16;
-  uint64_t requests = 1000;  ///< Requests in all; resends come on top.
-  int prompts = 32;          ///< Distinct leading parts, shared among requests.
+  int caller_count = 16;
+  uint64_t request_count = 1000;  ///< Requests in all; resends come on top.
+  int prompt_count = 32;          ///< Distinct leading parts, shared among requests.
   size_t prompt_bytes = 256;
-  int most_tokens = 12;
-  int most_sendings = 6;
+  int max_output_tokens = 12;
+  int max_attempts = 6;
   /// Shares in percent; the rest is unsafe model requests without a key.
   int keyed_percent = 40;
   int safe_percent = 30;
   int service_percent = 20;
   std::chrono::milliseconds timeout{30'000};
-  std::chrono::milliseconds resend_pause{200};
+  std::chrono::milliseconds retry_delay{200};
   uint64_t seed = 1;
 };
 
 struct LoadReport {
   uint64_t requests = 0;
-  uint64_t sendings = 0;
+  uint64_t attempts = 0;
   uint64_t answered = 0;
   uint64_t not_run = 0;
   uint64_t unknown = 0;
   /// Attempts answered with an error after an earlier attempt of the request had been sent and not answered whole.
-  uint64_t refused_after_loss = 0;
-  uint64_t lost = 0;
+  uint64_t refused_after_lost_answer = 0;
+  uint64_t gave_up = 0;
   double seconds = 0;
   std::vector<double> latency_ms;      ///< Whole answers, each from its first sending.
   std::vector<double> first_token_ms;  ///< Streams.
@@ -61,13 +61,13 @@
   /// Returns when every caller has finished.
   boost::asio::awaitable<void> run();
   /// Callers end after their present request.
-  void stop() { stopped_ = true; }
-  const std::vector<HistoryRecord>& history() const { return history_; }
+  void stop() { stop_requested_ = true; }
+  const std::vector<AttemptRecord>& history() const { return history_; }
   const LoadReport& report() const { return report_; }
 
  private:
   enum class Kind { kKeyed, kSafe, kUnsafe, kServiceGet, kServicePost };
-  struct Work {
+  struct GeneratedRequest {
     Kind kind = Kind::kSafe;
     std::string tag;
     std::string key;
@@ -78,22 +78,22 @@
     /// What its attempts so far tell of whether it ran.
     requests::Outcome earlier_outcome = requests::Outcome::kNotRun;
 
-    int random_number(int least, int most);
+    int random_number(int minimum, int maximum);
   };
 
-  boost::asio::awaitable<void> caller();
-  boost::asio::awaitable<void> perform(Work work);
-  boost::asio::awaitable<HistoryRecord> send(Work& work);
-  Work next_work();
-  void fill_model_request(Work& work);
+  boost::asio::awaitable<void> run_caller();
+  boost::asio::awaitable<void> run_request(GeneratedRequest generated);
+  boost::asio::awaitable<AttemptRecord> send_attempt(GeneratedRequest& generated);
+  GeneratedRequest make_next_request();
+  void fill_model_request(GeneratedRequest& generated);
 
   boost::asio::any_io_executor executor_;
   LoadOptions options_;
   net::HttpClient client_;
-  uint64_t started_ = 0;
-  int running_ = 0;
-  bool stopped_ = false;
-  std::vector<HistoryRecord> history_;
+  uint64_t started_requests_ = 0;
+  int running_callers_ = 0;
+  bool stop_requested_ = false;
+  std::vector<AttemptRecord> history_;
   LoadReport report_;
 };
 
--- a/src/simulation/certification_experiment.cc
+++ b/src/simulation/certification_experiment.cc
@@ -11,59 +11,61 @@
 
 namespace {
 
-constexpr int kTenants = 10;
-constexpr Duration kCommit = milliseconds(12);
-constexpr Duration kMeanThinking = seconds(4);
-constexpr Duration kLockExpiry = seconds(30);
+constexpr int kTenantCount = 10;
+constexpr Duration kCommitLatency = milliseconds(12);
+constexpr Duration kMeanEditTime = seconds(4);
+constexpr Duration kLockTimeout = seconds(30);
 /// Share of lock holders who vanish without releasing.
-constexpr double kVanish = 0.02;
+constexpr double kAbandonProbability = 0.02;
 
 /// Operators who read a tenant, think, and change it; one of three ways decides whose change stands.
-class RacingOperators {
+class ConcurrentOperatorsSimulation {
  public:
-  RacingOperators(const Experiment& experiment, std::string way, uint64_t seed)
-      : experiment_(experiment), way_(std::move(way)), random_(seed) {
+  ConcurrentOperatorsSimulation(const Experiment& experiment, std::string concurrency_control, uint64_t seed)
+      : experiment_(experiment), concurrency_control_(std::move(concurrency_control)), random_(seed) {
     wire::Command command;
     command.__isset.change = true;
     command.change.command_id = "setup";
-    wire::Template shape;
-    shape.name = "main";
-    shape.model = "model";
-    shape.version = "1";
-    shape.machines_per_group = 4;
-    command.change.writes.push_back(make_write("template/main", wire::encode(shape)));
-    for (int number = 0; number < kTenants; ++number) {
+    wire::Template model_template;
+    model_template.name = "main";
+    model_template.model = "model";
+    model_template.version = "1";
+    model_template.machines_per_group = 4;
+    command.change.writes.push_back(make_write("template/main", wire::encode(model_template)));
+    for (int number = 0; number < kTenantCount; ++number) {
       command.change.writes.push_back(make_write(tenant_key(number), tenant_value(number, 10)));
     }
-    state_.apply(++index_, command);
+    state_.apply(++log_index_, command);
   }
 
   std::map<std::string, double> run() {
-    for (int64_t number = 0; number < experiment_.operators; ++number) {
-      begin(number);
+    for (int64_t number = 0; number < experiment_.operator_count; ++number) {
+      start_edit(number);
     }
     queue_.run_until(TimePoint(seconds(experiment_.duration_seconds)), [] { return false; });
-    std::sort(latency_ms_.begin(), latency_ms_.end());
-    const auto at = [this](double share) {
-      return latency_ms_.empty()
-                 ? 0.0
-                 : latency_ms_[static_cast<size_t>(share * static_cast<double>(latency_ms_.size() - 1))];
+    std::sort(accepted_latencies_ms_.begin(), accepted_latencies_ms_.end());
+    const auto latency_at_quantile = [this](double fraction) {
+      return accepted_latencies_ms_.empty() ? 0.0
+                                            : accepted_latencies_ms_[static_cast<size_t>(
+                                                  fraction * static_cast<double>(accepted_latencies_ms_.size() - 1))];
     };
-    const double tries = std::max(1.0, static_cast<double>(accepted_ + refused_));
-    return {{"accepted_share", static_cast<double>(accepted_) / tries},
+    const double attempts = std::max(1.0, static_cast<double>(accepted_changes_ + rejected_changes_));
+    return {{"accepted_share", static_cast<double>(accepted_changes_) / attempts},
             {"accepted_per_minute",
-             60.0 * static_cast<double>(accepted_) / static_cast<double>(experiment_.duration_seconds)},
-            {"wasted_thinking_seconds_per_accepted", wasted_s_ / std::max(1.0, static_cast<double>(accepted_))},
-            {"waiting_ms_p50", at(0.5)},
-            {"waiting_ms_p95", at(0.95)},
-            {"log_entries_per_accepted", static_cast<double>(index_) / std::max(1.0, static_cast<double>(accepted_))}};
+             60.0 * static_cast<double>(accepted_changes_) / static_cast<double>(experiment_.duration_seconds)},
+            {"wasted_thinking_seconds_per_accepted",
+             wasted_edit_seconds_ / std::max(1.0, static_cast<double>(accepted_changes_))},
+            {"waiting_ms_p50", latency_at_quantile(0.5)},
+            {"waiting_ms_p95", latency_at_quantile(0.95)},
+            {"log_entries_per_accepted",
+             static_cast<double>(log_index_) / std::max(1.0, static_cast<double>(accepted_changes_))}};
   }
 
  private:
-  struct Lock {
-    bool held = false;
-    int64_t holder = 0;
-    std::deque<std::function<void()>> waiting;
+  struct TenantLock {
+    bool is_held = false;
+    int64_t acquisition_id = 0;
+    std::deque<std::function<void()>> waiting_operators;
   };
 
   static std::string tenant_key(int number) { return "tenant/t" + std::to_string(number); }
@@ -83,112 +85,120 @@
     return wire::encode(tenant);
   }
 
-  Duration thinking() {
-    std::exponential_distribution<double> time(1.0 / static_cast<double>(kMeanThinking.count()));
-    return Duration(static_cast<int64_t>(time(random_)));
+  Duration draw_edit_time() {
+    std::exponential_distribution<double> edit_time(1.0 / static_cast<double>(kMeanEditTime.count()));
+    return Duration(static_cast<int64_t>(edit_time(random_)));
   }
 
-  void begin(int64_t who) {
-    const int target = std::uniform_int_distribution<int>(0, kTenants - 1)(random_);
-    const TimePoint wanted = queue_.now();
-    if (way_ != "locks") {
-      queue_.after(kCommit, [this, who, target, wanted] { read_and_think(who, target, wanted); });
+  void start_edit(int64_t operator_id) {
+    const int tenant_number = std::uniform_int_distribution<int>(0, kTenantCount - 1)(random_);
+    const TimePoint started_at = queue_.now();
+    if (concurrency_control_ != "locks") {
+      queue_.schedule_after(kCommitLatency, [this, operator_id, tenant_number, started_at] {
+        read_and_edit(operator_id, tenant_number, started_at);
+      });
       return;
     }
-    acquire(target, who, [this, who, target, wanted] { read_and_think(who, target, wanted); });
+    acquire(tenant_number, operator_id,
+            [this, operator_id, tenant_number, started_at] { read_and_edit(operator_id, tenant_number, started_at); });
   }
 
-  void acquire(int target, int64_t who, std::function<void()> granted) {
-    Lock& lock = locks_[target];
-    if (lock.held) {
-      lock.waiting.push_back([this, target, who, granted] { acquire(target, who, granted); });
+  void acquire(int tenant_number, int64_t operator_id, std::function<void()> on_acquired) {
+    TenantLock& lock = locks_[tenant_number];
+    if (lock.is_held) {
+      lock.waiting_operators.push_back(
+          [this, tenant_number, operator_id, on_acquired] { acquire(tenant_number, operator_id, on_acquired); });
       return;
     }
-    lock.held = true;
-    lock.holder = ++next_lock_;
-    ++index_;  // Taking a lock is a log entry of its own, and so is giving it back.
-    const int64_t mine = lock.holder;
-    queue_.after(kLockExpiry, [this, target, mine] {
-      if (locks_[target].held && locks_[target].holder == mine) {
-        release(target);
+    lock.is_held = true;
+    lock.acquisition_id = ++last_acquisition_id_;
+    ++log_index_;  // Taking a lock is a log entry of its own, and so is giving it back.
+    const int64_t own_acquisition_id = lock.acquisition_id;
+    queue_.schedule_after(kLockTimeout, [this, tenant_number, own_acquisition_id] {
+      if (locks_[tenant_number].is_held && locks_[tenant_number].acquisition_id == own_acquisition_id) {
+        release(tenant_number);
       }
     });
-    queue_.after(kCommit, granted);
+    queue_.schedule_after(kCommitLatency, on_acquired);
   }
 
-  void release(int target) {
-    Lock& lock = locks_[target];
-    ++index_;
-    lock.held = false;
-    if (!lock.waiting.empty()) {
-      const auto next = std::move(lock.waiting.front());
-      lock.waiting.pop_front();
+  void release(int tenant_number) {
+    TenantLock& lock = locks_[tenant_number];
+    ++log_index_;
+    lock.is_held = false;
+    if (!lock.waiting_operators.empty()) {
+      const auto next = std::move(lock.waiting_operators.front());
+      lock.waiting_operators.pop_front();
       next();
     }
   }
 
-  void read_and_think(int64_t who, int target, TimePoint wanted) {
+  void read_and_edit(int64_t operator_id, int tenant_number, TimePoint started_at) {
     std::vector<wire::KeyRevision> reads;
-    for (int number = 0; number < kTenants; ++number) {
-      if (number == target || way_ == "whole_document") {
+    for (int number = 0; number < kTenantCount; ++number) {
+      if (number == tenant_number || concurrency_control_ == "whole_document") {
         wire::KeyRevision read;
         read.key = tenant_key(number);
         read.revision = state_.records().revision_of(read.key).value();
         reads.push_back(std::move(read));
       }
     }
-    const Duration time = thinking();
-    const double waited = static_cast<double>((queue_.now() - wanted).count()) / 1000.0;
-    queue_.after(time, [this, who, target, reads, time, waited] {
-      const bool vanishes = std::uniform_real_distribution<double>(0, 1)(random_) < kVanish;
-      if (!vanishes) {
-        queue_.after(kCommit, [this, who, target, reads, time, waited] { submit(who, target, reads, time, waited); });
+    const Duration edit_time = draw_edit_time();
+    const double waiting_time_ms = static_cast<double>((queue_.now() - started_at).count()) / 1000.0;
+    queue_.schedule_after(edit_time, [this, operator_id, tenant_number, reads, edit_time, waiting_time_ms] {
+      const bool is_abandoned = std::uniform_real_distribution<double>(0, 1)(random_) < kAbandonProbability;
+      if (!is_abandoned) {
+        queue_.schedule_after(kCommitLatency, [this, operator_id, tenant_number, reads, edit_time, waiting_time_ms] {
+          submit(operator_id, tenant_number, reads, edit_time, waiting_time_ms);
+        });
       } else {
-        begin(who);
+        start_edit(operator_id);
       }
     });
   }
 
-  void submit(int64_t who, int target, const std::vector<wire::KeyRevision>& reads, Duration time, double waited) {
+  void submit(int64_t operator_id, int tenant_number, const std::vector<wire::KeyRevision>& reads, Duration edit_time,
+              double waiting_time_ms) {
     wire::Command command;
     command.__isset.change = true;
-    command.change.command_id = "c" + std::to_string(++next_command_);
+    command.change.command_id = "c" + std::to_string(++last_command_number_);
     command.change.reads = reads;
-    command.change.writes.push_back(
-        make_write(tenant_key(target), tenant_value(target, std::uniform_int_distribution<int>(1, 99)(random_))));
-    const auto answer = *state_.apply(++index_, command).change_answer;
+    command.change.writes.push_back(make_write(
+        tenant_key(tenant_number), tenant_value(tenant_number, std::uniform_int_distribution<int>(1, 99)(random_))));
+    const auto answer = *state_.apply(++log_index_, command).change_answer;
     if (answer.verdict == wire::Verdict::ACCEPTED) {
-      ++accepted_;
-      latency_ms_.push_back(waited + static_cast<double>(kCommit.count()) / 1000.0);
+      ++accepted_changes_;
+      accepted_latencies_ms_.push_back(waiting_time_ms + static_cast<double>(kCommitLatency.count()) / 1000.0);
     } else {
-      ++refused_;
-      wasted_s_ += static_cast<double>(time.count()) / 1e6;
+      ++rejected_changes_;
+      wasted_edit_seconds_ += static_cast<double>(edit_time.count()) / 1e6;
     }
-    if (way_ == "locks") {
-      release(target);
+    if (concurrency_control_ == "locks") {
+      release(tenant_number);
     }
-    begin(who);
+    start_edit(operator_id);
   }
 
   const Experiment& experiment_;
-  std::string way_;
+  std::string concurrency_control_;
   std::mt19937_64 random_;
   EventQueue queue_;
   control::ControlState state_;
-  int64_t index_ = 0;
-  std::map<int, Lock> locks_;
-  int64_t next_lock_ = 0;
-  int64_t next_command_ = 0;
-  uint64_t accepted_ = 0;
-  uint64_t refused_ = 0;
-  double wasted_s_ = 0;
-  std::vector<double> latency_ms_;
+  int64_t log_index_ = 0;
+  std::map<int, TenantLock> locks_;
+  int64_t last_acquisition_id_ = 0;
+  int64_t last_command_number_ = 0;
+  uint64_t accepted_changes_ = 0;
+  uint64_t rejected_changes_ = 0;
+  double wasted_edit_seconds_ = 0;
+  std::vector<double> accepted_latencies_ms_;
 };
 
 }  // namespace
 
-std::map<std::string, double> run_certification(const Experiment& experiment, const std::string& way, uint64_t seed) {
-  return RacingOperators(experiment, way, seed).run();
+std::map<std::string, double> run_certification_trial(const Experiment& experiment,
+                                                      const std::string& concurrency_control, uint64_t seed) {
+  return ConcurrentOperatorsSimulation(experiment, concurrency_control, seed).run();
 }
 
 }  // namespace larchlever::simulation
--- a/src/simulation/deployment.cc
+++ b/src/simulation/deployment.cc
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr int kScaleDomain = 32;
-constexpr int kScaleGroup = 16;
-constexpr int kScaleTenants = 20;
+constexpr int kScaleMachinesPerDomain = 32;
+constexpr int kScaleMachinesPerGroup = 16;
+constexpr int kScaleTenantCount = 20;
 
 }  // namespace
 
 std::optional<Deployment> parse_deployment(const settings::IniDocument& document, const std::string& folder,
                                            std::vector<std::string>& errors) {
-  const size_t faults_before = errors.size();
+  const size_t error_count_before = errors.size();
   Deployment deployment;
   settings::SectionReader reader("deployment", document.find("deployment"), errors);
   deployment.name = reader.required_text("name");
-  deployment.nodes = static_cast<int>(reader.integer("nodes", 9, 1, 1000));
-  deployment.disks = static_cast<int>(reader.integer("disks", 5, 1, 1000));
+  deployment.node_count = static_cast<int>(reader.integer("nodes", 9, 1, 1000));
+  deployment.disk_count = static_cast<int>(reader.integer("disks", 5, 1, 1000));
   const std::string changes = reader.required_text("changes");
   reader.finish();
   for (const auto& section : document.sections()) {
@@ -29,55 +29,55 @@
       continue;
     }
     settings::SectionReader zone(section.name, &section, errors);
-    ZoneShape shape;
-    shape.name = section.name.substr(5);
-    shape.domains = static_cast<int>(zone.integer("domains", 1, 1, 1000));
-    shape.machines_per_domain = static_cast<int>(zone.integer("machines_per_domain", 8, 1, 1000));
-    shape.accelerators = static_cast<int>(zone.integer("accelerators", 8, 1, 64));
-    shape.checks_fences = zone.choice("kind", "fenced", {"fenced", "basic"}) == "fenced";
+    ZoneOptions zone_options;
+    zone_options.name = section.name.substr(5);
+    zone_options.domains = static_cast<int>(zone.integer("domains", 1, 1, 1000));
+    zone_options.machines_per_domain = static_cast<int>(zone.integer("machines_per_domain", 8, 1, 1000));
+    zone_options.accelerators = static_cast<int>(zone.integer("accelerators", 8, 1, 64));
+    zone_options.checks_fences = zone.choice("kind", "fenced", {"fenced", "basic"}) == "fenced";
     zone.finish();
-    deployment.zones.push_back(std::move(shape));
+    deployment.zones.push_back(std::move(zone_options));
   }
   if (const auto text = settings::read_text_file(folder + "/" + changes, errors)) {
     if (auto writes = settings::parse_change_file(*text, errors)) {
       deployment.configuration = std::move(*writes);
     }
   }
-  return errors.size() > faults_before ? std::nullopt : std::optional(std::move(deployment));
+  return errors.size() > error_count_before ? std::nullopt : std::optional(std::move(deployment));
 }
 
-Deployment uniform_deployment(int nodes, int machines, int zones) {
+Deployment make_uniform_deployment(int nodes, int machines, int zones) {
   Deployment deployment;
   deployment.name = "uniform";
-  deployment.nodes = nodes;
-  deployment.disks = 5;
-  const int domains = std::max(1, machines / kScaleDomain / zones);
-  std::vector<std::string> names;
+  deployment.node_count = nodes;
+  deployment.disk_count = 5;
+  const int domains = std::max(1, machines / kScaleMachinesPerDomain / zones);
+  std::vector<std::string> zone_names;
   for (int number = 1; number <= zones; ++number) {
-    ZoneShape zone;
+    ZoneOptions zone;
     zone.name = "z" + std::to_string(number);
     zone.domains = domains;
     zone.machines_per_domain = machines / zones / domains;
     zone.accelerators = 4;
-    names.push_back(zone.name);
+    zone_names.push_back(zone.name);
     deployment.zones.push_back(zone);
   }
-  wire::Template shape;
-  shape.name = "main";
-  shape.model = "model";
-  shape.version = "1";
-  shape.machines_per_group = kScaleGroup;
+  wire::Template model_template;
+  model_template.name = "main";
+  model_template.model = "model";
+  model_template.version = "1";
+  model_template.machines_per_group = kScaleMachinesPerGroup;
   wire::KeyWrite write;
   write.key = "template/main";
-  write.value = wire::encode(shape);
+  write.value = wire::encode(model_template);
   deployment.configuration.push_back(write);
-  for (int number = 1; number <= kScaleTenants; ++number) {
+  for (int number = 1; number <= kScaleTenantCount; ++number) {
     wire::Tenant tenant;
     tenant.name = "t" + std::to_string(number);
     tenant.template_name = "main";
-    tenant.zones = {names[static_cast<size_t>(number) % names.size()],
-                    names[static_cast<size_t>(number + 1) % names.size()]};
-    tenant.share_percent = 80 / kScaleTenants;
+    tenant.zones = {zone_names[static_cast<size_t>(number) % zone_names.size()],
+                    zone_names[static_cast<size_t>(number + 1) % zone_names.size()]};
+    tenant.share_percent = 80 / kScaleTenantCount;
     tenant.max_concurrent = 2000;
     write.key = "tenant/" + tenant.name;
     write.value = wire::encode(tenant);
@@ -86,12 +86,12 @@
   return deployment;
 }
 
-config::RecordTable routing_records(int groups) {
+config::RecordTable make_routing_records(int groups) {
   config::RecordTable records;
-  wire::Template shape;
-  shape.name = "main";
-  shape.model = "model";
-  records.put("template/main", wire::encode(shape), Revision(1));
+  wire::Template model_template;
+  model_template.name = "main";
+  model_template.model = "model";
+  records.put("template/main", wire::encode(model_template), Revision(1));
   wire::Tenant tenant;
   tenant.name = "t";
   tenant.template_name = "main";
--- a/src/simulation/deployment.h
+++ b/src/simulation/deployment.h
@@ -12,9 +12,9 @@
 /// A user's fleet as the simulator sees it: zones with their machines, our nodes, the templates in force.
 struct Deployment {
   std::string name;
-  std::vector<ZoneShape> zones;
-  int nodes = 9;
-  int disks = 5;
+  std::vector<ZoneOptions> zones;
+  int node_count = 9;
+  int disk_count = 5;
   std::vector<wire::KeyWrite> configuration;
 };
 
@@ -24,9 +24,9 @@
                                            std::vector<std::string>& errors);
 
 /// A fleet of any size made alike in all zones, for scale runs: `machines` in domains of 32, groups of 16.
-Deployment uniform_deployment(int nodes, int machines, int zones);
+Deployment make_uniform_deployment(int nodes, int machines, int zones);
 
 /// Records of one tenant "t" and one model "model" with that many serving groups, epoch 1, for measuring routing.
-config::RecordTable routing_records(int groups);
+config::RecordTable make_routing_records(int groups);
 
 }  // namespace larchlever::simulation
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -13,38 +13,40 @@
 class EventQueue {
  public:
   TimePoint now() const { return now_; }
-  void at(TimePoint time, std::function<void()> action) {
-    events_.push(Event{time < now_ ? now_ : time, next_++, std::move(action)});
+  void schedule_at(TimePoint time, std::function<void()> action) {
+    events_.push(Event{time < now_ ? now_ : time, next_sequence_number_++, std::move(action)});
   }
-  void after(Duration delay, std::function<void()> action) { at(now_ + delay, std::move(action)); }
+  void schedule_after(Duration delay, std::function<void()> action) { schedule_at(now_ + delay, std::move(action)); }
   /// Runs everything up to `end`; false once `stop` says so.
-  void run_until(TimePoint end, const std::function<bool()>& stop) {
-    while (!events_.empty() && events_.top().time <= end && !stop()) {
+  void run_until(TimePoint end, const std::function<bool()>& should_stop) {
+    while (!events_.empty() && events_.top().time <= end && !should_stop()) {
       // The action may schedule more, so it leaves the queue before it runs.
       auto action = std::move(const_cast<Event&>(events_.top()).action);
       now_ = events_.top().time;
       events_.pop();
-      ++executed_;
+      ++executed_event_count_;
       action();
     }
-    if (!stop()) {
+    if (!should_stop()) {
       now_ = end;
     }
   }
-  uint64_t executed() const { return executed_; }
+  uint64_t executed_event_count() const { return executed_event_count_; }
 
  private:
   struct Event {
     TimePoint time;
-    uint64_t order;
+    uint64_t sequence_number;
     std::function<void()> action;
-    bool operator<(const Event& other) const { return time != other.time ? time > other.time : order > other.order; }
+    bool operator<(const Event& other) const {
+      return time != other.time ? time > other.time : sequence_number > other.sequence_number;
+    }
   };
 
   std::priority_queue<Event> events_;
   TimePoint now_{};
-  uint64_t next_ = 0;
-  uint64_t executed_ = 0;
+  uint64_t next_sequence_number_ = 0;
+  uint64_t executed_event_count_ = 0;
 };
 
 }  // namespace larchlever::simulation
--- a/src/simulation/fault_injector.cc
+++ b/src/simulation/fault_injector.cc
@@ -7,12 +7,12 @@
 namespace {
 
 /// A rolled-back disk is found out by the leader; that takes a few heartbeats.
-constexpr Duration kQuietAfterRollback = seconds(5);
+constexpr Duration kRollbackDetectionTime = seconds(5);
 
 }  // namespace
 
-int FaultInjector::random_number(int least, int most) {
-  return std::uniform_int_distribution<int>(least, most)(fleet_.random());
+int FaultInjector::random_number(int minimum, int maximum) {
+  return std::uniform_int_distribution<int>(minimum, maximum)(fleet_.random());
 }
 
 std::string FaultInjector::random_node() {
@@ -21,118 +21,120 @@
   return item->first;
 }
 
-void FaultInjector::start(TimePoint end) { next(end); }
+void FaultInjector::start(TimePoint end) { schedule_next_fault(end); }
 
-void FaultInjector::next(TimePoint end) {
+void FaultInjector::schedule_next_fault(TimePoint end) {
   if (fleet_.queue().now() >= end) {
     return;
   }
-  std::exponential_distribution<double> gap(1.0 / static_cast<double>(options_.mean_interval.count()));
-  fleet_.queue().after(Duration(static_cast<int64_t>(gap(fleet_.random()))), [this, end] {
-    if (fleet_.queue().now() < end && fleet_.queue().now() >= quiet_until_) {
-      inject();
+  std::exponential_distribution<double> interval(1.0 / static_cast<double>(options_.mean_interval.count()));
+  fleet_.queue().schedule_after(Duration(static_cast<int64_t>(interval(fleet_.random()))), [this, end] {
+    if (fleet_.queue().now() < end && fleet_.queue().now() >= faults_suspended_until_) {
+      inject_fault();
     }
-    next(end);
+    schedule_next_fault(end);
   });
 }
 
-void FaultInjector::inject() {
-  if (second_loss_due_ && replicas_are_whole()) {
+void FaultInjector::inject_fault() {
+  if (second_disk_loss_pending_ && all_replicas_up_to_date()) {
     // The repair has just finished: the next disk goes at once.
-    second_loss_due_ = false;
-    count("second disk lost after repair");
-    fault_disk();
+    second_disk_loss_pending_ = false;
+    count_fault("second disk lost after repair");
+    inject_disk_fault();
     return;
   }
   const int kind = random_number(0, 99);
   if (kind < 30) {
-    fault_node();
+    inject_node_fault();
   } else if (kind < 55) {
-    fault_links();
+    inject_network_fault();
   } else if (kind < 85) {
-    fault_machine();
+    inject_machine_fault();
   } else if (options_.disk_faults) {
-    fault_disk();
+    inject_disk_fault();
   }
 }
 
-void FaultInjector::fault_node() {
+void FaultInjector::inject_node_fault() {
   std::string name = random_node();
   auto* leader = fleet_.leader();
   if (leader != nullptr && random_number(0, 2) == 0) {
     name = leader->name;
   }
   if (random_number(0, 1) == 0) {
-    count("node crashed");
-    fleet_.nodes().at(name).disk.remember();
+    count_fault("node crashed");
+    fleet_.nodes().at(name).disk.save_image();
     fleet_.crash(name);
-    fleet_.queue().after(milliseconds(random_number(100, 6000)), [this, name] { fleet_.restart(name); });
+    fleet_.queue().schedule_after(milliseconds(random_number(100, 6000)), [this, name] { fleet_.restart(name); });
   } else {
-    count("node paused");
+    count_fault("node paused");
     fleet_.pause(name, milliseconds(random_number(200, 8000)));
   }
 }
 
-void FaultInjector::cut_both(const std::string& node, bool both_ways) {
+void FaultInjector::cut_node_links(const std::string& node, bool bidirectional) {
   auto& cuts = fleet_.network().cuts;
-  std::set<std::pair<std::string, std::string>> added;
+  std::set<std::pair<std::string, std::string>> added_cuts;
   for (const auto& [other, value] : fleet_.nodes()) {
     if (other != node) {
-      added.insert({node, other});
-      if (both_ways) {
-        added.insert({other, node});
+      added_cuts.insert({node, other});
+      if (bidirectional) {
+        added_cuts.insert({other, node});
       }
     }
   }
-  cuts.insert(added.begin(), added.end());
-  fleet_.queue().after(milliseconds(random_number(500, 8000)), [this, added] {
-    for (const auto& cut : added) {
+  cuts.insert(added_cuts.begin(), added_cuts.end());
+  fleet_.queue().schedule_after(milliseconds(random_number(500, 8000)), [this, added_cuts] {
+    for (const auto& cut : added_cuts) {
       fleet_.network().cuts.erase(cut);
     }
   });
 }
 
-void FaultInjector::fault_links() {
+void FaultInjector::inject_network_fault() {
   auto& network = fleet_.network();
   auto* leader = fleet_.leader();
   const std::string target = leader != nullptr && random_number(0, 1) == 0 ? leader->name : random_node();
   switch (random_number(0, 5)) {
     case 0:
-      count("node cut off");
-      cut_both(target, true);
+      count_fault("node cut off");
+      cut_node_links(target, true);
       break;
     case 1:
-      count("one-way cut");
-      cut_both(target, false);
+      count_fault("one-way cut");
+      cut_node_links(target, false);
       break;
     case 2: {
-      count("back ends cut off");
+      count_fault("back ends cut off");
       network.cuts.insert({target, "machines"});
-      fleet_.queue().after(milliseconds(random_number(500, 6000)), [this, target] {
+      fleet_.queue().schedule_after(milliseconds(random_number(500, 6000)), [this, target] {
         fleet_.network().cuts.erase({target, "machines"});
       });
       break;
     }
     case 3:
-      count("messages lost");
-      network.loss = 0.25;
-      fleet_.queue().after(milliseconds(random_number(500, 4000)), [this] { fleet_.network().loss = 0; });
+      count_fault("messages lost");
+      network.loss_probability = 0.25;
+      fleet_.queue().schedule_after(milliseconds(random_number(500, 4000)),
+                                    [this] { fleet_.network().loss_probability = 0; });
       break;
     case 4:
-      count("messages doubled");
-      network.duplication = 0.3;
-      fleet_.queue().after(milliseconds(random_number(500, 5000)), [this] { fleet_.network().duplication = 0; });
+      count_fault("messages doubled");
+      network.duplication_probability = 0.3;
+      fleet_.queue().schedule_after(milliseconds(random_number(500, 5000)),
+                                    [this] { fleet_.network().duplication_probability = 0; });
       break;
     default:
-      count("messages delayed");
+      count_fault("messages delayed");
       network.extra_delay = milliseconds(random_number(20, 400));
-      fleet_.queue().after(milliseconds(random_number(500, 4000)),
-                           [this] { fleet_.network().extra_delay = Duration(0); });
+      fleet_.queue().schedule_after(milliseconds(random_number(500, 4000)),
+                                    [this] { fleet_.network().extra_delay = Duration(0); });
       break;
   }
 }
 
-void FaultInjector::fault_machine() {
+void FaultInjector::inject_machine_fault() {
   auto item = fleet_.machines().begin();
   std::advance(item, random_number(0, static_cast<int>(fleet_.machines().size()) - 1));
   const std::string id = item->first;
@@ -141,23 +143,24 @@
   switch (random_number(0, 3)) {
     case 0:
     case 1:
-      count("machine died");
+      count_fault("machine died");
       machine.die(now);
-      fleet_.queue().after(milliseconds(random_number(500, 9000)), [this, id] {
-        auto& back = fleet_.machines().at(id);
-        if (!back.alive) {
-          back.come_back(fleet_.queue().now());
+      fleet_.queue().schedule_after(milliseconds(random_number(500, 9000)), [this, id] {
+        auto& dead_machine = fleet_.machines().at(id);
+        if (!dead_machine.alive) {
+          dead_machine.restart_empty(fleet_.queue().now());
         }
       });
       break;
     case 2:
-      count("machine paused");
+      count_fault("machine paused");
       machine.pause(now);
-      fleet_.queue().after(milliseconds(random_number(200, 7000)), [this, id] { fleet_.machines().at(id).resume(); });
+      fleet_.queue().schedule_after(milliseconds(random_number(200, 7000)),
+                                    [this, id] { fleet_.machines().at(id).resume(); });
       break;
     default:
       if (!machine.leaving) {
-        count("machine leaving");
+        count_fault("machine leaving");
         machine.leaving = true;
         machine.leaving_since = now;
       }
@@ -165,9 +168,9 @@
   }
 }
 
-bool FaultInjector::replicas_are_whole() const {
+bool FaultInjector::all_replicas_up_to_date() const {
   auto* leader = fleet_.leader();
-  if (leader == nullptr || !fleet_.network().cuts.empty() || fleet_.network().loss > 0) {
+  if (leader == nullptr || !fleet_.network().cuts.empty() || fleet_.network().loss_probability > 0) {
     return false;
   }
   const auto& raft = *leader->controller->raft();
@@ -193,28 +196,28 @@
   return raft.replicas().voters.size() >= 3 && disks >= 3;
 }
 
-void FaultInjector::fault_disk() {
-  if (!replicas_are_whole()) {
+void FaultInjector::inject_disk_fault() {
+  if (!all_replicas_up_to_date()) {
     return;
   }
   const auto& voters = fleet_.leader()->controller->raft()->replicas().voters;
   const std::string name = voters[static_cast<size_t>(random_number(0, static_cast<int>(voters.size()) - 1))].node;
   if (random_number(0, 1) == 0) {
-    count("disk lost");
-    second_loss_due_ = true;
+    count_fault("disk lost");
+    second_disk_loss_pending_ = true;
     fleet_.crash(name);
     fleet_.lose_disk(name);
   } else {
     fleet_.crash(name);
     if (fleet_.roll_back_disk(name)) {
-      count("disk rolled back");
-      quiet_until_ = fleet_.queue().now() + kQuietAfterRollback;
+      count_fault("disk rolled back");
+      faults_suspended_until_ = fleet_.queue().now() + kRollbackDetectionTime;
     }
   }
-  fleet_.queue().after(milliseconds(random_number(100, 1500)), [this, name] { fleet_.restart(name); });
+  fleet_.queue().schedule_after(milliseconds(random_number(100, 1500)), [this, name] { fleet_.restart(name); });
 }
 
-void FaultInjector::heal() {
+void FaultInjector::repair_all() {
   fleet_.network() = NetworkFaults();
   for (auto& [name, node] : fleet_.nodes()) {
     fleet_.restart(name);
@@ -222,7 +225,7 @@
   }
   for (auto& [id, machine] : fleet_.machines()) {
     if (!machine.alive) {
-      machine.come_back(fleet_.queue().now());
+      machine.restart_empty(fleet_.queue().now());
     }
     machine.resume();
   }
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -24,27 +24,27 @@
 
   void start(TimePoint end);
   /// Ends every fault: nodes run, links carry, machines are back.
-  void heal();
-  const std::map<std::string, uint64_t>& counts() const { return counts_; }
+  void repair_all();
+  const std::map<std::string, uint64_t>& fault_counts() const { return fault_counts_; }
 
  private:
-  void next(TimePoint end);
-  void inject();
-  void fault_node();
-  void fault_links();
-  void fault_machine();
-  void fault_disk();
-  bool replicas_are_whole() const;
-  void cut_both(const std::string& node, bool both_ways);
+  void schedule_next_fault(TimePoint end);
+  void inject_fault();
+  void inject_node_fault();
+  void inject_network_fault();
+  void inject_machine_fault();
+  void inject_disk_fault();
+  bool all_replicas_up_to_date() const;
+  void cut_node_links(const std::string& node, bool bidirectional);
   std::string random_node();
-  int random_number(int least, int most);
-  void count(const std::string& fault) { ++counts_[fault]; }
+  int random_number(int minimum, int maximum);
+  void count_fault(const std::string& fault) { ++fault_counts_[fault]; }
 
   FaultOptions options_;
   SimulatedFleet& fleet_;
-  TimePoint quiet_until_{};
-  bool second_loss_due_ = false;
-  std::map<std::string, uint64_t> counts_;
+  TimePoint faults_suspended_until_{};
+  bool second_disk_loss_pending_ = false;
+  std::map<std::string, uint64_t> fault_counts_;
 };
 
 }  // namespace larchlever::simulation
--- a/src/simulation/invariant_monitor.cc
+++ b/src/simulation/invariant_monitor.cc
@@ -4,132 +4,134 @@
 
 namespace larchlever::simulation {
 
-void InvariantMonitor::violation(TimePoint now, const std::string& what) {
-  violations_.push_back("at " + std::to_string(to_microseconds(now) / 1000) + " ms: " + what);
+void InvariantMonitor::add_violation(TimePoint now, const std::string& description) {
+  violations_.push_back("at " + std::to_string(to_microseconds(now) / 1000) + " ms: " + description);
 }
 
-void InvariantMonitor::applied(TimePoint now, const std::string& node, int64_t index, uint64_t digest) {
-  ++checks_;
-  const auto [entry, added] = history_.try_emplace(index, digest);
-  if (!added && entry->second != digest) {
-    violation(now, "replicas diverge: " + node + " applied another history up to index " + std::to_string(index));
+void InvariantMonitor::check_applied_history(TimePoint now, const std::string& node, int64_t index, uint64_t digest) {
+  ++check_count_;
+  const auto [known, is_new] = history_digests_.try_emplace(index, digest);
+  if (!is_new && known->second != digest) {
+    add_violation(now, "replicas diverge: " + node + " applied another history up to index " + std::to_string(index));
   }
 }
 
-void InvariantMonitor::lease_holders(TimePoint now, const std::vector<std::string>& leaders) {
-  ++checks_;
+void InvariantMonitor::check_lease_holders(TimePoint now, const std::vector<std::string>& leaders) {
+  ++check_count_;
   if (leaders.size() > 1) {
-    violation(now, "two leaders hold the lease: " + leaders[0] + " and " + leaders[1]);
+    add_violation(now, "two leaders hold the lease: " + leaders[0] + " and " + leaders[1]);
   }
 }
 
-void InvariantMonitor::groups(TimePoint now, const std::string& node, const control::ControlState& state) {
-  ++checks_;
+void InvariantMonitor::check_group_ownership(TimePoint now, const std::string& node,
+                                             const control::ControlState& state) {
+  ++check_count_;
   // A machine names at most one group as its holder, so this also means that no two live groups share one.
   for (const auto& [id, group] : state.groups()) {
     for (const auto& machine : group.machines) {
-      const auto held = state.machines().find(machine);
-      const bool holds = held != state.machines().end() && held->second.group_id == id;
-      if (!holds && group.state < wire::GroupState::RELEASING) {
-        violation(now, node + ": group " + std::to_string(id) + " counts on " + machine + " without holding it");
+      const auto machine_record = state.machines().find(machine);
+      const bool is_owned_by_group = machine_record != state.machines().end() && machine_record->second.group_id == id;
+      if (!is_owned_by_group && group.state < wire::GroupState::RELEASING) {
+        add_violation(now, node + ": group " + std::to_string(id) + " counts on " + machine + " without holding it");
       }
     }
   }
 }
 
-void InvariantMonitor::in_force(TimePoint now, int64_t revision) {
+void InvariantMonitor::record_revision_in_force(TimePoint now, int64_t revision) {
   (void)now;
-  in_force_ = std::max(in_force_, revision);
+  newest_revision_in_force_ = std::max(newest_revision_in_force_, revision);
 }
 
-void InvariantMonitor::load_accepted(const std::string& machine, int32_t epoch) {
-  auto& newest = loaded_epochs_[machine];
-  newest = std::max(newest, epoch);
+void InvariantMonitor::record_accepted_load(const std::string& machine, int32_t epoch) {
+  auto& newest_epoch = newest_loaded_epochs_[machine];
+  newest_epoch = std::max(newest_epoch, epoch);
 }
 
-void InvariantMonitor::dispatched(TimePoint now, const DispatchFact& fact,
-                                  const std::map<std::string, SimulatedMachine>& machines) {
-  ++checks_;
-  const std::string group = "group " + std::to_string(fact.group.id) + " from " + fact.node;
-  if (fact.revision < in_force_) {
-    violation(now, "dispatch to " + group + " under revision " + std::to_string(fact.revision) + " after revision " +
-                       std::to_string(in_force_) + " was in force");
+void InvariantMonitor::check_dispatch(TimePoint now, const DispatchRecord& dispatch,
+                                      const std::map<std::string, SimulatedMachine>& machines) {
+  ++check_count_;
+  const std::string group = "group " + std::to_string(dispatch.group.id) + " from " + dispatch.node;
+  if (dispatch.revision < newest_revision_in_force_) {
+    add_violation(now, "dispatch to " + group + " under revision " + std::to_string(dispatch.revision) +
+                           " after revision " + std::to_string(newest_revision_in_force_) + " was in force");
   }
-  if (std::find(fact.permitted_zones.begin(), fact.permitted_zones.end(), fact.group.zone) ==
-      fact.permitted_zones.end()) {
-    violation(now, "dispatch for " + fact.tenant + " to " + group + " outside its zones: " + fact.group.zone);
+  if (std::find(dispatch.permitted_zones.begin(), dispatch.permitted_zones.end(), dispatch.group.zone) ==
+      dispatch.permitted_zones.end()) {
+    add_violation(now,
+                  "dispatch for " + dispatch.tenant + " to " + group + " outside its zones: " + dispatch.group.zone);
   }
-  for (size_t rank = 0; rank < fact.group.machines.size(); ++rank) {
-    const auto& id = fact.group.machines[rank];
+  for (size_t rank = 0; rank < dispatch.group.machines.size(); ++rank) {
+    const auto& id = dispatch.group.machines[rank];
     const auto& machine = machines.at(id);
-    if (!machine.available() && now > machine.unavailable_since + loss_bound_) {
-      violation(now, "dispatch to " + group + " long after " + id + " was lost");
+    if (!machine.available() && now > machine.unavailable_since + dispatch_after_loss_limit_) {
+      add_violation(now, "dispatch to " + group + " long after " + id + " was lost");
     }
-    const auto loaded = loaded_epochs_.find(id);
-    if (loaded != loaded_epochs_.end() && loaded->second > fact.group.epoch) {
-      violation(now, "dispatch to " + group + " while " + id + " already serves a newer epoch");
+    const auto loaded_epoch = newest_loaded_epochs_.find(id);
+    if (loaded_epoch != newest_loaded_epochs_.end() && loaded_epoch->second > dispatch.group.epoch) {
+      add_violation(now, "dispatch to " + group + " while " + id + " already serves a newer epoch");
     }
-    if (machine.leaving && now > machine.leaving_since + leaving_bound_) {
-      violation(now, "dispatch to " + group + " long after " + id + " began to leave");
+    if (machine.leaving && now > machine.leaving_since + dispatch_after_leave_limit_) {
+      add_violation(now, "dispatch to " + group + " long after " + id + " began to leave");
     }
   }
 }
 
-void InvariantMonitor::executed(TimePoint now, const std::string& request_id, const std::string& key) {
-  ++checks_;
-  ++executions_[request_id];
-  if (not_run_.contains(request_id)) {
-    violation(now, "request " + request_id + " ran after its caller was told that it did not");
+void InvariantMonitor::record_execution(TimePoint now, const std::string& request_id, const std::string& key) {
+  ++check_count_;
+  ++execution_counts_[request_id];
+  if (reported_not_run_.contains(request_id)) {
+    add_violation(now, "request " + request_id + " ran after its caller was told that it did not");
   }
   if (key.empty()) {
     return;
   }
-  auto& runs = executions_by_key_[key];
-  runs.insert(request_id);
-  if (runs.size() > 1 || executions_[request_id] > 1) {
-    violation(now, "unsafe request with key " + key + " ran twice");
+  auto& executed_requests = executed_requests_by_key_[key];
+  executed_requests.insert(request_id);
+  if (executed_requests.size() > 1 || execution_counts_[request_id] > 1) {
+    add_violation(now, "unsafe request with key " + key + " ran twice");
   }
 }
 
-void InvariantMonitor::told_not_run(TimePoint now, const std::string& request_id) {
-  ++checks_;
-  not_run_.insert(request_id);
-  if (executions_.contains(request_id)) {
-    violation(now, "caller told that " + request_id + " did not run, but it did");
+void InvariantMonitor::record_not_run_reply(TimePoint now, const std::string& request_id) {
+  ++check_count_;
+  reported_not_run_.insert(request_id);
+  if (execution_counts_.contains(request_id)) {
+    add_violation(now, "caller told that " + request_id + " did not run, but it did");
   }
 }
 
-void InvariantMonitor::told_answer(TimePoint now, const std::string& key, const std::string& answer) {
-  ++checks_;
-  const auto [entry, added] = answers_.try_emplace(key, answer);
-  if (!added && entry->second != answer) {
-    violation(now, "key " + key + " was answered with the work of two requests");
+void InvariantMonitor::record_answer(TimePoint now, const std::string& key, const std::string& answer) {
+  ++check_count_;
+  const auto [known, is_new] = answers_by_key_.try_emplace(key, answer);
+  if (!is_new && known->second != answer) {
+    add_violation(now, "key " + key + " was answered with the work of two requests");
   }
 }
 
-void InvariantMonitor::told_verdict(TimePoint now, const std::string& command_id, const wire::ChangeAnswer& answer) {
-  ++checks_;
-  const auto [entry, added] = verdicts_.try_emplace(command_id, answer);
-  if (!added && (entry->second.verdict != answer.verdict || entry->second.revision != answer.revision)) {
-    violation(now, "command " + command_id + " got two different answers: " + std::to_string(entry->second.verdict) +
-                       "@" + std::to_string(entry->second.revision) + " and " + std::to_string(answer.verdict) + "@" +
-                       std::to_string(answer.revision));
+void InvariantMonitor::record_verdict(TimePoint now, const std::string& command_id, const wire::ChangeAnswer& answer) {
+  ++check_count_;
+  const auto [known, is_new] = verdicts_by_command_.try_emplace(command_id, answer);
+  if (!is_new && (known->second.verdict != answer.verdict || known->second.revision != answer.revision)) {
+    add_violation(now, "command " + command_id + " got two different answers: " +
+                           std::to_string(known->second.verdict) + "@" + std::to_string(known->second.revision) +
+                           " and " + std::to_string(answer.verdict) + "@" + std::to_string(answer.revision));
   }
 }
 
-void InvariantMonitor::read_started(const std::string& key, int64_t read_id) {
-  read_floor_[read_id] = newest_read_[key];
+void InvariantMonitor::record_read_start(const std::string& key, int64_t read_id) {
+  minimum_read_revisions_[read_id] = newest_read_revisions_[key];
 }
 
-void InvariantMonitor::read_finished(TimePoint now, const std::string& key, int64_t read_id, int64_t revision) {
-  ++checks_;
-  const int64_t floor = read_floor_[read_id];
-  read_floor_.erase(read_id);
-  if (revision < floor) {
-    violation(now, "read of " + key + " went back from revision " + std::to_string(floor) + " to " +
-                       std::to_string(revision));
+void InvariantMonitor::record_read_result(TimePoint now, const std::string& key, int64_t read_id, int64_t revision) {
+  ++check_count_;
+  const int64_t minimum_revision = minimum_read_revisions_[read_id];
+  minimum_read_revisions_.erase(read_id);
+  if (revision < minimum_revision) {
+    add_violation(now, "read of " + key + " went back from revision " + std::to_string(minimum_revision) + " to " +
+                           std::to_string(revision));
   }
-  newest_read_[key] = std::max(newest_read_[key], revision);
+  newest_read_revisions_[key] = std::max(newest_read_revisions_[key], revision);
 }
 
 }  // namespace larchlever::simulation
--- a/src/simulation/placement_experiment.cc
+++ b/src/simulation/placement_experiment.cc
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr Duration kSample = milliseconds(500);
-constexpr Duration kSetUp = seconds(40);
+constexpr Duration kSampleInterval = milliseconds(500);
+constexpr Duration kSetupTime = seconds(40);
 
 /// Integrates downtime and stranded accelerators over virtual time.
 class PlacementMeter {
  public:
   explicit PlacementMeter(SimulatedFleet& fleet) : fleet_(fleet) {}
 
-  void sample(double seconds_passed) {
+  void add_sample(double elapsed_seconds) {
     const auto* leader = fleet_.leader();
     if (leader == nullptr) {
       return;
@@ -26,53 +26,55 @@
     const auto input = control::make_planning_input(state);
     std::map<std::string, int> missing_by_zone;
     for (const auto& demand : placement::desired_groups(input)) {
-      int serving = 0;
+      int serving_groups = 0;
       for (const auto& [id, group] : state.groups()) {
-        serving += group.template_name == demand.template_name && group.zone == demand.zone && serves(group) ? 1 : 0;
+        serving_groups +=
+            group.template_name == demand.template_name && group.zone == demand.zone && is_serving(group) ? 1 : 0;
       }
-      const int missing = std::max(0, demand.groups - serving);
-      missing_by_zone[demand.zone] += missing;
-      downtime_ += missing * seconds_passed;
+      const int missing_groups = std::max(0, demand.groups - serving_groups);
+      missing_by_zone[demand.zone] += missing_groups;
+      downtime_group_seconds_ += missing_groups * elapsed_seconds;
     }
     for (const auto& [id, machine] : state.machines()) {
-      const bool idle = machine.state == wire::MachineState::FREE && fleet_.machines().at(id).available();
-      if (idle && missing_by_zone[machine.zone] > 0) {
-        stranded_ += machine.accelerators * seconds_passed;
+      const bool is_idle = machine.state == wire::MachineState::FREE && fleet_.machines().at(id).available();
+      if (is_idle && missing_by_zone[machine.zone] > 0) {
+        stranded_accelerator_seconds_ += machine.accelerators * elapsed_seconds;
       }
     }
   }
 
-  double downtime() const { return downtime_; }
-  double stranded() const { return stranded_; }
+  double downtime_group_seconds() const { return downtime_group_seconds_; }
+  double stranded_accelerator_seconds() const { return stranded_accelerator_seconds_; }
 
  private:
-  bool serves(const wire::Group& group) const {
+  bool is_serving(const wire::Group& group) const {
     return group.state == wire::GroupState::SERVING &&
            std::all_of(group.machines.begin(), group.machines.end(),
                        [this](const auto& id) { return fleet_.machines().at(id).available(); });
   }
 
   SimulatedFleet& fleet_;
-  double downtime_ = 0;
-  double stranded_ = 0;
+  double downtime_group_seconds_ = 0;
+  double stranded_accelerator_seconds_ = 0;
 };
 
 /// Machines die one after the other and come back after their repair.
-class MachineFailures {
+class MachineFailureInjector {
  public:
-  MachineFailures(const Experiment& experiment, SimulatedFleet& fleet, uint64_t seed)
+  MachineFailureInjector(const Experiment& experiment, SimulatedFleet& fleet, uint64_t seed)
       : experiment_(experiment), fleet_(fleet), random_(seed) {}
 
-  void schedule() {
-    std::exponential_distribution<double> gap(1.0 / (static_cast<double>(experiment_.seconds_between_failures) * 1e6));
-    fleet_.queue().after(Duration(static_cast<int64_t>(gap(random_))), [this] {
-      fail_one();
-      schedule();
+  void schedule_next_failure() {
+    std::exponential_distribution<double> interval(
+        1.0 / (static_cast<double>(experiment_.mean_seconds_between_failures) * 1e6));
+    fleet_.queue().schedule_after(Duration(static_cast<int64_t>(interval(random_))), [this] {
+      fail_random_machine();
+      schedule_next_failure();
     });
   }
 
  private:
-  void fail_one() {
+  void fail_random_machine() {
     auto item = fleet_.machines().begin();
     std::advance(item, std::uniform_int_distribution<int>(0, static_cast<int>(fleet_.machines().size()) - 1)(random_));
     const std::string id = item->first;
@@ -80,9 +82,11 @@
       return;
     }
     item->second.die(fleet_.queue().now());
-    std::uniform_real_distribution<double> repair(0.5, 1.5);
-    const auto delay = static_cast<int64_t>(static_cast<double>(experiment_.repair_seconds) * 1e6 * repair(random_));
-    fleet_.queue().after(Duration(delay), [this, id] { fleet_.machines().at(id).come_back(fleet_.queue().now()); });
+    std::uniform_real_distribution<double> repair_factor(0.5, 1.5);
+    const auto delay =
+        static_cast<int64_t>(static_cast<double>(experiment_.mean_repair_seconds) * 1e6 * repair_factor(random_));
+    fleet_.queue().schedule_after(Duration(delay),
+                                  [this, id] { fleet_.machines().at(id).restart_empty(fleet_.queue().now()); });
   }
 
   const Experiment& experiment_;
@@ -92,25 +96,25 @@
 
 }  // namespace
 
-std::map<std::string, double> run_placement(const Experiment& experiment, const std::string& policy, int64_t weight,
-                                            uint64_t seed) {
+std::map<std::string, double> run_placement_trial(const Experiment& experiment, const std::string& policy,
+                                                  int64_t policy_downtime_weight, uint64_t seed) {
   EventQueue queue;
   InvariantMonitor monitor(milliseconds(3200), seconds(60));
-  FleetOptions options;
+  SimulatedFleetOptions options;
   options.zones = experiment.deployment.zones;
-  options.nodes = experiment.deployment.nodes;
-  options.disks = experiment.deployment.disks;
-  options.tick = milliseconds(50);
+  options.node_count = experiment.deployment.node_count;
+  options.disk_count = experiment.deployment.disk_count;
+  options.tick_interval = milliseconds(50);
   options.load_time = seconds(20);
   options.seed = seed;
   SimulatedFleet fleet(options, queue, monitor);
-  WorkloadOptions load;
-  load.tenants = {"none"};
-  Workload workload(load, fleet);
+  WorkloadOptions workload_options;
+  workload_options.tenants = {"none"};
+  Workload workload(workload_options, fleet);
   auto configuration = experiment.deployment.configuration;
   wire::FleetParameters parameters;
   parameters.placement_policy = policy;
-  parameters.downtime_weight = static_cast<int32_t>(weight);
+  parameters.downtime_weight = static_cast<int32_t>(policy_downtime_weight);
   parameters.max_concurrent_loads = 4;
   parameters.claim_window_seconds = 3600;
   std::erase_if(configuration, [](const auto& write) { return write.key == config::kFleetParametersKey; });
@@ -119,20 +123,20 @@
   write.value = wire::encode(parameters);
   configuration.push_back(write);
 
-  const auto never = [] { return false; };
+  const auto never_stop = [] { return false; };
   fleet.start();
-  queue.after(seconds(4), [&] { workload.configure(configuration, [] {}); });
-  queue.run_until(queue.now() + kSetUp * 3, never);
-  MachineFailures failures(experiment, fleet, seed * 31 + 7);
-  failures.schedule();
+  queue.schedule_after(seconds(4), [&] { workload.configure(configuration, [] {}); });
+  queue.run_until(queue.now() + kSetupTime * 3, never_stop);
+  MachineFailureInjector failures(experiment, fleet, seed * 31 + 7);
+  failures.schedule_next_failure();
   PlacementMeter meter(fleet);
   const TimePoint end = queue.now() + seconds(experiment.duration_seconds);
   while (queue.now() < end) {
-    queue.run_until(queue.now() + kSample, never);
-    meter.sample(static_cast<double>(kSample.count()) / 1e6);
+    queue.run_until(queue.now() + kSampleInterval, never_stop);
+    meter.add_sample(static_cast<double>(kSampleInterval.count()) / 1e6);
   }
-  return {{"downtime_group_seconds", meter.downtime()},
-          {"stranded_accelerator_seconds", meter.stranded()},
+  return {{"downtime_group_seconds", meter.downtime_group_seconds()},
+          {"stranded_accelerator_seconds", meter.stranded_accelerator_seconds()},
           {"violations", static_cast<double>(monitor.violations().size())}};
 }
 
--- a/src/simulation/registered_fleet.cc
+++ b/src/simulation/registered_fleet.cc
@@ -9,27 +9,27 @@
 
 namespace {
 
-constexpr int kControls = 5;
-constexpr int kEntries = 3;
-constexpr int kDomains = 3;
+constexpr int kControlReplicaCount = 5;
+constexpr int kEntryCount = 3;
+constexpr int kDomainCount = 3;
 constexpr int kServersPerDomain = 8;
-constexpr Duration kTick = milliseconds(20);
-constexpr Duration kBeatInterval = milliseconds(1200);
-constexpr Duration kPutInterval = milliseconds(2500);
-constexpr Duration kWarmJoin = milliseconds(200);
-constexpr Duration kColdJoin = seconds(3);
+constexpr Duration kTickInterval = milliseconds(20);
+constexpr Duration kHeartbeatInterval = milliseconds(1200);
+constexpr Duration kDocumentInterval = milliseconds(2500);
+constexpr Duration kWarmJoinTime = milliseconds(200);
+constexpr Duration kColdJoinTime = seconds(3);
 /// Two disks may be lost at once; the next one only once the repair had this time.
-constexpr Duration kWipeSpacing = seconds(8);
-constexpr size_t kToleratedLosses = 2;
+constexpr Duration kMinDiskLossInterval = seconds(8);
+constexpr size_t kToleratedReplicaLosses = 2;
 constexpr Duration kStateSaveInterval = milliseconds(400);
-constexpr Duration kReportInterval = seconds(1);
-constexpr const char* kZones[] = {"a", "b", "c"};
+constexpr Duration kTrafficReportInterval = seconds(1);
+constexpr const char* kZoneNames[] = {"a", "b", "c"};
 /// An operator waits for an answer before it sends an order again, gives it up after a while, and rests between orders.
-constexpr Duration kOrderRetry = seconds(1);
-constexpr Duration kOrderPatience = seconds(5);
-constexpr Duration kOrderPause = seconds(2);
+constexpr Duration kZoneOrderRetryInterval = seconds(1);
+constexpr Duration kZoneOrderTimeout = seconds(5);
+constexpr Duration kZoneOrderInterval = seconds(2);
 
-std::string document_text(int64_t version) {
+std::string make_document_json(int64_t version) {
   return R"({"version":)" + std::to_string(version) +
          R"(,"routes":[],"services":[{"name":"engines","health_path":"/","max_connections":100,"engine":{"slots":8,)"
          R"("models":[{"name":"large","size":4,"fraction":0.7},{"name":"small","size":2,"fraction":0.3}],)"
@@ -39,63 +39,64 @@
 }  // namespace
 
 RegisteredFleet::RegisteredFleet(const RegisteredFleetOptions& options)
-    : options_(options), random_(options.seed), operators_random_(options.seed) {
+    : options_(options), random_(options.seed), operator_random_(options.seed) {
   auto& fleet = options_.fleet;
-  fleet.minimum_voters = 2 * kToleratedLosses + 1;
+  fleet.minimum_voters = 2 * kToleratedReplicaLosses + 1;
   fleet.control.minimum_voters = fleet.minimum_voters;
   fleet.control.replica_timeout = milliseconds(1300);
   fleet.control.snapshot_interval_entries = 8;
   fleet.control.snapshot_trailing_entries = 2;
-  controls_.resize(kControls);
-  for (int number = 0; number < kControls; ++number) {
-    controls_[number].name = "10.0.0." + std::to_string(number + 1) + ":7000";
+  control_replicas_.resize(kControlReplicaCount);
+  for (int number = 0; number < kControlReplicaCount; ++number) {
+    control_replicas_[number].name = "10.0.0." + std::to_string(number + 1) + ":7000";
   }
-  for (int number = 0; number < kEntries; ++number) {
+  for (int number = 0; number < kEntryCount; ++number) {
     fleet::PeerIdentity identity;
     identity.peer_address = "10.0.1." + std::to_string(number + 1) + ":7000";
     identity.serves_requests = true;
     identity.incarnation = Incarnation(1);
     EntryNode entry;
     entry.name = identity.peer_address;
-    const std::vector<std::string> seeds = {controls_[0].name, controls_[1].name, controls_[2].name};
+    const std::vector<std::string> seeds = {control_replicas_[0].name, control_replicas_[1].name,
+                                            control_replicas_[2].name};
     entry.subscription = std::make_unique<fleet::FleetSubscription>(fleet, identity, seeds);
     entries_.push_back(std::move(entry));
   }
-  for (int number = 0; number < kDomains * kServersPerDomain; ++number) {
-    Place place;
-    place.address = "10.0.2." + std::to_string(number + 1) + ":80";
-    place.domain = "d" + std::to_string(number / kServersPerDomain);
-    place.zone = options_.operators_evacuate ? kZones[number / kServersPerDomain] : kZones[0];
-    places_.push_back(std::move(place));
+  for (int number = 0; number < kDomainCount * kServersPerDomain; ++number) {
+    ServerSlot slot;
+    slot.address = "10.0.2." + std::to_string(number + 1) + ":80";
+    slot.domain = "d" + std::to_string(number / kServersPerDomain);
+    slot.zone = options_.enable_zone_orders ? kZoneNames[number / kServersPerDomain] : kZoneNames[0];
+    server_slots_.push_back(std::move(slot));
   }
 }
 
-bool RegisteredFleet::chance(double probability) {
+bool RegisteredFleet::draw_bool(double probability) {
   return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
 }
 
-int64_t RegisteredFleet::draw(int64_t least, int64_t most) {
-  return std::uniform_int_distribution<int64_t>(least, most)(random_);
+int64_t RegisteredFleet::draw_integer(int64_t minimum, int64_t maximum) {
+  return std::uniform_int_distribution<int64_t>(minimum, maximum)(random_);
 }
 
-Duration RegisteredFleet::network_delay() { return microseconds(draw(300, 4000)); }
+Duration RegisteredFleet::draw_network_delay() { return microseconds(draw_integer(300, 4000)); }
 
-void RegisteredFleet::violate(const std::string& what) {
-  const auto at = std::chrono::duration_cast<milliseconds>(queue_.now().time_since_epoch()).count();
-  result_.violations.push_back("at " + std::to_string(at) + " ms: " + what);
+void RegisteredFleet::add_violation(const std::string& description) {
+  const auto elapsed_ms = std::chrono::duration_cast<milliseconds>(queue_.now().time_since_epoch()).count();
+  result_.violations.push_back("at " + std::to_string(elapsed_ms) + " ms: " + description);
 }
 
-void RegisteredFleet::trace(const std::string& what) const {
+void RegisteredFleet::trace(const std::string& description) const {
   if (options_.trace) {
-    const auto at = std::chrono::duration_cast<milliseconds>(queue_.now().time_since_epoch()).count();
-    options_.trace(std::to_string(at) + " ms " + what);
+    const auto elapsed_ms = std::chrono::duration_cast<milliseconds>(queue_.now().time_since_epoch()).count();
+    options_.trace(std::to_string(elapsed_ms) + " ms " + description);
   }
 }
 
 SimulatedInstance* RegisteredFleet::find_instance(const std::string& id) {
-  for (auto& place : places_) {
-    if (place.instance && place.instance->id() == id) {
-      return place.instance.get();
+  for (auto& slot : server_slots_) {
+    if (slot.instance && slot.instance->id() == id) {
+      return slot.instance.get();
     }
   }
   return nullptr;
@@ -103,38 +104,40 @@
 
 // ---------------------------------------------------------------- processes
 
-void RegisteredFleet::start_control(ControlNode& node) {
+void RegisteredFleet::start_control_replica(ControlReplica& node) {
   fleet::PeerIdentity identity;
   identity.peer_address = node.name;
   identity.control_address = node.name;
-  identity.incarnation = Incarnation(draw(1, 1'000'000'000));  // Clocks may be set back: no order in it.
-  const std::vector<std::string> seeds = {controls_[0].name, controls_[1].name, controls_[2].name};
+  identity.incarnation = Incarnation(draw_integer(1, 1'000'000'000));  // Clocks may be set back: no order in it.
+  const std::vector<std::string> seeds = {control_replicas_[0].name, control_replicas_[1].name,
+                                          control_replicas_[2].name};
   node.controller = std::make_unique<fleet::FleetController>(options_.fleet, identity, seeds, random_());
-  node.up = true;
-  ++node.life;
+  node.is_running = true;
+  ++node.process_generation;
   if (node.disk.replica_id() == ReplicaId()) {
-    node.disk.assign_identity(ReplicaId(draw(1, INT64_MAX - 1)));
+    node.disk.assign_identity(ReplicaId(draw_integer(1, INT64_MAX - 1)));
   }
   node.controller->restore_state(node.saved_state);
   start_replica(node);
   // The settings are those of the first start, however often a replica starts and whatever it lost.
   const bool is_seed = std::find(seeds.begin(), seeds.end(), node.name) != seeds.end();
-  if (is_seed && !holds_log(node)) {
+  if (is_seed && !has_log(node)) {
     node.controller->begin_cluster_formation(queue_.now(), node.founder_choice);
   }
 }
 
-bool RegisteredFleet::holds_log(const ControlNode& node) {
+bool RegisteredFleet::has_log(const ControlReplica& node) {
   return !node.disk.image().entries.empty() || node.disk.image().snapshot.index > 0;
 }
 
-void RegisteredFleet::start_replica(ControlNode& node) {
-  node.controller->start_replica(queue_.now(), node.disk.replica_id(), Incarnation(++node.boots), node.disk.image());
+void RegisteredFleet::start_replica(ControlReplica& node) {
+  node.controller->start_replica(queue_.now(), node.disk.replica_id(), Incarnation(++node.start_count),
+                                 node.disk.image());
 }
 
-void RegisteredFleet::found_cluster(ControlNode& node) {
+void RegisteredFleet::create_cluster_log(ControlReplica& node) {
   trace(node.name + " founds");
-  ++result_.logs_founded;
+  ++result_.created_logs;
   wire::ReplicaAddress founder;
   founder.replica_id = node.disk.replica_id().value();
   founder.node = node.name;
@@ -149,41 +152,42 @@
   start_replica(node);
 }
 
-void RegisteredFleet::stop_control(ControlNode& node, bool power_lost) {
+void RegisteredFleet::stop_control_replica(ControlReplica& node, bool lose_unsynced_writes) {
   trace(node.name + " stops");
-  node.up = false;
+  node.is_running = false;
   node.controller.reset();
   // Its next start counts its calls anew, and answers none of these.
   const auto is_of_node = [&node](const auto& call) { return call.first.first == node.name; };
-  std::erase_if(puts_, is_of_node);
+  std::erase_if(pending_documents_, is_of_node);
   std::erase_if(pending_zone_calls_, is_of_node);
-  node.disk.crash(power_lost ? static_cast<size_t>(draw(0, static_cast<int64_t>(node.disk.in_flight())))
-                             : node.disk.in_flight());
+  node.disk.crash(lose_unsynced_writes
+                      ? static_cast<size_t>(draw_integer(0, static_cast<int64_t>(node.disk.in_flight())))
+                      : node.disk.in_flight());
 }
 
-void RegisteredFleet::sync_disk(ControlNode& node, const consensus::RaftOutput& batch) {
+void RegisteredFleet::sync_disk(ControlReplica& node, const consensus::RaftOutput& batch) {
   node.disk.submit(batch);
-  const uint64_t life = node.life;
-  const auto acknowledge = [this, &node, life, batch] {
-    if (node.up && node.life == life) {
+  const uint64_t process_generation = node.process_generation;
+  const auto acknowledge = [this, &node, process_generation, batch] {
+    if (node.is_running && node.process_generation == process_generation) {
       node.controller->handle_storage_synced(queue_.now(), batch);
-      carry_outputs(node);
+      process_outputs(node);
     }
   };
-  const Duration sync_time = microseconds(draw(300, 6000));
-  if (options_.lying_disks) {
-    queue_.after(sync_time, acknowledge);
+  const Duration sync_time = microseconds(draw_integer(300, 6000));
+  if (options_.acknowledge_unsynced_writes) {
+    queue_.schedule_after(sync_time, acknowledge);
     return;  // Acknowledged, yet only in the cache.
   }
-  queue_.after(sync_time, [&node, life, acknowledge] {
-    if (node.up && node.life == life) {
+  queue_.schedule_after(sync_time, [&node, process_generation, acknowledge] {
+    if (node.is_running && node.process_generation == process_generation) {
       node.disk.sync_oldest();
       acknowledge();
     }
   });
 }
 
-void RegisteredFleet::carry_outputs(ControlNode& node) {
+void RegisteredFleet::process_outputs(ControlReplica& node) {
   auto outputs = node.controller->take_outputs();
   for (const auto& envelope : outputs.envelopes) {
     send(envelope);
@@ -199,53 +203,53 @@
     node.controller->founder_choice_stored();
   }
   if (outputs.create_log) {
-    found_cluster(node);
+    create_cluster_log(node);
   }
   for (const auto& reply : outputs.replies) {
     if (const auto zone_call = pending_zone_calls_.find({node.name, reply.id});
         zone_call != pending_zone_calls_.end()) {
       ZoneOrder& order = zone_orders_.at(zone_call->second);
       pending_zone_calls_.erase(zone_call);
-      if (reply.status == http_status::kOk && !order.acknowledged) {
+      if (reply.status == http_status::kOk && !order.acknowledged_at) {
         ++result_.evacuations_acknowledged;
-        order.acknowledged = queue_.now();
+        order.acknowledged_at = queue_.now();
       }
       continue;
     }
-    const auto put = puts_.find({node.name, reply.id});
-    if (put == puts_.end()) {
+    const auto pending_document = pending_documents_.find({node.name, reply.id});
+    if (pending_document == pending_documents_.end()) {
       continue;
     }
     if (reply.status == http_status::kOk) {
       ++result_.documents_acknowledged;
-      newest_acknowledged_ = std::max(newest_acknowledged_, put->second.version);
-      acknowledged_at_.try_emplace(put->second.version, queue_.now());
+      newest_acknowledged_version_ = std::max(newest_acknowledged_version_, pending_document->second.version);
+      document_acknowledged_at_.try_emplace(pending_document->second.version, queue_.now());
     }
-    puts_.erase(put);
+    pending_documents_.erase(pending_document);
   }
 }
 
 // ------------------------------------------------------------------ network
 
-bool RegisteredFleet::linked(const std::string& left, const std::string& right) const {
-  const auto is_cut = [this](const std::string& name) {
-    const auto control =
-        std::find_if(controls_.begin(), controls_.end(), [&](const auto& node) { return node.name == name; });
-    if (control != controls_.end()) {
-      return control->cut;
+bool RegisteredFleet::is_linked(const std::string& left, const std::string& right) const {
+  const auto is_node_isolated = [this](const std::string& name) {
+    const auto control = std::find_if(control_replicas_.begin(), control_replicas_.end(),
+                                      [&](const auto& node) { return node.name == name; });
+    if (control != control_replicas_.end()) {
+      return control->is_isolated;
     }
     const auto entry =
         std::find_if(entries_.begin(), entries_.end(), [&](const auto& node) { return node.name == name; });
-    return entry != entries_.end() && entry->cut;
+    return entry != entries_.end() && entry->is_isolated;
   };
-  return !is_cut(left) && !is_cut(right);
+  return !is_node_isolated(left) && !is_node_isolated(right);
 }
 
 void RegisteredFleet::send(const wire::Envelope& envelope) {
-  if (!linked(envelope.from_node, envelope.to_node) || (!calm_ && chance(0.005))) {
+  if (!is_linked(envelope.from_node, envelope.to_node) || (!faults_ended_ && draw_bool(0.005))) {
     return;
   }
-  queue_.after(network_delay(), [this, envelope] { deliver(envelope); });
+  queue_.schedule_after(draw_network_delay(), [this, envelope] { deliver(envelope); });
 }
 
 void RegisteredFleet::send_from(const EntryNode& entry, wire::Envelope envelope) {
@@ -264,13 +268,13 @@
 }
 
 void RegisteredFleet::deliver(const wire::Envelope& envelope) {
-  if (!linked(envelope.from_node, envelope.to_node)) {
+  if (!is_linked(envelope.from_node, envelope.to_node)) {
     return;
   }
-  for (auto& node : controls_) {
-    if (node.name == envelope.to_node && node.up) {
+  for (auto& node : control_replicas_) {
+    if (node.name == envelope.to_node && node.is_running) {
       node.controller->receive(queue_.now(), envelope);
-      carry_outputs(node);
+      process_outputs(node);
       return;
     }
   }
@@ -279,7 +283,7 @@
       continue;
     }
     auto received = envelope;
-    if (options_.entries_miss_evacuations) {
+    if (options_.entries_ignore_evacuations) {
       received.fleet_update.__isset.evacuations = false;
       received.fleet_update.evacuation_revision = 0;
     }
@@ -289,62 +293,62 @@
 
 // ------------------------------------------------------------------ servers
 
-int RegisteredFleet::execute(const fleet::InstanceOrder& order) {
+int RegisteredFleet::execute_instance_order(const fleet::InstanceOrder& order) {
   auto* instance = find_instance(order.instance_id);
   if (instance == nullptr) {
     return 0;
   }
   const bool staged =
       std::find(instance->staged().begin(), instance->staged().end(), order.model) != instance->staged().end();
-  const bool warm = staged || instance->model() == order.model;
+  const bool is_warm = staged || instance->model() == order.model;
   const bool was_open = instance->is_open_head();
-  const SimulatedInstance before = *instance;
-  const int status = instance->carry_out(queue_.now(), order, warm ? kWarmJoin : kColdJoin);
+  const SimulatedInstance instance_before = *instance;
+  const int status = instance->execute_order(queue_.now(), order, is_warm ? kWarmJoinTime : kColdJoinTime);
   trace("order " + std::to_string(static_cast<int>(order.kind)) + " of " + order.group + " at " + order.instance_id +
         " answered " + std::to_string(status));
   if (order.kind == fleet::OrderKind::kJoin && status == http_status::kAccepted) {
-    check_join(before, order);
+    check_join_order(instance_before, order);
   }
   if (instance->is_open_head() && !was_open) {
-    check_open(*instance);
+    check_opened_group(*instance);
     ++result_.groups_opened;
   }
   return status;
 }
 
-void RegisteredFleet::send_order(ControlNode& node, const fleet::InstanceOrder& order) {
-  const uint64_t life = node.life;
-  const auto answer = [this, &node, life, order](int status) {
-    if (node.up && node.life == life) {
+void RegisteredFleet::send_order(ControlReplica& node, const fleet::InstanceOrder& order) {
+  const uint64_t process_generation = node.process_generation;
+  const auto report_result = [this, &node, process_generation, order](int status) {
+    if (node.is_running && node.process_generation == process_generation) {
       fleet::InstanceOrderResult result;
       result.order = order;
       result.status = status;
       node.controller->handle_order_result(queue_.now(), result);
     }
   };
-  const auto place =
-      std::find_if(places_.begin(), places_.end(), [&](const auto& item) { return item.address == order.address; });
-  const bool reaches = place != places_.end() && place->reachable && !node.cut;
-  if (!calm_ && chance(options_.late_orders)) {
-    queue_.after(milliseconds(draw(2000, 12'000)), [this, order] { execute(order); });
-    queue_.after(milliseconds(800), [answer] { answer(0); });
+  const auto slot = std::find_if(server_slots_.begin(), server_slots_.end(),
+                                 [&](const auto& item) { return item.address == order.address; });
+  const bool is_reachable = slot != server_slots_.end() && slot->reachable && !node.is_isolated;
+  if (!faults_ended_ && draw_bool(options_.late_order_probability)) {
+    queue_.schedule_after(milliseconds(draw_integer(2000, 12'000)), [this, order] { execute_instance_order(order); });
+    queue_.schedule_after(milliseconds(800), [report_result] { report_result(0); });
     return;
   }
-  queue_.after(network_delay(), [this, order, answer, reaches] {
-    const int status = reaches ? execute(order) : 0;
-    queue_.after(network_delay(), [answer, status] { answer(status); });
+  queue_.schedule_after(draw_network_delay(), [this, order, report_result, is_reachable] {
+    const int status = is_reachable ? execute_instance_order(order) : 0;
+    queue_.schedule_after(draw_network_delay(), [report_result, status] { report_result(status); });
   });
 }
 
-void RegisteredFleet::beat(Place& place) {
-  if (!place.instance) {
+void RegisteredFleet::send_heartbeat(ServerSlot& slot) {
+  if (!slot.instance) {
     return;
   }
-  auto& node = controls_[static_cast<size_t>(draw(0, kControls - 1))];
-  const auto report = place.instance->report();
+  auto& node = control_replicas_[static_cast<size_t>(draw_integer(0, kControlReplicaCount - 1))];
+  const auto report = slot.instance->take_report();
   trace(report.id + " reports " + report.membership.group + " state " + std::to_string(report.membership.state) +
-        " to " + node.name + (node.up && !node.cut && place.reachable ? "" : ", lost"));
-  if (!node.up || node.cut || !place.reachable) {
+        " to " + node.name + (node.is_running && !node.is_isolated && slot.reachable ? "" : ", lost"));
+  if (!node.is_running || node.is_isolated || !slot.reachable) {
     return;
   }
   // As the parsed body would arrive: the controller reads JSON, so the report is written as such.
@@ -353,7 +357,7 @@
       {wire::MembershipState::JOINING, "joining"}, {wire::MembershipState::READY, "ready"},
       {wire::MembershipState::OPEN, "open"},       {wire::MembershipState::CLOSING, "closing"},
       {wire::MembershipState::BROKEN, "broken"},   {wire::MembershipState::NONE, ""}};
-  std::string body = R"({"service":"engines","address":")" + report.address + R"(","zone":")" + place.zone +
+  std::string body = R"({"service":"engines","address":")" + report.address + R"(","zone":")" + slot.zone +
                      R"(","version":"v1","slots":8,"cold_left_ms":0,"domain":")" + report.domain + R"(","state":")" +
                      (report.state == wire::InstanceState::READY ? "ready" : "draining") + R"(","call_seq":)" +
                      std::to_string(report.call_number) + R"(,"staged":[)";
@@ -371,51 +375,53 @@
   call.instance_id = report.id;
   call.body = std::move(body);
   node.controller->submit_call(queue_.now(), std::move(call));
-  carry_outputs(node);
+  process_outputs(node);
 }
 
-void RegisteredFleet::keep_beating(Place& place) {
-  beat(place);
-  queue_.after(kBeatInterval, [this, &place] { keep_beating(place); });
+void RegisteredFleet::send_periodic_heartbeats(ServerSlot& slot) {
+  send_heartbeat(slot);
+  queue_.schedule_after(kHeartbeatInterval, [this, &slot] { send_periodic_heartbeats(slot); });
 }
 
 // ------------------------------------------------------------------- checks
 
-void RegisteredFleet::check_join(const SimulatedInstance& instance, const fleet::InstanceOrder& order) {
+void RegisteredFleet::check_join_order(const SimulatedInstance& instance, const fleet::InstanceOrder& order) {
   if (instance.membership().group == order.group || instance.members().empty()) {
     return;
   }
   auto* head = find_instance(instance.members().front());
-  const bool same = head != nullptr && head->membership().group == instance.membership().group &&
-                    head->membership().epoch == instance.membership().epoch;
-  if (same && head->is_open_head() && head->id() != instance.id()) {
-    violate("TWO: " + instance.id() + " takes a join to " + order.group + " while the head of " +
-            instance.membership().group + " is open");
+  const bool is_same_group = head != nullptr && head->membership().group == instance.membership().group &&
+                             head->membership().epoch == instance.membership().epoch;
+  if (is_same_group && head->is_open_head() && head->id() != instance.id()) {
+    add_violation("TWO: " + instance.id() + " takes a join to " + order.group + " while the head of " +
+                  instance.membership().group + " is open");
   }
 }
 
-void RegisteredFleet::check_open(const SimulatedInstance& head) {
+void RegisteredFleet::check_opened_group(const SimulatedInstance& head) {
   for (const auto& member : head.members()) {
-    if (!ever_ready_.contains({member + "/" + head.membership().group, head.membership().epoch})) {
-      violate("PARTIAL: " + head.membership().group + " opens though " + member + " was never ready");
+    if (!ready_memberships_.contains({member + "/" + head.membership().group, head.membership().epoch})) {
+      add_violation("PARTIAL: " + head.membership().group + " opens though " + member + " was never ready");
     }
   }
 }
 
-const RegisteredFleet::ZoneOrder* RegisteredFleet::settled_order(const std::string& zone, Duration age) const {
+const RegisteredFleet::ZoneOrder* RegisteredFleet::find_acknowledged_order(const std::string& zone,
+                                                                           Duration minimum_age) const {
   const auto last = std::find_if(zone_orders_.rbegin(), zone_orders_.rend(),
                                  [&zone](const auto& order) { return order.zone == zone; });
-  const bool is_settled =
-      last != zone_orders_.rend() && last->acknowledged && queue_.now() - *last->acknowledged >= age;
-  return is_settled ? &*last : nullptr;
+  const bool is_acknowledged =
+      last != zone_orders_.rend() && last->acknowledged_at && queue_.now() - *last->acknowledged_at >= minimum_age;
+  return is_acknowledged ? &*last : nullptr;
 }
 
-void RegisteredFleet::check_evacuations(const std::string& who, const wire::ZoneEvacuations& held, Duration age) {
-  for (const std::string zone : kZones) {
-    const auto* order = settled_order(zone, age);
-    if (order != nullptr && fleet::is_evacuated(held, zone) != order->begins) {
-      violate("EVACUATION: " + who + " goes against the order that " + zone + " be " +
-              (order->begins ? "evacuated" : "restored"));
+void RegisteredFleet::check_evacuations(const std::string& node_name, const wire::ZoneEvacuations& node_evacuations,
+                                        Duration minimum_age) {
+  for (const std::string zone : kZoneNames) {
+    const auto* order = find_acknowledged_order(zone, minimum_age);
+    if (order != nullptr && fleet::is_evacuated(node_evacuations, zone) != order->is_evacuation) {
+      add_violation("EVACUATION: " + node_name + " goes against the order that " + zone + " be " +
+                    (order->is_evacuation ? "evacuated" : "restored"));
     }
   }
 }
@@ -427,151 +433,155 @@
       continue;
     }
     check_evacuations(entry.name, entry.subscription->evacuations(), options_.fleet.document_lease);
-    for (const auto& [version, at] : acknowledged_at_) {
-      const bool due = queue_.now() - at > options_.fleet.document_lease;
-      if (due && entry.subscription->document_version() < version) {
-        violate("LEASE: " + entry.name + " serves by version " +
-                std::to_string(entry.subscription->document_version()) + " long after " + std::to_string(version));
+    for (const auto& [version, acknowledgement_time] : document_acknowledged_at_) {
+      const bool is_lease_expired = queue_.now() - acknowledgement_time > options_.fleet.document_lease;
+      if (is_lease_expired && entry.subscription->document_version() < version) {
+        add_violation("LEASE: " + entry.name + " serves by version " +
+                      std::to_string(entry.subscription->document_version()) + " long after " +
+                      std::to_string(version));
         return;
       }
     }
   }
 }
 
-void RegisteredFleet::check_rest() {
+void RegisteredFleet::check_final_state() {
   size_t leaders = 0;
   bool are_all_evacuated = false;
-  for (const auto& node : controls_) {
-    if (!node.up || !node.controller->is_leader(queue_.now())) {
+  for (const auto& node : control_replicas_) {
+    if (!node.is_running || !node.controller->is_leader(queue_.now())) {
       continue;
     }
     ++leaders;
-    if (node.controller->log().document_version() < newest_acknowledged_) {
-      violate("LOST: version " + std::to_string(newest_acknowledged_) + " was acknowledged, the leader holds " +
-              std::to_string(node.controller->log().document_version()));
+    if (node.controller->log().document_version() < newest_acknowledged_version_) {
+      add_violation("LOST: version " + std::to_string(newest_acknowledged_version_) +
+                    " was acknowledged, the leader holds " + std::to_string(node.controller->log().document_version()));
     }
     const auto& evacuations = node.controller->log().evacuations();
     check_evacuations(node.name, evacuations, Duration::zero());
     // Nothing forms then, and faults may have ended every group.
-    are_all_evacuated = evacuations.zones.size() == std::size(kZones);
+    are_all_evacuated = evacuations.zones.size() == std::size(kZoneNames);
     for (const auto& group : node.controller->leader_view().groups()) {
-      result_.open_at_end += group.phase == wire::GroupPhase::OPEN ? 1 : 0;
+      result_.open_groups_at_end += group.phase == wire::GroupPhase::OPEN ? 1 : 0;
     }
   }
-  if (result_.logs_founded != 1) {
-    violate("FORMATION: " + std::to_string(result_.logs_founded) + " logs were founded");
+  if (result_.created_logs != 1) {
+    add_violation("FORMATION: " + std::to_string(result_.created_logs) + " logs were founded");
   }
   if (leaders != 1) {
-    violate("REST: " + std::to_string(leaders) + " leaders after the faults ended");
+    add_violation("REST: " + std::to_string(leaders) + " leaders after the faults ended");
   }
   for (const auto& entry : entries_) {
-    if (!entry.subscription->has_lease(queue_.now()) || entry.subscription->document_version() < newest_acknowledged_) {
-      violate("REST: " + entry.name + " does not serve by the newest document");
+    if (!entry.subscription->has_lease(queue_.now()) ||
+        entry.subscription->document_version() < newest_acknowledged_version_) {
+      add_violation("REST: " + entry.name + " does not serve by the newest document");
     }
   }
-  if (result_.open_at_end == 0 && !are_all_evacuated) {
-    violate("REST: no group is open");
+  if (result_.open_groups_at_end == 0 && !are_all_evacuated) {
+    add_violation("REST: no group is open");
   }
 }
 
 // ------------------------------------------------------------------- faults
 
-void RegisteredFleet::strike_control() {
-  auto& node = controls_[static_cast<size_t>(draw(0, kControls - 1))];
-  const size_t down = static_cast<size_t>(
-      std::count_if(controls_.begin(), controls_.end(), [](const auto& item) { return !item.up || item.cut; }));
-  const int64_t kind = draw(0, 5);
+void RegisteredFleet::inject_control_fault() {
+  auto& node = control_replicas_[static_cast<size_t>(draw_integer(0, kControlReplicaCount - 1))];
+  const size_t unavailable_replicas =
+      static_cast<size_t>(std::count_if(control_replicas_.begin(), control_replicas_.end(),
+                                        [](const auto& item) { return !item.is_running || item.is_isolated; }));
+  const int64_t kind = draw_integer(0, 5);
   if (kind == 0) {  // All of them at once; their disks survive.
-    for (auto& each : controls_) {
-      if (each.up) {
-        stop_control(each, chance(0.5));
+    for (auto& replica : control_replicas_) {
+      if (replica.is_running) {
+        stop_control_replica(replica, draw_bool(0.5));
       }
-      queue_.after(milliseconds(draw(100, 900)), [this, &each] {
-        if (!each.up) {
-          start_control(each);
+      queue_.schedule_after(milliseconds(draw_integer(100, 900)), [this, &replica] {
+        if (!replica.is_running) {
+          start_control_replica(replica);
         }
       });
     }
     return;
   }
-  if (!node.up || node.cut || down >= kToleratedLosses) {
+  if (!node.is_running || node.is_isolated || unavailable_replicas >= kToleratedReplicaLosses) {
     return;
   }
   if (kind == 1) {
-    node.cut = true;
-    queue_.after(milliseconds(draw(500, 6000)), [&node] { node.cut = false; });
+    node.is_isolated = true;
+    queue_.schedule_after(milliseconds(draw_integer(500, 6000)), [&node] { node.is_isolated = false; });
     return;
   }
-  const bool wipe = kind == 2 && (last_wipe_ == TimePoint::min() || queue_.now() - last_wipe_ > kWipeSpacing);
-  stop_control(node, true);
-  if (wipe) {
-    last_wipe_ = queue_.now();
-    node.disk.lose();
+  const bool loses_disk =
+      kind == 2 && (last_disk_loss_ == TimePoint::min() || queue_.now() - last_disk_loss_ > kMinDiskLossInterval);
+  stop_control_replica(node, true);
+  if (loses_disk) {
+    last_disk_loss_ = queue_.now();
+    node.disk.replace_with_empty();
     node.saved_state = {};
     node.founder_choice.clear();
   }
-  queue_.after(milliseconds(draw(100, 3000)), [this, &node] {
-    if (!node.up) {
-      start_control(node);
+  queue_.schedule_after(milliseconds(draw_integer(100, 3000)), [this, &node] {
+    if (!node.is_running) {
+      start_control_replica(node);
     }
   });
 }
 
-void RegisteredFleet::strike_server() {
-  auto& place = places_[static_cast<size_t>(draw(0, std::ssize(places_) - 1))];
-  if (!place.instance) {
+void RegisteredFleet::inject_server_fault() {
+  auto& slot = server_slots_[static_cast<size_t>(draw_integer(0, std::ssize(server_slots_) - 1))];
+  if (!slot.instance) {
     return;
   }
-  if (chance(0.3)) {  // Cut off from control, while it goes on.
-    place.reachable = false;
-    queue_.after(milliseconds(draw(1000, 9000)), [&place] { place.reachable = true; });
+  if (draw_bool(0.3)) {  // Cut off from control, while it goes on.
+    slot.reachable = false;
+    queue_.schedule_after(milliseconds(draw_integer(1000, 9000)), [&slot] { slot.reachable = true; });
     return;
   }
-  trace(place.instance->id() + " dies");
-  place.staged = place.instance->staged();
-  place.instance.reset();
-  queue_.after(milliseconds(draw(300, 8000)), [this, &place] {
-    place.instance = std::make_unique<SimulatedInstance>("i" + std::to_string(next_instance_++), place.address,
-                                                         place.domain, place.staged);
+  trace(slot.instance->id() + " dies");
+  slot.staged = slot.instance->staged();
+  slot.instance.reset();
+  queue_.schedule_after(milliseconds(draw_integer(300, 8000)), [this, &slot] {
+    slot.instance = std::make_unique<SimulatedInstance>("i" + std::to_string(next_instance_++), slot.address,
+                                                        slot.domain, slot.staged);
   });
 }
 
-void RegisteredFleet::strike() {
-  if (calm_) {
+void RegisteredFleet::inject_fault() {
+  if (faults_ended_) {
     return;
   }
   ++result_.faults;
-  const int64_t kind = draw(0, 9);
+  const int64_t kind = draw_integer(0, 9);
   if (kind < 4) {
-    strike_control();
+    inject_control_fault();
   } else if (kind < 9) {
-    strike_server();
+    inject_server_fault();
   } else {
-    auto& entry = entries_[static_cast<size_t>(draw(0, kEntries - 1))];
-    entry.cut = true;
-    queue_.after(milliseconds(draw(500, 9000)), [&entry] { entry.cut = false; });
+    auto& entry = entries_[static_cast<size_t>(draw_integer(0, kEntryCount - 1))];
+    entry.is_isolated = true;
+    queue_.schedule_after(milliseconds(draw_integer(500, 9000)), [&entry] { entry.is_isolated = false; });
   }
-  const auto mean = std::chrono::duration<double>(options_.mean_fault_interval).count();
-  const double wait = std::exponential_distribution<double>(1.0 / mean)(random_);
-  queue_.after(Duration(static_cast<int64_t>(wait * 1e6)), [this] { strike(); });
+  const auto mean_seconds = std::chrono::duration<double>(options_.mean_fault_interval).count();
+  const double interval_seconds = std::exponential_distribution<double>(1.0 / mean_seconds)(random_);
+  queue_.schedule_after(Duration(static_cast<int64_t>(interval_seconds * 1e6)), [this] { inject_fault(); });
 }
 
-void RegisteredFleet::heal_all() {
-  calm_ = true;
-  for (auto& node : controls_) {
-    node.cut = false;
-    if (!node.up) {
-      start_control(node);
+void RegisteredFleet::repair_all() {
+  faults_ended_ = true;
+  for (auto& node : control_replicas_) {
+    node.is_isolated = false;
+    if (!node.is_running) {
+      start_control_replica(node);
     }
   }
   for (auto& entry : entries_) {
-    entry.cut = false;
+    entry.is_isolated = false;
   }
-  for (auto& place : places_) {
-    place.reachable = true;
-    if (!place.instance) {
-      place.instance = std::make_unique<SimulatedInstance>("i" + std::to_string(next_instance_++), place.address,
-                                                           place.domain, place.staged);
+  for (auto& slot : server_slots_) {
+    slot.reachable = true;
+    if (!slot.instance) {
+      slot.instance = std::make_unique<SimulatedInstance>("i" + std::to_string(next_instance_++), slot.address,
+                                                          slot.domain, slot.staged);
     }
   }
 }
@@ -579,69 +589,69 @@
 // --------------------------------------------------------------------- time
 
 void RegisteredFleet::put_document(int64_t version) {
-  auto& node = controls_[static_cast<size_t>(draw(0, kControls - 1))];
-  if (node.up && !node.cut) {
+  auto& node = control_replicas_[static_cast<size_t>(draw_integer(0, kControlReplicaCount - 1))];
+  if (node.is_running && !node.is_isolated) {
     wire::ControlCall call;
     call.kind = wire::ControlCallKind::PUT_DOCUMENT;
-    call.body = document_text(version);
+    call.body = make_document_json(version);
     const int64_t id = node.controller->submit_call(queue_.now(), std::move(call));
-    puts_[{node.name, id}] = {version};
-    carry_outputs(node);
+    pending_documents_[{node.name, id}] = {version};
+    process_outputs(node);
   }
-  const bool again = !acknowledged_at_.contains(version) && next_version_ == version + 1;
-  queue_.after(again ? milliseconds(400) : kPutInterval, [this, again, version] {
-    if (!calm_ || again) {
-      put_document(again ? version : next_version_++);
+  const bool is_retry = !document_acknowledged_at_.contains(version) && next_version_ == version + 1;
+  queue_.schedule_after(is_retry ? milliseconds(400) : kDocumentInterval, [this, is_retry, version] {
+    if (!faults_ended_ || is_retry) {
+      put_document(is_retry ? version : next_version_++);
     }
   });
 }
 
-void RegisteredFleet::begin_zone_order() {
+void RegisteredFleet::start_zone_order() {
   ZoneOrder order;
-  order.zone = kZones[operators_random_() % std::size(kZones)];
+  order.zone = kZoneNames[operator_random_() % std::size(kZoneNames)];
   const auto last = std::find_if(zone_orders_.rbegin(), zone_orders_.rend(),
                                  [&order](const auto& other) { return other.zone == order.zone; });
-  order.begins = last == zone_orders_.rend() || !last->begins;
-  order.first_sent = queue_.now();
+  order.is_evacuation = last == zone_orders_.rend() || !last->is_evacuation;
+  order.first_sent_at = queue_.now();
   zone_orders_.push_back(order);
   send_zone_order();
 }
 
 void RegisteredFleet::send_zone_order() {
   const ZoneOrder& order = zone_orders_.back();
-  const bool is_over = order.acknowledged || queue_.now() - order.first_sent > kOrderPatience;
-  if (is_over) {
-    if (!calm_) {
-      queue_.after(kOrderPause, [this] { begin_zone_order(); });
+  const bool is_finished = order.acknowledged_at || queue_.now() - order.first_sent_at > kZoneOrderTimeout;
+  if (is_finished) {
+    if (!faults_ended_) {
+      queue_.schedule_after(kZoneOrderInterval, [this] { start_zone_order(); });
     }
     return;
   }
-  auto& node = controls_[operators_random_() % kControls];
-  if (node.up && !node.cut) {
+  auto& node = control_replicas_[operator_random_() % kControlReplicaCount];
+  if (node.is_running && !node.is_isolated) {
     wire::ControlCall call;
-    call.kind = order.begins ? wire::ControlCallKind::EVACUATE_ZONE : wire::ControlCallKind::RESTORE_ZONE;
+    call.kind = order.is_evacuation ? wire::ControlCallKind::EVACUATE_ZONE : wire::ControlCallKind::RESTORE_ZONE;
     call.zone = order.zone;
     const int64_t id = node.controller->submit_call(queue_.now(), std::move(call));
     pending_zone_calls_[{node.name, id}] = zone_orders_.size() - 1;
-    carry_outputs(node);
+    process_outputs(node);
   }
-  queue_.after(kOrderRetry, [this] { send_zone_order(); });
+  queue_.schedule_after(kZoneOrderRetryInterval, [this] { send_zone_order(); });
 }
 
 void RegisteredFleet::tick() {
   const TimePoint now = queue_.now();
-  for (auto& node : controls_) {
-    if (!node.up) {
+  for (auto& node : control_replicas_) {
+    if (!node.is_running) {
       continue;
     }
     node.controller->tick(now);
-    if (now - node.saved_at > kStateSaveInterval) {
-      node.saved_at = now;
+    if (now - node.state_saved_at > kStateSaveInterval) {
+      node.state_saved_at = now;
       node.saved_state = node.controller->subscription().state();
     }
-    carry_outputs(node);
+    process_outputs(node);
     if (node.controller->needs_new_identity()) {
-      node.disk.assign_identity(ReplicaId(draw(1, INT64_MAX - 1)));
+      node.disk.assign_identity(ReplicaId(draw_integer(1, INT64_MAX - 1)));
       node.founder_choice.clear();
       start_replica(node);
     }
@@ -650,58 +660,59 @@
     if (auto heartbeat = entry.subscription->tick(now, {})) {
       send_from(entry, std::move(*heartbeat));
     }
-    if (now - entry.reported_at > kReportInterval) {
-      entry.reported_at = now;
+    if (now - entry.traffic_reported_at > kTrafficReportInterval) {
+      entry.traffic_reported_at = now;
       report_traffic(entry);
     }
   }
-  for (auto& place : places_) {
-    if (!place.instance) {
+  for (auto& slot : server_slots_) {
+    if (!slot.instance) {
       continue;
     }
-    auto& instance = *place.instance;
+    auto& instance = *slot.instance;
     instance.advance(now);
     const auto& membership = instance.membership();
     if (membership.state == wire::MembershipState::READY) {
-      ever_ready_.emplace(instance.id() + "/" + membership.group, membership.epoch);
+      ready_memberships_.emplace(instance.id() + "/" + membership.group, membership.epoch);
     }
     for (const auto& id : instance.members()) {
       auto* member = find_instance(id);
-      const bool present = member != nullptr && member->membership().group == membership.group &&
-                           member->membership().epoch == membership.epoch;
-      if (!present) {
-        instance.note_incomplete(now, options_.server_stall);
+      const bool is_present = member != nullptr && member->membership().group == membership.group &&
+                              member->membership().epoch == membership.epoch;
+      if (!is_present) {
+        instance.handle_missing_member(now, options_.head_stall_time);
       }
     }
-    if (instance.has_news()) {
-      beat(place);
+    if (instance.has_unreported_changes()) {
+      send_heartbeat(slot);
     }
   }
   check_leases();
-  queue_.after(kTick, [this] { tick(); });
+  queue_.schedule_after(kTickInterval, [this] { tick(); });
 }
 
 RegisteredFleetResult RegisteredFleet::run() {
-  for (size_t number = 0; number < controls_.size(); ++number) {
-    queue_.after(milliseconds(draw(0, 300)), [this, number] { start_control(controls_[number]); });
-  }
-  for (auto& place : places_) {
-    place.instance = std::make_unique<SimulatedInstance>("i" + std::to_string(next_instance_++), place.address,
-                                                         place.domain, std::vector<std::string>());
-    const Duration offset = milliseconds(draw(0, 1200));
-    queue_.after(offset, [this, &place] { keep_beating(place); });
-  }
-  queue_.after(kTick, [this] { tick(); });
-  queue_.after(milliseconds(600), [this] { put_document(next_version_++); });
-  queue_.after(seconds(6), [this] { strike(); });
-  if (options_.operators_evacuate) {
-    queue_.after(seconds(6), [this] { begin_zone_order(); });
-  }
-  queue_.after(options_.fault_time, [this] { heal_all(); });
-  const auto stop = [this] { return !result_.violations.empty(); };
-  queue_.run_until(TimePoint(options_.fault_time + options_.calm_time), stop);
+  for (size_t number = 0; number < control_replicas_.size(); ++number) {
+    queue_.schedule_after(milliseconds(draw_integer(0, 300)),
+                          [this, number] { start_control_replica(control_replicas_[number]); });
+  }
+  for (auto& slot : server_slots_) {
+    slot.instance = std::make_unique<SimulatedInstance>("i" + std::to_string(next_instance_++), slot.address,
+                                                        slot.domain, std::vector<std::string>());
+    const Duration offset = milliseconds(draw_integer(0, 1200));
+    queue_.schedule_after(offset, [this, &slot] { send_periodic_heartbeats(slot); });
+  }
+  queue_.schedule_after(kTickInterval, [this] { tick(); });
+  queue_.schedule_after(milliseconds(600), [this] { put_document(next_version_++); });
+  queue_.schedule_after(seconds(6), [this] { inject_fault(); });
+  if (options_.enable_zone_orders) {
+    queue_.schedule_after(seconds(6), [this] { start_zone_order(); });
+  }
+  queue_.schedule_after(options_.fault_duration, [this] { repair_all(); });
+  const auto should_stop = [this] { return !result_.violations.empty(); };
+  queue_.run_until(TimePoint(options_.fault_duration + options_.recovery_duration), should_stop);
   if (result_.violations.empty()) {
-    check_rest();
+    check_final_state();
   }
   return result_;
 }
--- a/src/simulation/registered_fleet.h
+++ b/src/simulation/registered_fleet.h
@@ -20,20 +20,20 @@
 struct RegisteredFleetOptions {
   uint64_t seed = 1;
   /// Faults strike during this time; then everything is repaired and the fleet must come to rest.
-  Duration fault_time = seconds(60);
-  Duration calm_time = seconds(40);
+  Duration fault_duration = seconds(60);
+  Duration recovery_duration = seconds(40);
   Duration mean_fault_interval = milliseconds(900);
   /// Share of the orders that get no answer and are carried out seconds later.
-  double late_orders = 0.25;
+  double late_order_probability = 0.25;
   fleet::FleetOptions fleet;
   /// How long a head that misses a member really stands still before it is broken.
-  Duration server_stall = seconds(5);
+  Duration head_stall_time = seconds(5);
   /// Operators evacuate and restore zones, one order after the other.
-  bool operators_evacuate = false;
+  bool enable_zone_orders = false;
   /// Planted defects, to show that the checks find them.
   bool entries_ignore_leases = false;
-  bool entries_miss_evacuations = false;
-  bool lying_disks = false;
+  bool entries_ignore_evacuations = false;
+  bool acknowledge_unsynced_writes = false;
   /// If set, told of every order carried out, every report and every fault.
   std::function<void(const std::string&)> trace;
 };
@@ -44,8 +44,8 @@
   uint64_t evacuations_acknowledged = 0;
   uint64_t groups_opened = 0;
   uint64_t faults = 0;
-  uint64_t open_at_end = 0;
-  uint64_t logs_founded = 0;
+  uint64_t open_groups_at_end = 0;
+  uint64_t created_logs = 0;
 };
 
 /// A registered fleet in virtual time: five control replicas and three entries run the daemon's own FleetController and
@@ -65,29 +65,29 @@
   RegisteredFleetResult run();
 
  private:
-  struct ControlNode {
+  struct ControlReplica {
     std::string name;
     std::unique_ptr<fleet::FleetController> controller;
     VirtualDisk disk;
-    int64_t boots = 0;
+    int64_t start_count = 0;
     int64_t next_replica = 0;
     /// Kept on its disk while the fleet forms.
     std::string founder_choice;
-    uint64_t life = 0;
+    uint64_t process_generation = 0;
     /// The fleet's state as last kept on disk, and when.
     wire::FleetState saved_state;
-    TimePoint saved_at{};
-    bool up = false;
-    bool cut = false;
+    TimePoint state_saved_at{};
+    bool is_running = false;
+    bool is_isolated = false;
   };
   struct EntryNode {
     std::string name;
     std::unique_ptr<fleet::FleetSubscription> subscription;
-    TimePoint reported_at{};
-    bool cut = false;
+    TimePoint traffic_reported_at{};
+    bool is_isolated = false;
   };
   /// A server's place: its address outlives each start.
-  struct Place {
+  struct ServerSlot {
     std::string address;
     std::string domain;
     std::string zone;
@@ -95,79 +95,80 @@
     bool reachable = true;
     std::vector<std::string> staged;
   };
-  struct PendingPut {
+  struct PendingDocument {
     int64_t version = 0;
   };
   /// An operator's order on a zone, sent again until it is acknowledged or its time is over.
   struct ZoneOrder {
     std::string zone;
-    bool begins = false;
-    TimePoint first_sent{};
-    std::optional<TimePoint> acknowledged;
+    bool is_evacuation = false;
+    TimePoint first_sent_at{};
+    std::optional<TimePoint> acknowledged_at;
   };
 
-  bool chance(double probability);
-  int64_t draw(int64_t least, int64_t most);
-  Duration network_delay();
-  bool linked(const std::string& left, const std::string& right) const;
+  bool draw_bool(double probability);
+  int64_t draw_integer(int64_t minimum, int64_t maximum);
+  Duration draw_network_delay();
+  bool is_linked(const std::string& left, const std::string& right) const;
 
-  void start_control(ControlNode& node);
-  void start_replica(ControlNode& node);
-  void found_cluster(ControlNode& node);
-  static bool holds_log(const ControlNode& node);
-  void stop_control(ControlNode& node, bool power_lost);
-  void carry_outputs(ControlNode& node);
-  void sync_disk(ControlNode& node, const consensus::RaftOutput& batch);
+  void start_control_replica(ControlReplica& node);
+  void start_replica(ControlReplica& node);
+  void create_cluster_log(ControlReplica& node);
+  static bool has_log(const ControlReplica& node);
+  void stop_control_replica(ControlReplica& node, bool lose_unsynced_writes);
+  void process_outputs(ControlReplica& node);
+  void sync_disk(ControlReplica& node, const consensus::RaftOutput& batch);
   void deliver(const wire::Envelope& envelope);
   void send(const wire::Envelope& envelope);
   void send_from(const EntryNode& entry, wire::Envelope envelope);
   void report_traffic(const EntryNode& entry);
-  void send_order(ControlNode& node, const fleet::InstanceOrder& order);
-  int execute(const fleet::InstanceOrder& order);
+  void send_order(ControlReplica& node, const fleet::InstanceOrder& order);
+  int execute_instance_order(const fleet::InstanceOrder& order);
   void tick();
-  void beat(Place& place);
+  void send_heartbeat(ServerSlot& slot);
   /// Sends a heartbeat now and at every interval from now on.
-  void keep_beating(Place& place);
+  void send_periodic_heartbeats(ServerSlot& slot);
   void put_document(int64_t version);
-  void begin_zone_order();
+  void start_zone_order();
   void send_zone_order();
   /// The last order on the zone, if it was acknowledged at least `age` ago.
-  const ZoneOrder* settled_order(const std::string& zone, Duration age) const;
+  const ZoneOrder* find_acknowledged_order(const std::string& zone, Duration minimum_age) const;
   /// Compares what somebody holds with the orders acknowledged at least `age` ago.
-  void check_evacuations(const std::string& who, const wire::ZoneEvacuations& held, Duration age);
-  void strike();
-  void strike_control();
-  void strike_server();
-  void heal_all();
+  void check_evacuations(const std::string& node_name, const wire::ZoneEvacuations& node_evacuations,
+                         Duration minimum_age);
+  void inject_fault();
+  void inject_control_fault();
+  void inject_server_fault();
+  void repair_all();
 
-  void check_join(const SimulatedInstance& instance, const fleet::InstanceOrder& order);
-  void check_open(const SimulatedInstance& head);
+  void check_join_order(const SimulatedInstance& instance, const fleet::InstanceOrder& order);
+  void check_opened_group(const SimulatedInstance& head);
   void check_leases();
-  void check_rest();
+  void check_final_state();
   SimulatedInstance* find_instance(const std::string& id);
-  void violate(const std::string& what);
-  void trace(const std::string& what) const;
+  void add_violation(const std::string& description);
+  void trace(const std::string& description) const;
 
   RegisteredFleetOptions options_;
   std::mt19937_64 random_;
   EventQueue queue_;
-  std::vector<ControlNode> controls_;
+  std::vector<ControlReplica> control_replicas_;
   std::vector<EntryNode> entries_;
-  std::vector<Place> places_;
+  std::vector<ServerSlot> server_slots_;
   int64_t next_instance_ = 1;
   int64_t next_version_ = 1;
-  int64_t newest_acknowledged_ = 0;
+  int64_t newest_acknowledged_version_ = 0;
   /// When each version was first acknowledged.
-  std::map<int64_t, TimePoint> acknowledged_at_;
-  std::map<std::pair<std::string, int64_t>, PendingPut> puts_;
+  std::map<int64_t, TimePoint> document_acknowledged_at_;
+  std::map<std::pair<std::string, int64_t>, PendingDocument> pending_documents_;
   /// Operators' own, so that runs without their orders are the same as ever.
-  std::mt19937_64 operators_random_;
+  std::mt19937_64 operator_random_;
   std::vector<ZoneOrder> zone_orders_;
   /// Which of `zone_orders_` each open call of a control node carries.
   std::map<std::pair<std::string, int64_t>, size_t> pending_zone_calls_;
-  std::set<std::pair<std::string, int64_t>> ever_ready_;
-  TimePoint last_wipe_ = TimePoint::min();
-  bool calm_ = false;
+  std::set<std::pair<std::string, int64_t>> ready_memberships_;
+  TimePoint last_disk_loss_ = TimePoint::min();
+  bool faults_ended_ = false;
   RegisteredFleetResult result_;
 };
 
--- a/src/simulation/scale_run.h
+++ b/src/simulation/scale_run.h
@@ -33,9 +33,9 @@
 
 /// Runs `nodes` hollow nodes (the daemon's own controllers, sharing this process) before `machines` machines in virtual
 /// time, over the daemon's codec, and measures what each role sends, receives and computes.
-ScaleResult run_scale(int nodes, int machines, int zones, double seconds_measured);
+ScaleResult run_scale(int nodes, int machines, int zones, double measured_seconds);
 
 /// The results as CSV, one line per size and role.
-std::string scale_csv(const std::vector<ScaleResult>& results);
+std::string format_scale_csv(const std::vector<ScaleResult>& results);
 
 }  // namespace larchlever::simulation
--- a/src/simulation/simulated_fleet.cc
+++ b/src/simulation/simulated_fleet.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr int64_t kWallClockStart = 1'700'000'000'000;
-constexpr size_t kFrameHeader = 16;
+constexpr int64_t kWallClockStartMs = 1'700'000'000'000;
+constexpr size_t kFrameHeaderBytes = 16;
 constexpr int64_t kIncarnationStep = 1'000'000;
 constexpr Duration kMembershipInterval = seconds(1);
 
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-SimulatedFleet::SimulatedFleet(const FleetOptions& options, EventQueue& queue, InvariantMonitor& monitor)
+SimulatedFleet::SimulatedFleet(const SimulatedFleetOptions& options, EventQueue& queue, InvariantMonitor& monitor)
     : options_(options), queue_(queue), monitor_(monitor), random_(options.seed) {
   for (const auto& zone : options_.zones) {
     for (int domain = 1; domain <= zone.domains; ++domain) {
@@ -37,13 +37,13 @@
       }
     }
   }
-  std::uniform_real_distribution<double> drift(-options_.clock_drift, options_.clock_drift);
+  std::uniform_real_distribution<double> drift(-options_.max_clock_drift, options_.max_clock_drift);
   std::vector<std::string> control_nodes;
-  for (int number = 1; number <= options_.nodes; ++number) {
+  for (int number = 1; number <= options_.node_count; ++number) {
     SimulatedNode node;
     node.name = "n" + std::to_string(number);
     node.zone = options_.zones[static_cast<size_t>(number - 1) % options_.zones.size()].name;
-    node.has_disk = number <= options_.disks;
+    node.has_disk = number <= options_.disk_count;
     node.clock_rate = 1.0 + drift(random_);
     if (node.has_disk) {
       control_nodes.push_back(node.name);
@@ -84,8 +84,8 @@
 void SimulatedFleet::start_node(SimulatedNode& node) {
   node.running = true;
   node.paused_until = TimePoint::min();
-  node.syncing = false;
-  ++node.generation;
+  node.is_syncing = false;
+  ++node.process_generation;
   next_incarnation_ += kIncarnationStep;
   node.incarnation = next_incarnation_;
   node::NodeIdentity identity;
@@ -101,12 +101,13 @@
     }
     node.controller->start_replica(local_now(node), node.disk.replica_id(), node.disk.image());
   }
-  const auto offset = Duration(static_cast<int64_t>(chance() * static_cast<double>(options_.tick.count())));
+  const auto offset =
+      Duration(static_cast<int64_t>(draw_fraction() * static_cast<double>(options_.tick_interval.count())));
   const std::string name = node.name;
-  const uint64_t generation = node.generation;
-  queue_.after(offset, [this, name, generation] { tick(name, generation); });
-  queue_.after(offset, [this, name, generation] { poll(name, generation); });
-  queue_.after(offset, [this, name, generation] { publish_members(name, generation); });
+  const uint64_t process_generation = node.process_generation;
+  queue_.schedule_after(offset, [this, name, process_generation] { tick(name, process_generation); });
+  queue_.schedule_after(offset, [this, name, process_generation] { poll_machines(name, process_generation); });
+  queue_.schedule_after(offset, [this, name, process_generation] { publish_membership(name, process_generation); });
 }
 
 void SimulatedFleet::crash(const std::string& name) {
@@ -115,7 +116,7 @@
     return;
   }
   node.running = false;
-  ++node.generation;
+  ++node.process_generation;
   node.controller.reset();
   const size_t in_flight = node.disk.in_flight();
   node.disk.crash(in_flight == 0 ? 0 : std::uniform_int_distribution<size_t>(0, in_flight)(random_));
@@ -136,9 +137,9 @@
   node.paused_until = std::max(node.paused_until, queue_.now() + duration);
 }
 
-void SimulatedFleet::lose_disk(const std::string& name) { nodes_.at(name).disk.lose(); }
+void SimulatedFleet::lose_disk(const std::string& name) { nodes_.at(name).disk.replace_with_empty(); }
 
-bool SimulatedFleet::roll_back_disk(const std::string& name) { return nodes_.at(name).disk.roll_back(); }
+bool SimulatedFleet::roll_back_disk(const std::string& name) { return nodes_.at(name).disk.restore_saved_image(); }
 
 SimulatedNode* SimulatedFleet::leader() {
   for (auto& [name, node] : nodes_) {
@@ -149,40 +150,44 @@
   return nullptr;
 }
 
-void SimulatedFleet::on_node(const std::string& name, uint64_t generation, std::function<void(SimulatedNode&)> action) {
+void SimulatedFleet::run_on_node(const std::string& name, uint64_t process_generation,
+                                 std::function<void(SimulatedNode&)> action) {
   SimulatedNode& node = nodes_.at(name);
-  if (!node.running || node.generation != generation) {
+  if (!node.running || node.process_generation != process_generation) {
     return;
   }
   if (queue_.now() < node.paused_until) {
-    queue_.at(node.paused_until,
-              [this, name, generation, action = std::move(action)] { on_node(name, generation, action); });
+    queue_.schedule_at(node.paused_until, [this, name, process_generation, action = std::move(action)] {
+      run_on_node(name, process_generation, action);
+    });
     return;
   }
   action(node);
 }
 
-void SimulatedFleet::tick(const std::string& name, uint64_t generation) {
-  on_node(name, generation, [this, name, generation](SimulatedNode& node) {
-    book(node, [&] { node.controller->tick(local_now(node), kWallClockStart + to_microseconds(queue_.now()) / 1000); });
-    pump(node);
+void SimulatedFleet::tick(const std::string& name, uint64_t process_generation) {
+  run_on_node(name, process_generation, [this, name, process_generation](SimulatedNode& node) {
+    run_and_measure(node, [&] {
+      node.controller->tick(local_now(node), kWallClockStartMs + to_microseconds(queue_.now()) / 1000);
+    });
+    process_outputs(node);
     if (on_tick) {
       on_tick(node);
     }
-    check(node);
+    check_invariants(node);
     if (node.controller->needs_new_identity()) {
       node.disk.assign_identity(ReplicaId(next_replica_++));
-      node.syncing = false;
+      node.is_syncing = false;
       node.controller->start_replica(local_now(node), node.disk.replica_id(), {});
     }
-    queue_.after(options_.tick, [this, name, generation] { tick(name, generation); });
+    queue_.schedule_after(options_.tick_interval, [this, name, process_generation] { tick(name, process_generation); });
   });
 }
 
-void SimulatedFleet::check(SimulatedNode& node) {
+void SimulatedFleet::check_invariants(SimulatedNode& node) {
   const auto& state = node.controller->state();
   if (node.controller->raft() != nullptr && state.applied_index() > 0) {
-    monitor_.applied(queue_.now(), node.name, state.applied_index(), state.history_digest());
+    monitor_.check_applied_history(queue_.now(), node.name, state.applied_index(), state.history_digest());
   }
   std::vector<std::string> leaders;
   for (auto& [name, other] : nodes_) {
@@ -190,16 +195,16 @@
       leaders.push_back(name);
     }
   }
-  monitor_.lease_holders(queue_.now(), leaders);
+  monitor_.check_lease_holders(queue_.now(), leaders);
   if (!leaders.empty() && leaders.front() == node.name) {
-    monitor_.groups(queue_.now(), node.name, state);
+    monitor_.check_group_ownership(queue_.now(), node.name, state);
   }
 }
 
 // ------------------------------------------------------------------ network
 
-void SimulatedFleet::book(SimulatedNode& node, const std::function<void()>& work) {
-  if (!options_.measure) {
+void SimulatedFleet::run_and_measure(SimulatedNode& node, const std::function<void()>& work) {
+  if (!options_.measure_cost) {
     work();
     return;
   }
@@ -208,23 +213,23 @@
   node.cost.processor_ns += thread_time_ns() - before;
 }
 
-void SimulatedFleet::transmit(SimulatedNode& from, const wire::Envelope& envelope) {
-  ++messages_;
-  if (options_.measure) {
+void SimulatedFleet::send_envelope(SimulatedNode& from, const wire::Envelope& envelope) {
+  ++message_count_;
+  if (options_.measure_cost) {
     std::string bytes;
-    book(from, [&] { bytes = wire::encode(envelope); });
-    from.cost.bytes_sent += bytes.size() + kFrameHeader;
+    run_and_measure(from, [&] { bytes = wire::encode(envelope); });
+    from.cost.bytes_sent += bytes.size() + kFrameHeaderBytes;
     ++from.cost.messages_sent;
     SimulatedNode& to = nodes_.at(envelope.to_node);
-    to.cost.bytes_received += bytes.size() + kFrameHeader;
-    book(to, [&] { wire::decode<wire::Envelope>(bytes); });
+    to.cost.bytes_received += bytes.size() + kFrameHeaderBytes;
+    run_and_measure(to, [&] { wire::decode<wire::Envelope>(bytes); });
   }
-  if (network_.cuts.contains({envelope.from_node, envelope.to_node}) || chance() < network_.loss) {
+  if (network_.cuts.contains({envelope.from_node, envelope.to_node}) || draw_fraction() < network_.loss_probability) {
     return;
   }
-  const int copies = chance() < network_.duplication ? 2 : 1;
+  const int copies = draw_fraction() < network_.duplication_probability ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
-    queue_.after(random_delay(), [this, envelope] { deliver(envelope.to_node, envelope); });
+    queue_.schedule_after(random_delay(), [this, envelope] { deliver(envelope.to_node, envelope); });
   }
 }
 
@@ -233,20 +238,20 @@
   if (found == nodes_.end() || !found->second.running) {
     return;
   }
-  on_node(to, found->second.generation, [this, envelope = std::move(envelope)](SimulatedNode& node) {
-    book(node, [&] { node.controller->receive(local_now(node), envelope); });
-    pump(node);
+  run_on_node(to, found->second.process_generation, [this, envelope = std::move(envelope)](SimulatedNode& node) {
+    run_and_measure(node, [&] { node.controller->receive(local_now(node), envelope); });
+    process_outputs(node);
   });
 }
 
-void SimulatedFleet::pump(SimulatedNode& node) {
+void SimulatedFleet::process_outputs(SimulatedNode& node) {
   auto outputs = node.controller->take_outputs();
   for (const auto& envelope : outputs.envelopes) {
-    transmit(node, envelope);
+    send_envelope(node, envelope);
   }
   for (auto& batch : outputs.storage) {
     node.disk.submit(batch);
-    if (options_.defects.lying_disk) {
+    if (options_.defects.acknowledge_unsynced_writes) {
       node.controller->on_storage_written(local_now(node), std::move(batch));
     }
   }
@@ -255,8 +260,8 @@
     send_order(node, order);
   }
   for (const auto& outcome : outputs.claim_outcomes) {
-    if (on_claim) {
-      on_claim(node, outcome);
+    if (on_claim_outcome) {
+      on_claim_outcome(node, outcome);
     }
   }
   for (const auto& reply : outputs.operator_replies) {
@@ -267,30 +272,30 @@
 }
 
 void SimulatedFleet::start_sync(SimulatedNode& node) {
-  if (node.syncing || node.disk.in_flight() == 0) {
+  if (node.is_syncing || node.disk.in_flight() == 0) {
     return;
   }
-  node.syncing = true;
+  node.is_syncing = true;
   const std::string name = node.name;
-  const uint64_t generation = node.generation;
+  const uint64_t process_generation = node.process_generation;
   const ReplicaId identity = node.disk.replica_id();
-  std::exponential_distribution<double> spread(1.0 / static_cast<double>(options_.disk_sync.count()));
-  const Duration delay = options_.disk_sync / 2 + Duration(static_cast<int64_t>(spread(random_)));
-  queue_.after(delay, [this, name, generation, identity] {
+  std::exponential_distribution<double> spread(1.0 / static_cast<double>(options_.disk_sync_time.count()));
+  const Duration delay = options_.disk_sync_time / 2 + Duration(static_cast<int64_t>(spread(random_)));
+  queue_.schedule_after(delay, [this, name, process_generation, identity] {
     SimulatedNode& target = nodes_.at(name);
-    if (!target.running || target.generation != generation || target.disk.replica_id() != identity ||
+    if (!target.running || target.process_generation != process_generation || target.disk.replica_id() != identity ||
         target.disk.in_flight() == 0) {
       return;
     }
     // Read before it leaves the queue: the controller gets the batch back once it is on disk.
     consensus::RaftOutput batch = target.disk.oldest();
     target.disk.sync_oldest();
-    target.syncing = false;
-    on_node(name, generation, [this, identity, batch = std::move(batch)](SimulatedNode& running) {
-      if (running.disk.replica_id() == identity && !options_.defects.lying_disk) {
+    target.is_syncing = false;
+    run_on_node(name, process_generation, [this, identity, batch = std::move(batch)](SimulatedNode& running) {
+      if (running.disk.replica_id() == identity && !options_.defects.acknowledge_unsynced_writes) {
         ++running.cost.synced_batches;
-        book(running, [&] { running.controller->on_storage_written(local_now(running), batch); });
-        pump(running);
+        run_and_measure(running, [&] { running.controller->on_storage_written(local_now(running), batch); });
+        process_outputs(running);
       }
     });
     start_sync(target);
@@ -303,33 +308,34 @@
   return network_.cuts.contains({node, "machines"}) || network_.cuts.contains({"machines", node});
 }
 
-void SimulatedFleet::poll(const std::string& name, uint64_t generation) {
-  on_node(name, generation, [this, name, generation](SimulatedNode& node) {
-    const TimePoint asked_at = local_now(node);
+void SimulatedFleet::poll_machines(const std::string& name, uint64_t process_generation) {
+  run_on_node(name, process_generation, [this, name, process_generation](SimulatedNode& node) {
+    const TimePoint polled_at = local_now(node);
     for (const auto& target : node.controller->entry().watch_targets()) {
       if (machine_link_is_cut(name)) {
         continue;
       }
       const std::string id = target.machine;
-      queue_.after(random_delay(), [this, id, name, generation, asked_at] {
+      queue_.schedule_after(random_delay(), [this, id, name, process_generation, polled_at] {
         const auto machine = machines_.find(id);
         if (machine == machines_.end() || !machine->second.available()) {
           return;
         }
-        const auto sighting = machine->second.state(queue_.now());
-        queue_.after(random_delay(), [this, name, generation, asked_at, sighting] {
-          on_node(name, generation, [asked_at, sighting](SimulatedNode& watcher) {
-            watcher.controller->on_sighting(asked_at, sighting);
+        const auto sighting = machine->second.make_sighting(queue_.now());
+        queue_.schedule_after(random_delay(), [this, name, process_generation, polled_at, sighting] {
+          run_on_node(name, process_generation, [polled_at, sighting](SimulatedNode& watcher) {
+            watcher.controller->on_sighting(polled_at, sighting);
           });
         });
       });
     }
-    queue_.after(options_.poll_interval, [this, name, generation] { poll(name, generation); });
+    queue_.schedule_after(options_.poll_interval,
+                          [this, name, process_generation] { poll_machines(name, process_generation); });
   });
 }
 
-void SimulatedFleet::publish_members(const std::string& name, uint64_t generation) {
-  on_node(name, generation, [this, name, generation](SimulatedNode& node) {
+void SimulatedFleet::publish_membership(const std::string& name, uint64_t process_generation) {
+  run_on_node(name, process_generation, [this, name, process_generation](SimulatedNode& node) {
     std::vector<wire::Machine> list;
     for (const auto& [id, machine] : machines_) {
       wire::Machine item;
@@ -343,7 +349,8 @@
       list.push_back(std::move(item));
     }
     node.controller->on_membership_list(list);
-    queue_.after(kMembershipInterval, [this, name, generation] { publish_members(name, generation); });
+    queue_.schedule_after(kMembershipInterval,
+                          [this, name, process_generation] { publish_membership(name, process_generation); });
   });
 }
 
@@ -352,8 +359,8 @@
     return;
   }
   const std::string name = node.name;
-  const uint64_t generation = node.generation;
-  queue_.after(random_delay(), [this, order, name, generation] {
+  const uint64_t process_generation = node.process_generation;
+  queue_.schedule_after(random_delay(), [this, order, name, process_generation] {
     const auto found = machines_.find(order.machine);
     if (found == machines_.end() || !found->second.available()) {
       return;
@@ -364,14 +371,14 @@
     result.machine = order.machine;
     result.group_id = order.group_id;
     result.epoch = order.epoch;
-    result.verdict = machine.obey(order, queue_.now(), options_.load_time);
+    result.verdict = machine.execute_order(order, queue_.now(), options_.load_time);
     if (order.kind == control::OrderKind::kLoad && result.verdict == control::OrderVerdict::kDone) {
-      monitor_.load_accepted(order.machine, order.epoch);
+      monitor_.record_accepted_load(order.machine, order.epoch);
     }
-    queue_.after(random_delay(), [this, name, generation, result] {
-      on_node(name, generation, [this, result](SimulatedNode& sender) {
+    queue_.schedule_after(random_delay(), [this, name, process_generation, result] {
+      run_on_node(name, process_generation, [this, result](SimulatedNode& sender) {
         sender.controller->on_order_result(result);
-        pump(sender);
+        process_outputs(sender);
       });
     });
   });
@@ -379,52 +386,53 @@
 
 void SimulatedFleet::run_request(SimulatedNode& node, const wire::Group& group, const std::string& tenant,
                                  const std::string& request_id, const std::string& key, Duration service_time,
-                                 std::function<void(RunResult)> done) {
-  DispatchFact fact;
-  fact.node = node.name;
-  fact.revision = node.controller->entry().revision().value();
-  fact.group = group;
-  fact.tenant = tenant;
+                                 std::function<void(AttemptResult)> done) {
+  DispatchRecord dispatch;
+  dispatch.node = node.name;
+  dispatch.revision = node.controller->entry().revision().value();
+  dispatch.group = group;
+  dispatch.tenant = tenant;
   if (const auto* view = node.controller->entry().router().table().find_tenant(tenant)) {
-    fact.permitted_zones = view->tenant.zones;
+    dispatch.permitted_zones = view->tenant.zones;
   }
-  monitor_.dispatched(queue_.now(), fact, machines_);
+  monitor_.check_dispatch(queue_.now(), dispatch, machines_);
   const std::string head = group.machines.front();
   const int64_t group_id = group.id;
   const int32_t epoch = group.epoch;
   const std::string name = node.name;
-  const uint64_t generation = node.generation;
-  const auto answer = [this, name, generation, done](RunResult result, Duration delay) {
-    queue_.after(delay, [this, name, generation, done, result] {
-      on_node(name, generation, [done, result](SimulatedNode&) { done(result); });
+  const uint64_t process_generation = node.process_generation;
+  const auto send_result = [this, name, process_generation, done](AttemptResult result, Duration delay) {
+    queue_.schedule_after(delay, [this, name, process_generation, done, result] {
+      run_on_node(name, process_generation, [done, result](SimulatedNode&) { done(result); });
     });
   };
   if (machine_link_is_cut(name)) {
-    answer(RunResult::kLost, seconds(1));
+    send_result(AttemptResult::kLost, seconds(1));
     return;
   }
-  queue_.after(random_delay(), [this, head, group_id, epoch, request_id, key, service_time, answer] {
+  queue_.schedule_after(random_delay(), [this, head, group_id, epoch, request_id, key, service_time, send_result] {
     SimulatedMachine& machine = machines_.at(head);
     if (!machine.available()) {
-      answer(RunResult::kLost, seconds(1));
+      send_result(AttemptResult::kLost, seconds(1));
       return;
     }
-    const bool in_service = machine.group_id != 0 && queue_.now() >= machine.loaded_at;
+    const bool is_loaded = machine.group_id != 0 && queue_.now() >= machine.loaded_at;
     const bool wrong_epoch = machine.group_id != group_id || machine.epoch != epoch;
-    if (!in_service || (machine.checks_fences && wrong_epoch)) {
-      answer(RunResult::kRefused, random_delay());
+    if (!is_loaded || (machine.checks_fences && wrong_epoch)) {
+      send_result(AttemptResult::kRefused, random_delay());
       return;
     }
-    monitor_.executed(queue_.now(), request_id, key);
+    monitor_.record_execution(queue_.now(), request_id, key);
     ++machine.load;
     const int64_t incarnation = machine.incarnation;
-    queue_.after(service_time, [this, head, incarnation, epoch, answer] {
+    queue_.schedule_after(service_time, [this, head, incarnation, epoch, send_result] {
       SimulatedMachine& running = machines_.at(head);
-      const bool same = running.incarnation == incarnation && running.epoch == epoch;
-      if (same) {
+      const bool is_same_load = running.incarnation == incarnation && running.epoch == epoch;
+      if (is_same_load) {
         running.load = std::max(running.load - 1, 0);
       }
-      answer(same && running.available() ? RunResult::kRan : RunResult::kLost, random_delay());
+      send_result(is_same_load && running.available() ? AttemptResult::kExecuted : AttemptResult::kLost,
+                  random_delay());
     });
   });
 }
