--- a/src/simulation/simulated_fleet.h
+++ b/src/simulation/simulated_fleet.h
@@ -19,7 +19,7 @@
 namespace larchlever::simulation {
 
 /// A zone of the simulated fleet.
-struct ZoneShape {
+struct ZoneOptions {
   std::string name;
   int domains = 2;
   int machines_per_domain = 3;
@@ -28,32 +28,32 @@
 };
 
 /// Defects that can be switched on, to see that the monitor catches them.
-struct PlantedDefects {
-  bool entries_ignore_leases = false;   ///< Dispatch by the table held, lease or not.
-  bool entries_ignore_zones = false;    ///< Dispatch to any group of the template.
-  bool lying_disk = false;              ///< Writes are acknowledged before they are synced.
-  bool dispatch_without_claim = false;  ///< A keyed request runs without asking a quorum.
-  bool unknown_told_as_not_run = false;
+struct InjectedDefects {
+  bool entries_ignore_leases = false;        ///< Dispatch by the table held, lease or not.
+  bool entries_ignore_zones = false;         ///< Dispatch to any group of the template.
+  bool acknowledge_unsynced_writes = false;  ///< Writes are acknowledged before they are synced.
+  bool dispatch_without_claim = false;       ///< A keyed request runs without asking a quorum.
+  bool report_unknown_as_not_run = false;
   bool in_force_at_commit = false;  ///< A change counts as in force once committed.
   bool reads_from_any_node = false;
 };
 
-struct FleetOptions {
-  std::vector<ZoneShape> zones;
-  int nodes = 6;
-  int disks = 4;
+struct SimulatedFleetOptions {
+  std::vector<ZoneOptions> zones;
+  int node_count = 6;
+  int disk_count = 4;
   node::NodeControllerOptions controller;
-  Duration tick = milliseconds(20);
+  Duration tick_interval = milliseconds(20);
   Duration network_delay = microseconds(500);
   Duration network_jitter = milliseconds(2);
-  Duration disk_sync = milliseconds(2);
+  Duration disk_sync_time = milliseconds(2);
   Duration load_time = milliseconds(800);
   Duration poll_interval = milliseconds(400);
   Duration membership_lag = seconds(2);
-  double clock_drift = 0.004;
-  PlantedDefects defects;
+  double max_clock_drift = 0.004;
+  InjectedDefects defects;
   /// Count bytes as encoded on the wire and processor time per node; slower.
-  bool measure = false;
+  bool measure_cost = false;
   uint64_t seed = 1;
 };
 
@@ -68,8 +68,8 @@
 
 /// State of the links between nodes.
 struct NetworkFaults {
-  double loss = 0;
-  double duplication = 0;
+  double loss_probability = 0;
+  double duplication_probability = 0;
   Duration extra_delay{};
   /// One-way cuts: messages from first to second are dropped.
   std::set<std::pair<std::string, std::string>> cuts;
@@ -83,8 +83,8 @@
   TimePoint paused_until = TimePoint::min();
   double clock_rate = 1.0;
   int64_t incarnation = 0;
-  uint64_t generation = 0;
-  bool syncing = false;
+  uint64_t process_generation = 0;
+  bool is_syncing = false;
   std::unique_ptr<node::NodeController> controller;
   VirtualDisk disk;
   NodeCost cost;
@@ -94,7 +94,7 @@
 /// network, disk, clock and back ends are simulated. Deterministic for a seed; single-threaded.
 class SimulatedFleet {
  public:
-  SimulatedFleet(const FleetOptions& options, EventQueue& queue, InvariantMonitor& monitor);
+  SimulatedFleet(const SimulatedFleetOptions& options, EventQueue& queue, InvariantMonitor& monitor);
 
   /// Bootstraps the region on the first node and starts everything.
   void start();
@@ -113,43 +113,43 @@
   TimePoint local_now(const SimulatedNode& node) const;
   bool is_up(const SimulatedNode& node) const { return node.running && queue_.now() >= node.paused_until; }
   std::mt19937_64& random() { return random_; }
-  const FleetOptions& options() const { return options_; }
+  const SimulatedFleetOptions& options() const { return options_; }
   EventQueue& queue() { return queue_; }
   InvariantMonitor& monitor() { return monitor_; }
   Duration random_delay();
   /// Carries out whatever the node's controller has put out. To be called after every input to a controller.
-  void pump(SimulatedNode& node);
+  void process_outputs(SimulatedNode& node);
 
   /// Sends a request to a group's first machine; `done` gets whether it ran there (or nothing if that stays unknown).
-  enum class RunResult { kRan, kRefused, kLost };
+  enum class AttemptResult { kExecuted, kRefused, kLost };
   void run_request(SimulatedNode& node, const wire::Group& group, const std::string& tenant,
                    const std::string& request_id, const std::string& key, Duration service_time,
-                   std::function<void(RunResult)> done);
+                   std::function<void(AttemptResult)> done);
 
-  std::function<void(SimulatedNode&, const node::ClaimOutcome&)> on_claim;
+  std::function<void(SimulatedNode&, const node::ClaimOutcome&)> on_claim_outcome;
   std::function<void(SimulatedNode&, const wire::OperatorReply&)> on_operator_reply;
   std::function<void(SimulatedNode&)> on_tick;
 
-  uint64_t messages() const { return messages_; }
+  uint64_t message_count() const { return message_count_; }
 
  private:
   void start_node(SimulatedNode& node);
-  void tick(const std::string& name, uint64_t generation);
+  void tick(const std::string& name, uint64_t process_generation);
   void deliver(const std::string& to, wire::Envelope envelope);
-  void transmit(SimulatedNode& from, const wire::Envelope& envelope);
+  void send_envelope(SimulatedNode& from, const wire::Envelope& envelope);
   /// Runs `work` and books its processor time on the node.
-  void book(SimulatedNode& node, const std::function<void()>& work);
+  void run_and_measure(SimulatedNode& node, const std::function<void()>& work);
   void start_sync(SimulatedNode& node);
-  void poll(const std::string& name, uint64_t generation);
-  void publish_members(const std::string& name, uint64_t generation);
+  void poll_machines(const std::string& name, uint64_t process_generation);
+  void publish_membership(const std::string& name, uint64_t process_generation);
   void send_order(SimulatedNode& node, const control::EngineOrder& order);
-  void check(SimulatedNode& node);
+  void check_invariants(SimulatedNode& node);
   bool machine_link_is_cut(const std::string& node) const;
   /// Runs `action` on the node now, when its pause ends, or never if that incarnation has ended.
-  void on_node(const std::string& name, uint64_t generation, std::function<void(SimulatedNode&)> action);
-  double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  void run_on_node(const std::string& name, uint64_t process_generation, std::function<void(SimulatedNode&)> action);
+  double draw_fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
-  FleetOptions options_;
+  SimulatedFleetOptions options_;
   EventQueue& queue_;
   InvariantMonitor& monitor_;
   std::mt19937_64 random_;
@@ -158,7 +158,7 @@
   NetworkFaults network_;
   int64_t next_incarnation_ = 1;
   int64_t next_replica_ = 1000;
-  uint64_t messages_ = 0;
+  uint64_t message_count_ = 0;
 };
 
 }  // namespace larchlever::simulation
--- a/src/simulation/simulated_instance.cc
+++ b/src/simulation/simulated_instance.cc
@@ -14,22 +14,22 @@
 
 void SimulatedInstance::set_state(wire::MembershipState::type state) {
   membership_.state = state;
-  has_news_ = true;
+  has_unreported_changes_ = true;
 }
 
-int SimulatedInstance::carry_out(TimePoint now, const fleet::InstanceOrder& order, Duration join_time) {
+int SimulatedInstance::execute_order(TimePoint now, const fleet::InstanceOrder& order, Duration join_time) {
   advance(now);
   if (order.kind == fleet::OrderKind::kStage) {
     staged_ = {order.model};
-    has_news_ = true;
+    has_unreported_changes_ = true;
     return http_status::kAccepted;
   }
-  const bool mine = membership_.group == order.group && membership_.epoch == order.epoch;
+  const bool is_current_group = membership_.group == order.group && membership_.epoch == order.epoch;
   if (order.kind == fleet::OrderKind::kJoin) {
-    if (mine && members_ == order.members) {
+    if (is_current_group && members_ == order.members) {
       return http_status::kOk;
     }
-    if (order.epoch < highest_epoch_ || mine) {
+    if (order.epoch < highest_epoch_ || is_current_group) {
       return http_status::kPreconditionFailed;
     }
     highest_epoch_ = order.epoch;
@@ -39,17 +39,17 @@
     membership_.epoch = order.epoch;
     membership_.rank = static_cast<int32_t>(std::find(members_.begin(), members_.end(), id_) - members_.begin());
     ready_at_ = now + join_time;
-    incomplete_since_ = TimePoint::max();
+    member_missing_since_ = TimePoint::max();
     set_state(wire::MembershipState::JOINING);
     return http_status::kAccepted;
   }
-  if (!mine) {
+  if (!is_current_group) {
     return http_status::kConflict;
   }
   if (order.kind == fleet::OrderKind::kLeave) {
     membership_ = {};
     members_.clear();
-    has_news_ = true;
+    has_unreported_changes_ = true;
     return http_status::kOk;
   }
   if (order.kind == fleet::OrderKind::kOpen) {
@@ -68,20 +68,20 @@
 void SimulatedInstance::advance(TimePoint now) {
   if (membership_.state == wire::MembershipState::JOINING && now >= ready_at_) {
     staged_ = {model_};
-    was_ready_.emplace(membership_.group, membership_.epoch);
+    ready_memberships_.emplace(membership_.group, membership_.epoch);
     set_state(wire::MembershipState::READY);
   }
 }
 
-void SimulatedInstance::note_incomplete(TimePoint now, Duration stall) {
-  incomplete_since_ = std::min(incomplete_since_, now);
-  if (is_open_head() && now - incomplete_since_ >= stall) {
+void SimulatedInstance::handle_missing_member(TimePoint now, Duration stall_time) {
+  member_missing_since_ = std::min(member_missing_since_, now);
+  if (is_open_head() && now - member_missing_since_ >= stall_time) {
     set_state(wire::MembershipState::BROKEN);
   }
 }
 
-wire::Instance SimulatedInstance::report() {
-  has_news_ = false;
+wire::Instance SimulatedInstance::take_report() {
+  has_unreported_changes_ = false;
   wire::Instance instance;
   instance.id = id_;
   instance.service_name = "engines";
--- a/src/simulation/simulated_instance.h
+++ b/src/simulation/simulated_instance.h
@@ -19,13 +19,13 @@
   SimulatedInstance(std::string id, std::string address, std::string domain, std::vector<std::string> staged);
 
   /// Carries out an order; returns the status that is answered. `ready_at` of a join is `now` plus `join_time`.
-  int carry_out(TimePoint now, const fleet::InstanceOrder& order, Duration join_time);
+  int execute_order(TimePoint now, const fleet::InstanceOrder& order, Duration join_time);
   /// Advances to `now`: joins end, orders to open take effect.
   void advance(TimePoint now);
   /// A member of the group that this head leads is lost since `since`; the head is broken after `stall`.
-  void note_incomplete(TimePoint now, Duration stall);
+  void handle_missing_member(TimePoint now, Duration stall_time);
 
-  wire::Instance report();
+  wire::Instance take_report();
   const std::string& id() const { return id_; }
   const std::string& address() const { return address_; }
   const std::string& domain() const { return domain_; }
@@ -36,9 +36,9 @@
   const std::vector<std::string>& members() const { return members_; }
   bool is_open_head() const { return membership_.rank == 0 && membership_.state == wire::MembershipState::OPEN; }
   /// Was ever ready under this group and epoch.
-  bool was_ready(const std::string& group, int64_t epoch) const { return was_ready_.contains({group, epoch}); }
+  bool was_ready(const std::string& group, int64_t epoch) const { return ready_memberships_.contains({group, epoch}); }
   /// What it reports changed since `report` was last called.
-  bool has_news() const { return has_news_; }
+  bool has_unreported_changes() const { return has_unreported_changes_; }
   bool draining = false;
 
  private:
@@ -52,11 +52,11 @@
   wire::GroupMembership membership_;
   std::vector<std::string> members_;
   TimePoint ready_at_ = TimePoint::max();
-  TimePoint incomplete_since_ = TimePoint::max();
-  std::set<std::pair<std::string, int64_t>> was_ready_;
+  TimePoint member_missing_since_ = TimePoint::max();
+  std::set<std::pair<std::string, int64_t>> ready_memberships_;
   int64_t highest_epoch_ = 0;
   int64_t call_number_ = 0;
-  bool has_news_ = true;
+  bool has_unreported_changes_ = true;
 };
 
 }  // namespace larchlever::simulation
--- a/src/simulation/simulated_machine.cc
+++ b/src/simulation/simulated_machine.cc
@@ -4,12 +4,13 @@
 
 namespace larchlever::simulation {
 
-control::OrderVerdict SimulatedMachine::obey(const control::EngineOrder& order, TimePoint now, Duration load_time) {
+control::OrderVerdict SimulatedMachine::execute_order(const control::EngineOrder& order, TimePoint now,
+                                                      Duration load_time) {
   if (order.incarnation != incarnation) {
     return control::OrderVerdict::kWrongIncarnation;
   }
-  const bool old = order.epoch < newest_epoch || (order.epoch == newest_epoch && order.term < newest_term);
-  if (checks_fences && old) {
+  const bool is_stale = order.epoch < newest_epoch || (order.epoch == newest_epoch && order.term < newest_term);
+  if (checks_fences && is_stale) {
     return control::OrderVerdict::kFenced;
   }
   newest_epoch = order.epoch;
@@ -29,13 +30,13 @@
   group_id = order.group_id;
   epoch = order.epoch;
   load = 0;
-  const std::string wanted = order.model + "@" + order.version;
-  loaded_at = weights == wanted ? now : now + load_time;
-  weights = wanted;
+  const std::string target_weights = order.model + "@" + order.version;
+  loaded_at = weights == target_weights ? now : now + load_time;
+  weights = target_weights;
   return control::OrderVerdict::kDone;
 }
 
-wire::MachineSighting SimulatedMachine::state(TimePoint now) const {
+wire::MachineSighting SimulatedMachine::make_sighting(TimePoint now) const {
   wire::MachineSighting sighting;
   sighting.machine = id;
   sighting.incarnation = incarnation;
@@ -52,7 +53,7 @@
   unavailable_since = std::min(unavailable_since, now);
 }
 
-void SimulatedMachine::come_back(TimePoint) {
+void SimulatedMachine::restart_empty(TimePoint) {
   alive = true;
   paused = false;
   unavailable_since = TimePoint::max();
--- a/src/simulation/simulated_machine.h
+++ b/src/simulation/simulated_machine.h
@@ -34,10 +34,10 @@
   int load = 0;
 
   bool available() const { return alive && !paused; }
-  control::OrderVerdict obey(const control::EngineOrder& order, TimePoint now, Duration load_time);
-  wire::MachineSighting state(TimePoint now) const;
+  control::OrderVerdict execute_order(const control::EngineOrder& order, TimePoint now, Duration load_time);
+  wire::MachineSighting make_sighting(TimePoint now) const;
   void die(TimePoint now);
-  void come_back(TimePoint now);
+  void restart_empty(TimePoint now);
   void pause(TimePoint now);
   void resume();
 };
--- a/src/simulation/simulation_run.cc
+++ b/src/simulation/simulation_run.cc
@@ -9,40 +9,40 @@
 
 namespace {
 
-constexpr Duration kSetUpTime = seconds(30);
+constexpr Duration kSetupTimeout = seconds(30);
 /// Presence bound, serve lease and their margins: longest time in which a lost machine's group may get work.
-constexpr Duration kLossBound = milliseconds(3200);
-constexpr Duration kLeavingBound = seconds(12);
+constexpr Duration kDispatchAfterLossLimit = milliseconds(3200);
+constexpr Duration kDispatchAfterLeaveLimit = seconds(12);
 
-wire::KeyWrite write_of(const std::string& key, std::string value) {
+wire::KeyWrite make_key_write(const std::string& key, std::string value) {
   wire::KeyWrite write;
   write.key = key;
   write.value = std::move(value);
   return write;
 }
 
-wire::Tenant make_tenant(const std::string& name, std::vector<std::string> zones, int share) {
+wire::Tenant make_tenant(const std::string& name, std::vector<std::string> zones, int tenant_share_percent) {
   wire::Tenant tenant;
   tenant.name = name;
   tenant.template_name = "main";
   tenant.zones = std::move(zones);
-  tenant.share_percent = share;
+  tenant.share_percent = tenant_share_percent;
   tenant.max_concurrent = 40;
   tenant.priority = 5;
   return tenant;
 }
 
 std::vector<wire::KeyWrite> fault_run_configuration() {
-  wire::Template shape;
-  shape.name = "main";
-  shape.model = "model";
-  shape.version = "1";
-  shape.machines_per_group = 2;
+  wire::Template model_template;
+  model_template.name = "main";
+  model_template.model = "model";
+  model_template.version = "1";
+  model_template.machines_per_group = 2;
   std::vector<wire::KeyWrite> writes;
-  writes.push_back(write_of("template/main", wire::encode(shape)));
+  writes.push_back(make_key_write("template/main", wire::encode(model_template)));
   for (const auto& tenant :
        {make_tenant("one", {"a"}, 20), make_tenant("two", {"b", "c"}, 30), make_tenant("three", {"a", "b", "c"}, 20)}) {
-    writes.push_back(write_of(config::tenant_key(tenant.name), wire::encode(tenant)));
+    writes.push_back(make_key_write(config::tenant_key(tenant.name), wire::encode(tenant)));
   }
   return writes;
 }
@@ -51,7 +51,7 @@
 void check_groups_formed(SimulatedFleet& fleet, InvariantMonitor& monitor) {
   auto* leader = fleet.leader();
   if (leader == nullptr) {
-    monitor.fail(fleet.queue().now(), "no leader after everything healed");
+    monitor.report_violation(fleet.queue().now(), "no leader after everything healed");
     return;
   }
   const auto& state = leader->controller->state();
@@ -61,22 +61,22 @@
   }
   const auto plan = placement::make_plan(input, *placement::make_placement_policy("first_fit"));
   if (!plan.groups_to_create.empty()) {
-    monitor.fail(fleet.queue().now(),
-                 "a group that could form did not: " + plan.groups_to_create.front().template_name + " in " +
-                     plan.groups_to_create.front().zone);
+    monitor.report_violation(fleet.queue().now(),
+                             "a group that could form did not: " + plan.groups_to_create.front().template_name +
+                                 " in " + plan.groups_to_create.front().zone);
   }
   for (const auto& [id, group] : state.groups()) {
     if (group.state != wire::GroupState::SERVING) {
-      monitor.fail(fleet.queue().now(),
-                   "group " + std::to_string(id) + " hangs in state " + std::to_string(static_cast<int>(group.state)));
+      monitor.report_violation(fleet.queue().now(), "group " + std::to_string(id) + " hangs in state " +
+                                                        std::to_string(static_cast<int>(group.state)));
     }
   }
 }
 
 }  // namespace
 
-RunOptions fault_run_options(uint64_t seed) {
-  RunOptions options;
+SimulationOptions fault_run_options(uint64_t seed) {
+  SimulationOptions options;
   options.seed = seed;
   options.fleet.seed = seed;
   options.fleet.zones = {{"a", 2, 3, 8, true}, {"b", 2, 3, 8, true}, {"c", 2, 3, 8, false}};
@@ -87,57 +87,57 @@
   return options;
 }
 
-RunResult run_simulation(const RunOptions& options) {
+SimulationResult run_simulation(const SimulationOptions& options) {
   EventQueue queue;
-  InvariantMonitor monitor(kLossBound, kLeavingBound);
+  InvariantMonitor monitor(kDispatchAfterLossLimit, kDispatchAfterLeaveLimit);
   SimulatedFleet fleet(options.fleet, queue, monitor);
   Workload workload(options.workload, fleet);
   FaultInjector faults(options.faults, fleet);
-  const auto stop = [&monitor] { return !monitor.violations().empty(); };
+  const auto should_stop = [&monitor] { return !monitor.violations().empty(); };
 
   fleet.start();
   bool configured = false;
-  queue.after(seconds(3), [&] { workload.configure(options.configuration, [&] { configured = true; }); });
-  const TimePoint set_up = queue.now() + kSetUpTime;
-  while (!configured && queue.now() < set_up && !stop()) {
-    queue.run_until(queue.now() + milliseconds(100), stop);
+  queue.schedule_after(seconds(3), [&] { workload.configure(options.configuration, [&] { configured = true; }); });
+  const TimePoint setup_deadline = queue.now() + kSetupTimeout;
+  while (!configured && queue.now() < setup_deadline && !should_stop()) {
+    queue.run_until(queue.now() + milliseconds(100), should_stop);
   }
   if (!configured) {
-    monitor.fail(queue.now(), "the first templates were never answered");
+    monitor.report_violation(queue.now(), "the first templates were never answered");
   }
-  queue.run_until(queue.now() + seconds(6), stop);
+  queue.run_until(queue.now() + seconds(6), should_stop);
 
-  const TimePoint faulty_end = queue.now() + options.faulty_time;
-  workload.start(faulty_end);
-  faults.start(faulty_end);
-  queue.run_until(faulty_end, stop);
-  faults.heal();
-  queue.run_until(queue.now() + options.healing_time / 2, stop);
+  const TimePoint faults_end = queue.now() + options.fault_duration;
+  workload.start(faults_end);
+  faults.start(faults_end);
+  queue.run_until(faults_end, should_stop);
+  faults.repair_all();
+  queue.run_until(queue.now() + options.recovery_duration / 2, should_stop);
 
-  bool answered = false;
-  workload.resend_all();
+  bool is_change_in_force = false;
+  workload.resend_answered_changes();
   workload.apply_change("one", [&](const wire::OperatorReply& reply) {
-    answered = reply.answer.verdict == wire::Verdict::ACCEPTED && reply.in_force;
+    is_change_in_force = reply.answer.verdict == wire::Verdict::ACCEPTED && reply.in_force;
   });
-  queue.run_until(queue.now() + options.healing_time / 2, stop);
+  queue.run_until(queue.now() + options.recovery_duration / 2, should_stop);
   if (monitor.violations().empty()) {
-    if (!answered) {
-      monitor.fail(queue.now(), "a change after everything healed was not in force in time");
+    if (!is_change_in_force) {
+      monitor.report_violation(queue.now(), "a change after everything healed was not in force in time");
     }
     check_groups_formed(fleet, monitor);
   }
 
-  RunResult result;
+  SimulationResult result;
   result.seed = options.seed;
   result.violations = monitor.violations();
   result.workload = workload.stats();
-  result.faults = faults.counts();
-  result.checks = monitor.checks();
-  result.events = queue.executed();
-  const uint64_t facts[] = {queue.executed(),         monitor.checks(),        fleet.messages(),
-                            result.workload.ran,      result.workload.not_run, result.workload.unknown,
-                            result.workload.accepted, result.violations.size()};
-  result.digest = XXH3_64bits(facts, sizeof(facts));
+  result.faults = faults.fault_counts();
+  result.checks = monitor.check_count();
+  result.events = queue.executed_event_count();
+  const uint64_t digest_inputs[] = {queue.executed_event_count(), monitor.check_count(),   fleet.message_count(),
+                                    result.workload.ran,          result.workload.not_run, result.workload.unknown,
+                                    result.workload.accepted,     result.violations.size()};
+  result.digest = XXH3_64bits(digest_inputs, sizeof(digest_inputs));
   return result;
 }
 
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -11,17 +11,17 @@
 
 namespace larchlever::simulation {
 
-struct RunOptions {
+struct SimulationOptions {
   uint64_t seed = 1;
-  FleetOptions fleet;
+  SimulatedFleetOptions fleet;
   WorkloadOptions workload;
   FaultOptions faults;
   std::vector<wire::KeyWrite> configuration;
-  Duration faulty_time = seconds(30);
-  Duration healing_time = seconds(40);
+  Duration fault_duration = seconds(30);
+  Duration recovery_duration = seconds(40);
 };
 
-struct RunResult {
+struct SimulationResult {
   uint64_t seed = 0;
   std::vector<std::string> violations;
   WorkloadStats workload;
@@ -33,10 +33,10 @@
 };
 
 /// The small fleet on which fault runs are made: six nodes, four of them with disks, three zones, eighteen machines.
-RunOptions fault_run_options(uint64_t seed);
+SimulationOptions fault_run_options(uint64_t seed);
 
 /// One run: templates applied, faults and load, everything healed, then liveness: a leader, a change in force, every
 /// wanted group serving.
-RunResult run_simulation(const RunOptions& options);
+SimulationResult run_simulation(const SimulationOptions& options);
 
 }  // namespace larchlever::simulation
--- a/src/simulation/virtual_disk.cc
+++ b/src/simulation/virtual_disk.cc
@@ -7,7 +7,7 @@
 void VirtualDisk::assign_identity(ReplicaId replica_id) {
   replica_id_ = replica_id;
   image_ = consensus::PersistedState();
-  remembered_.reset();
+  saved_image_.reset();
   in_flight_.clear();
 }
 
@@ -40,20 +40,20 @@
   }
 }
 
-void VirtualDisk::crash(size_t kept) {
-  for (size_t batch = 0; batch < kept && !in_flight_.empty(); ++batch) {
+void VirtualDisk::crash(size_t synced_batches) {
+  for (size_t batch = 0; batch < synced_batches && !in_flight_.empty(); ++batch) {
     sync_oldest();
   }
   in_flight_.clear();
 }
 
-void VirtualDisk::lose() { assign_identity(ReplicaId()); }
+void VirtualDisk::replace_with_empty() { assign_identity(ReplicaId()); }
 
-bool VirtualDisk::roll_back() {
-  if (!remembered_) {
+bool VirtualDisk::restore_saved_image() {
+  if (!saved_image_) {
     return false;
   }
-  image_ = *remembered_;
+  image_ = *saved_image_;
   in_flight_.clear();
   return true;
 }
--- a/src/simulation/virtual_disk.h
+++ b/src/simulation/virtual_disk.h
@@ -20,12 +20,12 @@
   /// The oldest batch in flight reached the disk.
   void sync_oldest();
   /// Power is lost: of the batches in flight the first `kept` had reached the disk all the same.
-  void crash(size_t kept);
+  void crash(size_t synced_batches);
   /// The disk is replaced by an empty one.
-  void lose();
-  /// Remembers the present content; `roll_back` returns to it later under the same identity.
-  void remember() { remembered_ = image_; }
-  bool roll_back();
+  void replace_with_empty();
+  /// Remembers the present content; `restore_saved_image` returns to it later under the same identity.
+  void save_image() { saved_image_ = image_; }
+  bool restore_saved_image();
 
   const consensus::PersistedState& image() const { return image_; }
   size_t in_flight() const { return in_flight_.size(); }
@@ -37,7 +37,7 @@
 
   ReplicaId replica_id_;
   consensus::PersistedState image_;
-  std::optional<consensus::PersistedState> remembered_;
+  std::optional<consensus::PersistedState> saved_image_;
   std::deque<consensus::RaftOutput> in_flight_;
 };
 
--- a/src/simulation/workload.h
+++ b/src/simulation/workload.h
@@ -15,7 +15,7 @@
   Duration request_interval = milliseconds(120);
   Duration change_interval = milliseconds(900);
   Duration service_time = milliseconds(150);
-  int operators = 2;
+  int operator_count = 2;
   std::vector<std::string> tenants;
 };
 
@@ -45,42 +45,42 @@
   /// Applies the first templates; `done` once they are in force.
   void configure(const std::vector<wire::KeyWrite>& writes, std::function<void()> done);
   /// Resends every command that was answered: the answers must be the same.
-  void resend_all();
+  void resend_answered_changes();
 
   const WorkloadStats& stats() const { return stats_; }
 
  private:
-  struct Request {
+  struct CallerRequest {
     std::string tenant;
     std::string key;
     std::string id;
-    int sends_left = 0;
-    int attempts_left = 3;
-    int64_t nonce = 0;
-    std::set<int64_t> tried;
+    int remaining_sends = 0;
+    int remaining_attempts = 3;
+    int64_t claim_nonce = 0;
+    std::set<int64_t> tried_groups;
   };
-  using RequestPointer = std::shared_ptr<Request>;
+  using RequestPointer = std::shared_ptr<CallerRequest>;
   using ReplyHandler = std::function<void(const wire::OperatorReply&)>;
 
-  void next_request(TimePoint end);
-  void next_change(TimePoint end, int operator_number);
-  SimulatedNode* any_node();
-  void send(SimulatedNode& node, const RequestPointer& request);
-  void dispatch(SimulatedNode& node, const RequestPointer& request);
-  void plant_dispatch_defects(const routing::Router& router, const routing::TenantView* tenant,
+  void send_next_request(TimePoint end);
+  void send_next_change(TimePoint end, int operator_number);
+  SimulatedNode* pick_running_node();
+  void send_request(SimulatedNode& node, const RequestPointer& request);
+  void dispatch_request(SimulatedNode& node, const RequestPointer& request);
+  void apply_dispatch_defects(const routing::Router& router, const routing::TenantView* tenant,
                               routing::RouteDecision& decision);
-  void finish(SimulatedNode& node, const RequestPointer& request, wire::ClaimState::type state);
-  void resend_later(const RequestPointer& request);
-  void claim_decided(SimulatedNode& node, const node::ClaimOutcome& outcome);
-  void operate(const wire::OperatorRequest& request, const ReplyHandler& handler, int tries);
+  void finish_request(SimulatedNode& node, const RequestPointer& request, wire::ClaimState::type state);
+  void schedule_retry(const RequestPointer& request);
+  void handle_claim_outcome(SimulatedNode& node, const node::ClaimOutcome& outcome);
+  void send_operator_request(const wire::OperatorRequest& request, const ReplyHandler& handler, int attempts);
   void send_change(const wire::ConfigurationChange& change, const ReplyHandler& handler);
-  void note_answer(const wire::ConfigurationChange& change, const wire::OperatorReply& reply);
+  void record_change_reply(const wire::ConfigurationChange& change, const wire::OperatorReply& reply);
 
   WorkloadOptions options_;
   SimulatedFleet& fleet_;
-  std::map<std::pair<std::string, int64_t>, RequestPointer> claims_;
-  std::map<std::pair<std::string, int64_t>, ReplyHandler> replies_;
-  std::map<std::string, wire::ConfigurationChange> answered_;
+  std::map<std::pair<std::string, int64_t>, RequestPointer> pending_claims_;
+  std::map<std::pair<std::string, int64_t>, ReplyHandler> pending_replies_;
+  std::map<std::string, wire::ConfigurationChange> answered_changes_;
   int64_t next_id_ = 1;
   WorkloadStats stats_;
 };
--- a/tests/integration/fleet_test.cc
+++ b/tests/integration/fleet_test.cc
@@ -187,10 +187,10 @@
   fleet.start();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   load::LoadOptions options;
-  options.requests = 400;
-  options.callers = 12;
+  options.request_count = 400;
+  options.caller_count = 12;
   options.service_path = "/forms";
-  options.most_tokens = 40;
+  options.max_output_tokens = 40;
   options.seed = 11;
   options.nodes = {fleet.service("n1"), fleet.service("n2")};
   // All load goes to two nodes, one of which stops; its address stays with the callers, as with a late balancer.
@@ -214,8 +214,8 @@
   fleet.start();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   load::LoadOptions options;
-  options.requests = 1200;
-  options.callers = 16;
+  options.request_count = 1200;
+  options.caller_count = 16;
   options.service_path = "/forms";
   options.seed = 5;
   options.timeout = std::chrono::milliseconds(40'000);
@@ -256,11 +256,11 @@
   fleet.start();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   load::LoadOptions options;
-  options.requests = 600;
-  options.callers = 40;
+  options.request_count = 600;
+  options.caller_count = 40;
   options.keyed_percent = 0;
   options.safe_percent = 100;
-  options.most_tokens = 200;
+  options.max_output_tokens = 200;
   options.seed = 292;
   options.timeout = std::chrono::milliseconds(40'000);
   options.nodes = {fleet.service("n1"), fleet.service("n3"), fleet.service("n6")};
@@ -278,7 +278,7 @@
   for (const auto& fault : faults) {
     ADD_FAILURE() << fault;
   }
-  EXPECT_GT(report.refused_after_loss, 0U) << "no attempt was turned away after one whose answer was lost";
+  EXPECT_GT(report.refused_after_lost_answer, 0U) << "no attempt was turned away after one whose answer was lost";
 }
 
 // A repeatable request without a key was cut while a machine ran it, and its caller sent it again: three nodes turned
@@ -290,11 +290,11 @@
   fleet.start();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   load::LoadOptions options;
-  options.requests = 60;
-  options.callers = 8;
+  options.request_count = 60;
+  options.caller_count = 8;
   options.keyed_percent = 0;
   options.safe_percent = 100;
-  options.most_tokens = 400;
+  options.max_output_tokens = 400;
   options.seed = 37;
   options.timeout = std::chrono::milliseconds(40'000);
   const auto fault_all_machines = [&] {
--- a/tests/integration/process_fleet.cc
+++ b/tests/integration/process_fleet.cc
@@ -320,7 +320,7 @@
   }
   done.get();
   report = generator.report();
-  return load::check_history(generator.history(), executions(), scope);
+  return load::find_history_faults(generator.history(), executions(), scope);
 }
 
 namespace {
--- a/tests/integration/registered_engines.cc
+++ b/tests/integration/registered_engines.cc
@@ -191,11 +191,11 @@
       return std::nullopt;
     }
     instance_.advance(now);
-    if (now < next_report_ && !instance_.has_news()) {
+    if (now < next_report_ && !instance_.has_unreported_changes()) {
       return std::nullopt;
     }
     next_report_ = now + engines_.options_.heartbeat_interval;
-    auto instance = instance_.report();
+    auto instance = instance_.take_report();
     instance.zone = zone_;
     const int64_t cold_left_ms = std::max<int64_t>(0, (cold_until_ - now) / std::chrono::milliseconds(1));
     if (!engines_.options_.keeps_id) {
@@ -252,7 +252,7 @@
     net::HttpResponse response;
     {
       const std::lock_guard lock(mutex_);
-      response.status = instance_.carry_out(node::monotonic_now(), order, engines_.options_.join_time);
+      response.status = instance_.execute_order(node::monotonic_now(), order, engines_.options_.join_time);
     }
     co_await exchange.respond(std::move(response));
   }
--- a/tests/unit/registered_fleet_test.cc
+++ b/tests/unit/registered_fleet_test.cc
@@ -8,11 +8,11 @@
 namespace larchlever::simulation {
 namespace {
 
-constexpr uint64_t kSeeds = 40;
-constexpr uint64_t kSeedsForADefect = 60;
+constexpr uint64_t kSeedCount = 40;
+constexpr uint64_t kMaxDefectSeeds = 60;
 
 TEST(RegisteredFleet, KeepsItsPromisesUnderFaults) {
-  for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
+  for (uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     RegisteredFleetOptions options;
     options.seed = seed;
     const auto result = RegisteredFleet(options).run();
@@ -48,15 +48,15 @@
 // Orders on zones beside lost leaders, cut entries and lost disks: what was acknowledged holds for who may serve.
 TEST(RegisteredFleet, KeepsAcknowledgedEvacuationsUnderFaults) {
   uint64_t acknowledged = 0;
-  for (uint64_t seed = 1; seed <= kSeeds / 2; ++seed) {
+  for (uint64_t seed = 1; seed <= kSeedCount / 2; ++seed) {
     RegisteredFleetOptions options;
     options.seed = seed;
-    options.operators_evacuate = true;
+    options.enable_zone_orders = true;
     const auto result = RegisteredFleet(options).run();
     ASSERT_TRUE(result.violations.empty()) << "seed " << seed << ": " << result.violations.front();
     acknowledged += result.evacuations_acknowledged;
   }
-  EXPECT_GT(acknowledged, 5 * kSeeds / 2);
+  EXPECT_GT(acknowledged, 5 * kSeedCount / 2);
 }
 
 // A control process that started again counts its calls anew. The answer to one of them was taken for the answer to an
@@ -67,17 +67,17 @@
   for (const uint64_t seed : {1096U, 1268U, 1342U, 1362U, 1236U}) {
     RegisteredFleetOptions options;
     options.seed = seed;
-    options.operators_evacuate = true;
+    options.enable_zone_orders = true;
     const auto result = RegisteredFleet(options).run();
     EXPECT_TRUE(result.violations.empty()) << "seed " << seed << ": " << result.violations.front();
   }
 }
 
-std::string first_violation(const std::function<void(RegisteredFleetOptions&)>& plant) {
-  for (uint64_t seed = 1; seed <= kSeedsForADefect; ++seed) {
+std::string first_violation(const std::function<void(RegisteredFleetOptions&)>& enable_defect) {
+  for (uint64_t seed = 1; seed <= kMaxDefectSeeds; ++seed) {
     RegisteredFleetOptions options;
     options.seed = seed;
-    plant(options);
+    enable_defect(options);
     const auto result = RegisteredFleet(options).run();
     if (!result.violations.empty()) {
       return result.violations.front();
@@ -93,8 +93,8 @@
 
 TEST(RegisteredFleet, CatchesEntriesThatServeAgainstAnEvacuation) {
   const auto violation = first_violation([](auto& options) {
-    options.operators_evacuate = true;
-    options.entries_miss_evacuations = true;
+    options.enable_zone_orders = true;
+    options.entries_ignore_evacuations = true;
   });
   EXPECT_NE(violation.find("EVACUATION"), std::string::npos) << violation;
 }
@@ -103,14 +103,14 @@
   // A head that misses a member goes on for longer than the supervisor believes.
   const auto violation = first_violation([](auto& options) {
     options.fleet.stall_time = milliseconds(100);
-    options.late_orders = 0.5;
+    options.late_order_probability = 0.5;
   });
   EXPECT_NE(violation.find("TWO"), std::string::npos) << violation;
 }
 
 TEST(RegisteredFleet, CatchesDisksThatLie) {
   const auto violation = first_violation([](auto& options) {
-    options.lying_disks = true;
+    options.acknowledge_unsynced_writes = true;
     options.mean_fault_interval = milliseconds(400);
   });
   EXPECT_FALSE(violation.empty());
--- a/tests/unit/settings_test.cc
+++ b/tests/unit/settings_test.cc
@@ -69,17 +69,17 @@
 }
 
 TEST(History, CatchesEachKindOfFault) {
-  using load::check_history;
+  using load::AttemptRecord;
   using load::ExecutionRecord;
-  using load::HistoryRecord;
-  HistoryRecord record;
+  using load::find_history_faults;
+  AttemptRecord record;
   record.tag = "t";
   record.key = "t";
   record.node = "n1";
   record.expected = "right";
   record.answer = "right";
   record.status = 200;
-  record.whole = true;
+  record.is_complete = true;
   record.outcome = "ran";
   record.sent_ms = 100;
   record.done_ms = 200;
@@ -87,33 +87,33 @@
   run.tag = "t";
   run.machine = "m1";
   run.started_ms = 150;
-  EXPECT_TRUE(check_history({record}, {run}).empty());
-  EXPECT_EQ(check_history({record}, {run, run}).size(), 1U) << "doubled";
-  EXPECT_EQ(check_history({record}, {}).size(), 1U) << "invented";
+  EXPECT_TRUE(find_history_faults({record}, {run}).empty());
+  EXPECT_EQ(find_history_faults({record}, {run, run}).size(), 1U) << "doubled";
+  EXPECT_EQ(find_history_faults({record}, {}).size(), 1U) << "invented";
   auto crossed = record;
   crossed.answer = "wrong";
-  EXPECT_EQ(check_history({crossed}, {run}).size(), 1U) << "crossed";
+  EXPECT_EQ(find_history_faults({crossed}, {run}).size(), 1U) << "crossed";
   auto denied = record;
   denied.outcome = "not-run";
   denied.status = 503;
-  EXPECT_EQ(check_history({denied}, {run}).size(), 1U) << "false not-run";
-  EXPECT_TRUE(check_history({denied}, {}).empty());
+  EXPECT_EQ(find_history_faults({denied}, {run}).size(), 1U) << "false not-run";
+  EXPECT_TRUE(find_history_faults({denied}, {}).empty());
 }
 
 TEST(History, HoldsARunAgainstTheAttemptThatItBelongsTo) {
-  using load::check_history;
+  using load::AttemptRecord;
   using load::ExecutionRecord;
-  using load::HistoryRecord;
+  using load::find_history_faults;
   using load::NotRunScope;
-  HistoryRecord cut;
+  AttemptRecord cut;
   cut.tag = "t";
   cut.node = "n1";
-  cut.safe = true;
+  cut.is_repeatable = true;
   cut.status = 502;
   cut.outcome = "unknown";
   cut.sent_ms = 100;
   cut.done_ms = 200;
-  HistoryRecord refused = cut;
+  AttemptRecord refused = cut;
   refused.status = 503;
   refused.outcome = "not-run";
   refused.sent_ms = 300;
@@ -122,32 +122,32 @@
   run.tag = "t";
   run.machine = "m1";
   run.started_ms = 150;
-  EXPECT_TRUE(check_history({cut, refused}, {run}, NotRunScope::kAttempt).empty());
-  EXPECT_EQ(check_history({cut, refused}, {run}).size(), 1U)
+  EXPECT_TRUE(find_history_faults({cut, refused}, {run}, NotRunScope::kAttempt).empty());
+  EXPECT_EQ(find_history_faults({cut, refused}, {run}).size(), 1U)
       << "what is excused for the attempt is not for the request";
   auto between = run;
   between.started_ms = 250;
-  EXPECT_EQ(check_history({cut, refused}, {between}, NotRunScope::kAttempt).size(), 1U)
+  EXPECT_EQ(find_history_faults({cut, refused}, {between}, NotRunScope::kAttempt).size(), 1U)
       << "a run that no attempt explains";
   auto within = run;
   within.started_ms = 350;
-  EXPECT_EQ(check_history({cut, refused}, {within}, NotRunScope::kAttempt).size(), 1U)
+  EXPECT_EQ(find_history_faults({cut, refused}, {within}, NotRunScope::kAttempt).size(), 1U)
       << "a run of the refused attempt itself";
   auto denied = cut;
   denied.outcome = "not-run";
-  EXPECT_EQ(check_history({denied, refused}, {run}, NotRunScope::kAttempt).size(), 2U)
+  EXPECT_EQ(find_history_faults({denied, refused}, {run}, NotRunScope::kAttempt).size(), 2U)
       << "an earlier attempt that was denied falsely";
   auto unsafe_cut = cut;
   auto unsafe_refused = refused;
-  unsafe_cut.safe = false;
-  unsafe_refused.safe = false;
-  EXPECT_EQ(check_history({unsafe_cut, unsafe_refused}, {run}, NotRunScope::kAttempt).size(), 1U)
+  unsafe_cut.is_repeatable = false;
+  unsafe_refused.is_repeatable = false;
+  EXPECT_EQ(find_history_faults({unsafe_cut, unsafe_refused}, {run}, NotRunScope::kAttempt).size(), 1U)
       << "who may not repeat asks for all attempts";
   auto keyed_cut = cut;
   auto keyed_refused = refused;
   keyed_cut.key = "k";
   keyed_refused.key = "k";
-  EXPECT_EQ(check_history({keyed_cut, keyed_refused}, {run}, NotRunScope::kAttempt).size(), 1U)
+  EXPECT_EQ(find_history_faults({keyed_cut, keyed_refused}, {run}, NotRunScope::kAttempt).size(), 1U)
       << "a key ties the attempts together";
 }
 
--- a/tests/unit/simulation_test.cc
+++ b/tests/unit/simulation_test.cc
@@ -7,7 +7,7 @@
 namespace larchlever::simulation {
 namespace {
 
-constexpr uint64_t kSeedsForADefect = 60;
+constexpr uint64_t kMaxDefectSeeds = 60;
 
 TEST(Simulation, KeepsEveryInvariantUnderFaults) {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
@@ -27,10 +27,10 @@
 }
 
 /// Runs seeds with a planted defect until one breaks an invariant; returns that violation.
-std::string first_violation(const std::function<void(RunOptions&)>& plant) {
-  for (uint64_t seed = 1; seed <= kSeedsForADefect; ++seed) {
+std::string first_violation(const std::function<void(SimulationOptions&)>& enable_defect) {
+  for (uint64_t seed = 1; seed <= kMaxDefectSeeds; ++seed) {
     auto options = fault_run_options(seed);
-    plant(options);
+    enable_defect(options);
     const auto result = run_simulation(options);
     if (!result.violations.empty()) {
       return result.violations.front();
@@ -41,14 +41,14 @@
 
 struct Defect {
   const char* name;
-  std::function<void(RunOptions&)> plant;
+  std::function<void(SimulationOptions&)> enable_defect;
   const char* expected;
 };
 
 class PlantedDefect : public testing::TestWithParam<Defect> {};
 
 TEST_P(PlantedDefect, IsCaught) {
-  const auto violation = first_violation(GetParam().plant);
+  const auto violation = first_violation(GetParam().enable_defect);
   EXPECT_NE(violation.find(GetParam().expected), std::string::npos) << "found: " << violation;
 }
 
@@ -59,7 +59,7 @@
                "dispatch to group"},
         Defect{"zones", [](auto& options) { options.fleet.defects.entries_ignore_zones = true; }, "outside its zones"},
         Defect{"claims", [](auto& options) { options.fleet.defects.dispatch_without_claim = true; }, "ran twice"},
-        Defect{"outcome", [](auto& options) { options.fleet.defects.unknown_told_as_not_run = true; }, "did not run"},
+        Defect{"outcome", [](auto& options) { options.fleet.defects.report_unknown_as_not_run = true; }, "did not run"},
         Defect{"commit",
                [](auto& options) {
                  options.fleet.defects.in_force_at_commit = true;
@@ -73,8 +73,8 @@
 
 TEST(Simulation, ALyingDiskLosesCommittedEntries) {
   const auto violation = first_violation([](auto& options) {
-    options.fleet.defects.lying_disk = true;
-    options.fleet.disk_sync = milliseconds(400);
+    options.fleet.defects.acknowledge_unsynced_writes = true;
+    options.fleet.disk_sync_time = milliseconds(400);
     options.faults.mean_interval = milliseconds(300);
   });
   EXPECT_FALSE(violation.empty());
--- a/tests/unit/spare_servers_test.cc
+++ b/tests/unit/spare_servers_test.cc
@@ -49,13 +49,13 @@
     for (; now < end; now += kTick) {
       for (auto& [id, server] : servers_) {
         server.advance(now);
-        directory_.handle_report(now, server.report());
+        directory_.handle_report(now, server.take_report());
       }
       supervisor.tick(now, document_, directory_);
       for (const auto& order : supervisor.take_orders()) {
         join_orders_ += order.kind == OrderKind::kJoin ? 1 : 0;
         const auto server = servers_.find(order.instance_id);
-        const int status = server == servers_.end() ? 0 : server->second.carry_out(now, order, kWarmJoin);
+        const int status = server == servers_.end() ? 0 : server->second.execute_order(now, order, kWarmJoin);
         supervisor.order_result(now, {order, status});
       }
     }
@@ -134,7 +134,7 @@
   late.model = group.model;
   late.members = group.members;
   for (const std::string id : {"i0", "i1", "i2"}) {
-    EXPECT_EQ(servers.at(id).carry_out(now, late, kWarmJoin), http_status::kPreconditionFailed) << id;
+    EXPECT_EQ(servers.at(id).execute_order(now, late, kWarmJoin), http_status::kPreconditionFailed) << id;
   }
 }
 
