--- a/src/emulator/emulated_fleet.h
+++ b/src/emulator/emulated_fleet.h
@@ -20,7 +20,7 @@
   std::vector<uint16_t> ports;
 };
 
-/// What to stand in for; read from an INI file.
+/// Settings of an emulated fleet, read from an INI file.
 struct EmulatedFleetSettings {
   std::string address = "127.0.0.1";
   uint16_t membership_port = 0;
@@ -34,16 +34,16 @@
 std::optional<EmulatedFleetSettings> parse_emulated_fleet_settings(const std::string& text,
                                                                    std::vector<std::string>& errors);
 
-/// All stand-ins of one process: engines' machines, plain services, weight store, membership list. The membership port
-/// also takes faults (POST /emulator/fault?machine=ID&action=die|pause|resume|return|leave) and serves the execution
-/// log (GET /emulator/log), which belongs to the test bench and not to any published protocol.
+/// Runs all emulated back ends in one process: engine machines, plain services, weight store and membership list. The
+/// membership port also accepts faults (POST /emulator/fault?machine=ID&action=die|pause|resume|return|leave) and
+/// serves the execution log (GET /emulator/log). Both are for tests only and not part of a published protocol.
 class EmulatedFleet : public net::HttpHandler {
  public:
   EmulatedFleet(boost::asio::any_io_executor executor, EmulatedFleetSettings settings);
 
   bool start(std::string& error);
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
-  /// Applies a fault; false for an unknown machine or action.
+  /// Injects a fault into a machine. Returns false if the machine or the action is unknown, or a restart fails.
   bool inject_fault(const std::string& machine, const std::string& action);
 
   std::string membership_endpoint() const;
@@ -53,6 +53,7 @@
   const std::vector<std::unique_ptr<EmulatedMachine>>& machines() const { return machines_; }
 
  private:
+  /// How the membership list shows a machine.
   struct MembershipListing {
     std::string id;
     bool leaving = false;
@@ -61,6 +62,7 @@
 
   std::string membership_json() const;
   std::string execution_log_json(size_t first_position) const;
+  /// Changes a machine's listing after the membership lag.
   void publish_after_lag(const std::string& machine, bool leaving, bool is_removed);
 
   boost::asio::any_io_executor executor_;
--- a/src/emulator/emulated_machine.cc
+++ b/src/emulator/emulated_machine.cc
@@ -39,7 +39,7 @@
   return response;
 }
 
-/// Refusal of a request that the engine did not start; the entry may run it elsewhere.
+/// Rejects a request that the engine did not start, so the entry may retry it elsewhere.
 net::HttpResponse refusal_response(int status, const char* reason) {
   auto response = json_response(status, {{"error", reason}});
   response.headers.add("X-Engine-Started", "no");
@@ -51,7 +51,7 @@
   return value.empty() ? fallback : std::atoll(value.c_str());
 }
 
-/// Everything that the model reads, as one text.
+/// Returns the whole input of the model as one text.
 std::string extract_prompt(const json::object& body) {
   std::string prompt = text_field(body, "prompt");
   if (const auto* messages = body.if_contains("messages"); messages != nullptr && messages->is_array()) {
--- a/src/emulator/emulated_machine.h
+++ b/src/emulator/emulated_machine.h
@@ -22,7 +22,7 @@
   std::string zone;
   std::string domain;
   int accelerators = 8;
-  /// "fenced" engines refuse orders and requests of old epochs; "basic" ones obey whoever speaks.
+  /// "fenced" engines reject orders and requests with an old epoch; "basic" engines accept all of them.
   std::string kind = "fenced";
   std::string address = "127.0.0.1";
   uint16_t port = 0;
@@ -34,26 +34,27 @@
 
 enum class MachineCondition { kAlive, kPaused, kDead };
 
-/// Stand-in of one machine of a model engine, on a port of its own.
+/// Emulates one machine of a model engine on its own port.
 ///
-/// Its published protocol: GET /engine/state, POST /engine/orders (load, release, role), GET
-/// /engine/cache-events?since=N (late and with gaps), POST /engine/kv/export and /engine/kv/import, and, on the first
-/// machine of a group, POST /v1/chat/completions and /v1/completions as an event stream that can be resumed and is
-/// cancelled by closing it. A replica needs all its machines: while one is dead or paused the first machine produces
-/// nothing, and a dead member ends its streams. One executor; not thread-safe.
+/// Published protocol: GET /engine/state, POST /engine/orders (load, release, role), GET /engine/cache-events?since=N
+/// (delayed, may have gaps), POST /engine/kv/export and /engine/kv/import. The first machine of a group also serves
+/// POST /v1/chat/completions and /v1/completions as an event stream that can be resumed and is cancelled by closing it.
+/// A group needs all its machines: while a member is dead or paused the first machine produces no tokens, and a dead
+/// member ends its streams. Uses one executor; not thread-safe.
 class EmulatedMachine : public net::HttpHandler {
  public:
+  /// Finds a machine of the fleet by id; null if there is none.
   using FindMachine = std::function<EmulatedMachine*(const std::string&)>;
 
   EmulatedMachine(boost::asio::any_io_executor executor, MachineOptions options, ExecutionLog& log,
                   FindMachine find_machine);
   ~EmulatedMachine() override;
 
-  /// Starts (again): a new incarnation that holds nothing.
+  /// Starts or restarts the machine as a new incarnation without a group, weights or cache.
   bool start(std::string& error);
   void die();
   void pause();
-  /// Goes on after a pause as if nothing had happened: the same incarnation with all it held.
+  /// Ends a pause; the machine keeps its incarnation and all its state.
   void resume();
 
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
--- a/src/emulator/engine_model.h
+++ b/src/emulator/engine_model.h
@@ -12,7 +12,7 @@
 
 namespace larchlever::emulator {
 
-/// Speed and size of a modelled replica.
+/// Speed and capacity of a simulated engine.
 struct EngineModelOptions {
   size_t max_running_requests = 64;
   Duration step_base_time = milliseconds(12);
@@ -25,11 +25,11 @@
 
 struct EngineRequest {
   uint64_t id = 0;
-  int priority = 5;  ///< Higher runs first.
+  int priority = 5;  ///< Requests with a higher priority start first.
   int prompt_tokens = 0;
   int output_tokens = 0;
-  int first_output_offset = 0;  ///< Tokens before it are not produced again: a resumed stream.
-  /// Chained hashes of the prompt's leading blocks.
+  int first_output_offset = 0;  ///< Offset of the first token to produce; above 0 for a resumed stream.
+  /// Chained hashes of the complete blocks at the start of the prompt.
   std::vector<uint64_t> prefix_blocks;
 };
 
@@ -45,19 +45,19 @@
   uint64_t block = 0;
 };
 
-/// A replica's engine in virtual time: continuous batching with priorities, prefill of what the prefix cache lacks, and
-/// least-recently-used eviction. The HTTP stand-in drives it by the clock, the simulator by virtual time.
-/// Deterministic; single-threaded.
+/// Model of an inference engine: continuous batching with priorities, prefill of the prompt tokens that the prefix
+/// cache lacks, and LRU eviction from that cache. EmulatedMachine drives it with the real clock, the routing experiment
+/// with virtual time. Deterministic; single-threaded.
 class EngineModel {
  public:
   explicit EngineModel(const EngineModelOptions& options) : options_(options) {}
 
   void submit(TimePoint now, EngineRequest request);
-  /// Stops a request wherever it is; false when unknown.
+  /// Cancels a waiting or running request. Returns false if there is none with this id.
   bool cancel(uint64_t id);
-  /// Runs all steps that end by `now`; tokens in the order produced.
+  /// Runs all steps that end by `now` and returns their tokens in order.
   std::vector<OutputToken> advance(TimePoint now);
-  /// When the step under way ends; nothing while idle.
+  /// Returns the end time of the current step, or nullopt while the engine is idle.
   std::optional<TimePoint> next_step_end() const;
 
   size_t running_count() const { return running_requests_.size(); }
@@ -65,9 +65,11 @@
   uint64_t cached_prompt_tokens() const { return cached_prompt_tokens_; }
   uint64_t total_prompt_tokens() const { return total_prompt_tokens_; }
 
-  /// Cache changes after `since`; `oldest` is the first sequence still held: a gap if it exceeds since + 1.
+  /// Returns the retained cache changes after `after_sequence`. `oldest_sequence` is set to the oldest retained
+  /// sequence number; events are missing if it exceeds `after_sequence + 1`.
   std::vector<CacheEvent> cache_events(int64_t after_sequence, int64_t& oldest_sequence) const;
   std::vector<uint64_t> cached_blocks() const;
+  /// Adds blocks to the prefix cache; the first block of the list becomes the most recently used.
   void import_blocks(const std::vector<uint64_t>& blocks);
   void clear();
 
@@ -85,7 +87,7 @@
   std::vector<RunningRequest> running_requests_;
   std::multimap<int, EngineRequest, std::greater<>> waiting_requests_;
   std::optional<TimePoint> step_end_;
-  std::list<uint64_t> blocks_by_recency_;
+  std::list<uint64_t> blocks_by_recency_;  ///< Most recently used first.
   std::unordered_map<uint64_t, std::list<uint64_t>::iterator> block_positions_;
   std::vector<CacheEvent> cache_events_;
   int64_t next_event_sequence_ = 1;
--- a/src/emulator/execution_log.h
+++ b/src/emulator/execution_log.h
@@ -7,23 +7,25 @@
 
 namespace larchlever::emulator {
 
-/// One request that a stand-in truly started.
+/// One request that an emulated back end started.
 struct Execution {
   std::string request_id;
-  std::string key;      ///< The caller's idempotency key, if it reached the back end.
-  std::string machine;  ///< Or the service's endpoint.
+  std::string key;      ///< Idempotency key, if the back end received one.
+  std::string machine;  ///< Machine id, or the name of a plain service.
   std::string zone;
   std::string tenant;
-  /// What the caller put into the request to recognise it: "user" of a model request, the body of a plain one.
+  /// Identifies the request to the caller: the "user" field of a model request; for a plain request its body, or the
+  /// last path segment if the body is empty.
   std::string tag;
   int64_t started_ms = 0;  ///< Wall clock.
   int64_t produced_tokens = 0;
   bool completed = false;
 };
 
-/// What truly ran, kept by the stand-ins independently of anything that the system under test claims.
+/// Log of the requests that the emulated back ends started, independent of what the system under test reports.
 class ExecutionLog {
  public:
+  /// Adds an execution and returns its position in the log.
   size_t record_start(Execution execution) {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     execution.started_ms = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
--- a/src/emulator/plain_service.cc
+++ b/src/emulator/plain_service.cc
@@ -63,7 +63,7 @@
     if (co_await exchange.begin_stream(response)) {
       co_await exchange.write_piece(response.body.substr(0, response.body.size() / 2));
     }
-    co_return;  // Without the end of the stream: the connection is cut in the middle of the answer.
+    co_return;  // Does not end the stream, so the connection is closed in the middle of the answer.
   }
   co_await exchange.respond(std::move(response));
 }
--- a/src/emulator/plain_service.h
+++ b/src/emulator/plain_service.h
@@ -9,8 +9,8 @@
 
 namespace larchlever::emulator {
 
-/// Stand-in of a plain service: answers every method under its prefix, counts what ran, and can be told to be slow,
-/// to fail or to break its answer off by query parameters (delay_ms, status, cut).
+/// Emulates a plain HTTP service. Answers every method and path and logs each request. Query parameters delay the
+/// answer (delay_ms), set its status (status) or break it off in the middle (cut).
 class PlainService : public net::HttpHandler {
  public:
   PlainService(boost::asio::any_io_executor executor, std::string name, std::string zone, ExecutionLog& log);
@@ -23,7 +23,7 @@
   ExecutionLog& log_;
 };
 
-/// Value of a query parameter in a request target; empty when absent.
+/// Returns the value of a query parameter in a request target; empty if absent.
 std::string query_parameter(const std::string& target, const std::string& name);
 
 }  // namespace larchlever::emulator
--- a/src/emulator/prompt_text.h
+++ b/src/emulator/prompt_text.h
@@ -7,14 +7,14 @@
 
 namespace larchlever::emulator {
 
-/// Roughly how many tokens a text has: one for every four bytes.
+/// Estimates the number of tokens of a text: one for every four bytes, rounded up.
 int estimate_token_count(std::string_view text);
 
-/// Chained hashes of the whole blocks at the start of a prompt: equal leading text gives equal leading hashes.
+/// Returns chained hashes of the prompt's complete blocks: prompts with equal leading blocks have equal leading hashes.
 std::vector<uint64_t> hash_prefix_blocks(std::string_view prompt, int tokens_per_block);
 
-/// The text of the answer's token at `offset`. Depends on prompt and offset only, so a stream resumed elsewhere
-/// continues with the very tokens that the first one would have produced.
+/// Returns the text of the output token at `offset`. It depends only on prompt and offset, so a stream that is resumed
+/// on another engine continues with the same tokens.
 std::string token_text(std::string_view prompt, int64_t offset);
 
 }  // namespace larchlever::emulator
--- a/src/emulator/weight_store.h
+++ b/src/emulator/weight_store.h
@@ -13,8 +13,8 @@
   std::chrono::milliseconds transfer_time{400};
 };
 
-/// Stand-in of the weight store: GET /weights/MODEL/VERSION answers after the transfer's time; more transfers at once
-/// than allowed are refused with 429 and Retry-After.
+/// Emulates the weight store. GET /weights/MODEL/VERSION is answered after the transfer time; transfers beyond
+/// `max_concurrent_transfers` are rejected with 429 and Retry-After.
 class WeightStore : public net::HttpHandler {
  public:
   WeightStore(boost::asio::any_io_executor executor, WeightStoreOptions options);
--- a/src/load/fault_proxy.cc
+++ b/src/load/fault_proxy.cc
@@ -20,7 +20,7 @@
   tcp::socket duplicate;
   uint64_t sent_upstream = 0;
   uint64_t sent_downstream = 0;
-  int open_directions = 2;  ///< How many are still carried.
+  int open_directions = 2;  ///< Directions that still relay data.
 
   void reset() {
     boost::system::error_code ignored;
@@ -124,7 +124,7 @@
       break;
     }
   }
-  // The other direction may still carry an answer: pass the end on, keep the rest open.
+  // Forward only the end of this direction, because the other one may still carry an answer.
   boost::system::error_code ignored;
   to.shutdown(tcp::socket::shutdown_send, ignored);
   if (--connection->open_directions == 0) {
--- a/src/load/fault_proxy.h
+++ b/src/load/fault_proxy.h
@@ -10,20 +10,21 @@
 
 namespace larchlever::load {
 
-/// What a proxy does to the connections that pass through it.
+/// Faults that a proxy injects into its connections.
 struct ProxyFaults {
+  /// Added to each chunk of data, in both directions.
   std::chrono::milliseconds delay{0};
-  /// Bytes from the dialler, or to it, are swallowed: a one-way stop.
+  /// Discards the data sent by the client (upstream) or to the client (downstream).
   bool drop_upstream = false;
   bool drop_downstream = false;
-  /// New connections are refused.
+  /// Resets new connections at once.
   bool refuse_connections = false;
-  /// The connection is reset once this many bytes went upstream.
+  /// Resets the connection once this many bytes were sent in the given direction.
   std::optional<uint64_t> reset_after_upstream_bytes;
   std::optional<uint64_t> reset_after_downstream_bytes;
-  /// Bytes per second each way; zero for no limit.
+  /// Limit for each direction; zero for no limit.
   uint64_t max_bytes_per_second = 0;
-  /// Every connection is made to the upstream twice; the second one carries nothing.
+  /// Opens a second, unused upstream connection for every client connection.
   bool duplicate_connect = false;
 };
 
@@ -35,7 +36,7 @@
   uint64_t bytes_dropped = 0;
 };
 
-/// A small TCP proxy on loopback that provokes faults between two processes. One executor; not thread-safe.
+/// TCP proxy on loopback that injects network faults between two processes. Uses one executor; not thread-safe.
 class FaultProxy {
  public:
   explicit FaultProxy(boost::asio::any_io_executor executor);
@@ -43,7 +44,7 @@
   FaultProxy(const FaultProxy&) = delete;
   FaultProxy& operator=(const FaultProxy&) = delete;
 
-  /// Listens on a free loopback port. The upstream may be set later; until then connections are refused.
+  /// Listens on a free loopback port and returns its endpoint. Connections are reset until an upstream is set.
   std::string listen();
   void set_upstream(const std::string& endpoint);
   void set_faults(const ProxyFaults& faults);
--- a/src/load/history.cc
+++ b/src/load/history.cc
@@ -8,15 +8,16 @@
 
 namespace {
 
-/// Callers and stand-ins read the same wall clock, rounded to milliseconds.
+/// Tolerance for comparing times: callers and emulated back ends use the same wall clock, rounded to milliseconds.
 constexpr int64_t kClockRoundingMs = 2;
 
 std::string describe_request(const AttemptRecord& record) {
   return "request " + record.tag + (record.key.empty() ? "" : " (key " + record.key + ")") + " through " + record.node;
 }
 
-/// The run began within an earlier attempt of this repeatable request whose caller was not told that it had not run.
-/// Nothing ties attempts without a key together, so a node can speak of the attempt at hand alone.
+/// Returns true if the run started during an earlier attempt of this repeatable request whose outcome was not
+/// "not-run". Without a key a node cannot relate the attempts of a request, so its outcome covers only the current
+/// attempt.
 bool belongs_to_earlier_attempt(const ExecutionRecord& run, const AttemptRecord& record,
                                 const std::vector<AttemptRecord>& history) {
   if (!record.is_repeatable || !record.key.empty()) {
@@ -30,8 +31,8 @@
   });
 }
 
-/// Every attempt of a request and every run of it, in order of time: a fault names one of them, and which of the others
-/// explains it is seen only beside them.
+/// Lists all attempts and runs of a request in order of time. A fault names only one of them; the others help to
+/// explain it.
 std::string describe_timeline(const std::string& tag, const std::vector<AttemptRecord>& history,
                               const std::vector<const ExecutionRecord*>& runs) {
   std::vector<std::pair<int64_t, std::string>> timeline_events;
@@ -46,7 +47,7 @@
                                                      "'" + (record.is_complete ? ", whole" : ", cut"));
   }
   for (const auto* run : runs) {
-    timeline_events.emplace_back(run->started_ms, "begun on " + run->machine + " as " + run->request_id +
+    timeline_events.emplace_back(run->started_ms, "started on " + run->machine + " as " + run->request_id +
                                                       (run->completed ? ", completed" : ", ended"));
   }
   std::stable_sort(timeline_events.begin(), timeline_events.end(),
@@ -91,8 +92,8 @@
       continue;
     }
     for (const auto* run : runs) {
-      // Later sendings of the same request may run it; what had started when the caller was told may not exist, nor
-      // may anything start when no sending followed.
+      // A later attempt of the same request may run it. But no run may have started before this answer, and none may
+      // start after the answer to the last attempt.
       const bool ran_before_response =
           run->started_ms + kClockRoundingMs < record.done_ms && run->started_ms >= record.sent_ms;
       const bool is_earlier_attempt_run =
--- a/src/load/load_generator.cc
+++ b/src/load/load_generator.cc
@@ -21,7 +21,7 @@
       .count();
 }
 
-/// What an attempt tells of whether its request ran. One without an answer may have run, unless nothing was sent.
+/// Returns the outcome of an attempt. Without an answer the request may have run, unless nothing was sent.
 requests::Outcome attempt_outcome(const AttemptRecord& record) {
   if (record.status == 0) {
     return record.was_sent ? requests::Outcome::kUnknown : requests::Outcome::kNotRun;
@@ -208,12 +208,12 @@
     report_.refused_after_lost_answer +=
         generated.earlier_outcome != requests::Outcome::kNotRun && record.status >= 400 ? 1 : 0;
     generated.earlier_outcome = requests::combined(generated.earlier_outcome, attempt_outcome(record));
-    // With a key the node must know by itself.
+    // For a request with a key the node must find the earlier outcome itself.
     if (generated.key.empty() && generated.earlier_outcome != requests::Outcome::kNotRun) {
       generated.request.headers.set("Larchlever-Earlier-Outcome",
                                     std::string(requests::to_string(generated.earlier_outcome)));
     }
-    // Unsafe without a key: only a caller who was told that nothing ran may try again.
+    // A request that is not repeatable and has no key may be retried only if it is known not to have run.
     const bool may_repeat = record.is_repeatable || !generated.key.empty() || record.outcome == "not-run";
     if (!may_repeat || stop_requested_) {
       break;
--- a/src/load/load_generator.h
+++ b/src/load/load_generator.h
@@ -14,17 +14,17 @@
 namespace larchlever::load {
 
 struct LoadOptions {
-  std::vector<std::string> nodes;  ///< Service addresses; each sending takes one at random, as a balancer would.
+  std::vector<std::string> nodes;  ///< Service addresses; each attempt uses a random one, like a load balancer.
   std::vector<std::string> tenants;
   std::string model;
-  std::string service_path;  ///< Empty for no plain requests.
+  std::string service_path;  ///< Path prefix of plain service requests; empty for none.
   int caller_count = 16;
-  uint64_t request_count = 1000;  ///< Requests in all; resends come on top.
-  int prompt_count = 32;          ///< Distinct leading parts, shared among requests.
+  uint64_t request_count = 1000;  ///< Total number of requests, not counting retries.
+  int prompt_count = 32;          ///< Number of distinct prompt prefixes, shared among requests.
   size_t prompt_bytes = 256;
   int max_output_tokens = 12;
   int max_attempts = 6;
-  /// Shares in percent; the rest is unsafe model requests without a key.
+  /// Shares of the request kinds; the rest are model requests that are not repeatable and have no key.
   int keyed_percent = 40;
   int safe_percent = 30;
   int service_percent = 20;
@@ -39,28 +39,28 @@
   uint64_t answered = 0;
   uint64_t not_run = 0;
   uint64_t unknown = 0;
-  /// Attempts answered with an error after an earlier attempt of the request had been sent and not answered whole.
+  /// Attempts that got an error after an earlier attempt of the same request may have run.
   uint64_t refused_after_lost_answer = 0;
-  uint64_t gave_up = 0;
+  uint64_t gave_up = 0;  ///< Requests without a complete successful answer after their last attempt.
   double seconds = 0;
-  std::vector<double> latency_ms;      ///< Whole answers, each from its first sending.
-  std::vector<double> first_token_ms;  ///< Streams.
+  std::vector<double> latency_ms;      ///< From the first attempt to the complete answer.
+  std::vector<double> first_token_ms;  ///< Streamed answers only.
   std::vector<double> between_tokens_ms;
 };
 
-/// Value at a percentile of unsorted samples; zero for none.
+/// Returns the given percentile of unsorted samples; zero if there are none.
 double percentile(std::vector<double> samples, double percent);
 
-/// Callers that send model and plain requests, resend keyed ones until they know, and record what they were told.
-/// What a request is and which nodes its attempts take follows from the seed and its number alone, however callers
-/// interleave. Bounded in number; one executor.
+/// Runs a fixed number of concurrent callers that send model and plain service requests, retry those that may be
+/// retried, and record every answer. The content of a request and the nodes of its attempts depend only on the seed and
+/// the request's number, not on how callers interleave. Uses one executor.
 class LoadGenerator {
  public:
   LoadGenerator(boost::asio::any_io_executor executor, LoadOptions options);
 
-  /// Returns when every caller has finished.
+  /// Completes when all callers have finished.
   boost::asio::awaitable<void> run();
-  /// Callers end after their present request.
+  /// Stops each caller after its current attempt.
   void stop() { stop_requested_ = true; }
   const std::vector<AttemptRecord>& history() const { return history_; }
   const LoadReport& report() const { return report_; }
@@ -75,7 +75,7 @@
     net::HttpRequest request;
     bool stream = false;
     std::mt19937_64 random;
-    /// What its attempts so far tell of whether it ran.
+    /// Combined outcome of all attempts so far.
     requests::Outcome earlier_outcome = requests::Outcome::kNotRun;
 
     int random_number(int minimum, int maximum);
@@ -97,7 +97,8 @@
   LoadReport report_;
 };
 
-/// The stand-ins' execution log, fetched from their membership endpoint. Empty with `error` set on failure.
+/// Fetches the execution log of the emulated back ends from their membership endpoint. Returns an empty list and sets
+/// `error` on failure.
 boost::asio::awaitable<std::vector<ExecutionRecord>> fetch_executions(net::HttpClient& client,
                                                                       const std::string& membership_endpoint,
                                                                       std::string& error);
--- a/src/simulation/certification_experiment.cc
+++ b/src/simulation/certification_experiment.cc
@@ -15,10 +15,11 @@
 constexpr Duration kCommitLatency = milliseconds(12);
 constexpr Duration kMeanEditTime = seconds(4);
 constexpr Duration kLockTimeout = seconds(30);
-/// Share of lock holders who vanish without releasing.
+/// Probability that an operator abandons an edit without submitting it or releasing its lock.
 constexpr double kAbandonProbability = 0.02;
 
-/// Operators who read a tenant, think, and change it; one of three ways decides whose change stands.
+/// Simulates operators that concurrently read a tenant, edit it and submit the change, under one of three kinds of
+/// concurrency control.
 class ConcurrentOperatorsSimulation {
  public:
   ConcurrentOperatorsSimulation(const Experiment& experiment, std::string concurrency_control, uint64_t seed)
@@ -112,7 +113,7 @@
     }
     lock.is_held = true;
     lock.acquisition_id = ++last_acquisition_id_;
-    ++log_index_;  // Taking a lock is a log entry of its own, and so is giving it back.
+    ++log_index_;  // Acquiring and releasing a lock each take one log entry.
     const int64_t own_acquisition_id = lock.acquisition_id;
     queue_.schedule_after(kLockTimeout, [this, tenant_number, own_acquisition_id] {
       if (locks_[tenant_number].is_held && locks_[tenant_number].acquisition_id == own_acquisition_id) {
--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -9,7 +9,8 @@
 
 namespace larchlever::simulation {
 
-/// Virtual time: actions run in the order of their times, and of their scheduling where times are equal.
+/// Event queue with a virtual clock. Actions run in order of their time; actions with equal times run in the order in
+/// which they were scheduled.
 class EventQueue {
  public:
   TimePoint now() const { return now_; }
@@ -17,10 +18,11 @@
     events_.push(Event{time < now_ ? now_ : time, next_sequence_number_++, std::move(action)});
   }
   void schedule_after(Duration delay, std::function<void()> action) { schedule_at(now_ + delay, std::move(action)); }
-  /// Runs everything up to `end`; false once `stop` says so.
+  /// Runs all actions due up to `end`. Returns early, without advancing the clock to `end`, once `should_stop()` is
+  /// true.
   void run_until(TimePoint end, const std::function<bool()>& should_stop) {
     while (!events_.empty() && events_.top().time <= end && !should_stop()) {
-      // The action may schedule more, so it leaves the queue before it runs.
+      // Remove the action before running it, because it may schedule other actions.
       auto action = std::move(const_cast<Event&>(events_.top()).action);
       now_ = events_.top().time;
       events_.pop();
--- a/src/simulation/experiment.h
+++ b/src/simulation/experiment.h
@@ -10,12 +10,12 @@
 
 namespace larchlever::simulation {
 
-/// An experiment file: what is compared, over which seeds.
+/// Settings of an experiment: the policies to compare, the number of seeds and the simulated conditions.
 struct Experiment {
   std::string name;
   std::string kind;  ///< "placement", "routing" or "certification".
   std::vector<std::string> policies;
-  std::vector<int64_t> downtime_weights;  ///< placement: downtime weights to try for policies that use them.
+  std::vector<int64_t> downtime_weights;  ///< Placement only: downtime weights to try with policies that use them.
   int seed_count = 10;
   int64_t duration_seconds = 1800;
   int64_t mean_seconds_between_failures = 60;
@@ -27,7 +27,7 @@
 
 std::optional<Experiment> parse_experiment(const std::string& path, std::vector<std::string>& errors);
 
-/// Median, least and greatest of one measure over the seeds.
+/// Median, minimum and maximum of one measure over all seeds.
 struct SampleSummary {
   double median = 0;
   double minimum = 0;
@@ -39,12 +39,12 @@
   std::map<std::string, SampleSummary> measures;
 };
 
-/// Runs policies times seeds on all processors; each run is deterministic in its seed.
+/// Runs every policy with every seed, using all processors. Each run depends only on its policy and seed.
 std::vector<ExperimentRow> run_experiment(const Experiment& experiment);
 
 std::string format_experiment_csv(const std::vector<ExperimentRow>& rows);
 std::string format_experiment_json(const Experiment& experiment, const std::vector<ExperimentRow>& rows);
-/// Bars of one measure's medians with their spread.
+/// Draws a bar chart of one measure: the median per policy, with a line from minimum to maximum.
 std::string format_experiment_svg(const Experiment& experiment, const std::vector<ExperimentRow>& rows,
                                   const std::string& measure);
 
--- a/src/simulation/fault_injector.cc
+++ b/src/simulation/fault_injector.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A rolled-back disk is found out by the leader; that takes a few heartbeats.
+/// No faults are injected for this time after a disk rollback: the leader needs a few heartbeats to detect it.
 constexpr Duration kRollbackDetectionTime = seconds(5);
 
 }  // namespace
@@ -38,7 +38,7 @@
 
 void FaultInjector::inject_fault() {
   if (second_disk_loss_pending_ && all_replicas_up_to_date()) {
-    // The repair has just finished: the next disk goes at once.
+    // The replica set has just been repaired; lose the next disk immediately.
     second_disk_loss_pending_ = false;
     count_fault("second disk lost after repair");
     inject_disk_fault();
@@ -175,7 +175,7 @@
   }
   const auto& raft = *leader->controller->raft();
   if (raft.replica_change_pending()) {
-    return false;  // A repair is finished when its last change is committed, not when the leader has thought of it.
+    return false;  // A repair is complete only when its last replica change is committed.
   }
   size_t disks = 0;
   for (auto& [name, node] : fleet_.nodes()) {
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -9,21 +9,23 @@
 namespace larchlever::simulation {
 
 struct FaultOptions {
+  /// Mean of the exponentially distributed time between faults.
   Duration mean_interval = milliseconds(1200);
   bool disk_faults = true;
 };
 
-/// Provokes the faults of the brief from a seeded schedule, several at once: crashes, pauses, cuts (one-way, whole
-/// node, zone, back ends), loss, duplication, delay, machines that die, pause and return, lost and rolled-back disks,
-/// a second loss right after a repair.
+/// Injects faults on a schedule derived from the seed; several may be active at once: node crashes and pauses, network
+/// partitions (one-way, of a whole node, or from the back ends), message loss, duplication and delay, machines that
+/// die, pause, restart or leave, lost and rolled-back disks, and a second disk loss right after the repair of the
+/// first.
 ///
-/// Disks fail only while every other control replica is up and complete: more than that the design does not promise.
+/// A disk fails only while every other control replica is up and up to date: the design tolerates no more than that.
 class FaultInjector {
  public:
   FaultInjector(const FaultOptions& options, SimulatedFleet& fleet) : options_(options), fleet_(fleet) {}
 
   void start(TimePoint end);
-  /// Ends every fault: nodes run, links carry, machines are back.
+  /// Ends all active faults: restarts nodes and machines and restores all links.
   void repair_all();
   const std::map<std::string, uint64_t>& fault_counts() const { return fault_counts_; }
 
--- a/src/simulation/invariant_monitor.cc
+++ b/src/simulation/invariant_monitor.cc
@@ -12,7 +12,8 @@
   ++check_count_;
   const auto [known, is_new] = history_digests_.try_emplace(index, digest);
   if (!is_new && known->second != digest) {
-    add_violation(now, "replicas diverge: " + node + " applied another history up to index " + std::to_string(index));
+    add_violation(now,
+                  "replicas diverge: " + node + " applied a different history up to index " + std::to_string(index));
   }
 }
 
@@ -26,13 +27,13 @@
 void InvariantMonitor::check_group_ownership(TimePoint now, const std::string& node,
                                              const control::ControlState& state) {
   ++check_count_;
-  // A machine names at most one group as its holder, so this also means that no two live groups share one.
+  // A machine record names at most one group, so this also ensures that no two active groups share a machine.
   for (const auto& [id, group] : state.groups()) {
     for (const auto& machine : group.machines) {
       const auto machine_record = state.machines().find(machine);
       const bool is_owned_by_group = machine_record != state.machines().end() && machine_record->second.group_id == id;
       if (!is_owned_by_group && group.state < wire::GroupState::RELEASING) {
-        add_violation(now, node + ": group " + std::to_string(id) + " counts on " + machine + " without holding it");
+        add_violation(now, node + ": group " + std::to_string(id) + " lists " + machine + " but does not own it");
       }
     }
   }
@@ -105,7 +106,7 @@
   ++check_count_;
   const auto [known, is_new] = answers_by_key_.try_emplace(key, answer);
   if (!is_new && known->second != answer) {
-    add_violation(now, "key " + key + " was answered with the work of two requests");
+    add_violation(now, "key " + key + " was answered with the results of two requests");
   }
 }
 
--- a/src/simulation/invariant_monitor.h
+++ b/src/simulation/invariant_monitor.h
@@ -13,24 +13,26 @@
 
 namespace larchlever::simulation {
 
-/// A dispatch as the monitor sees it: everything is the truth of the simulation, nothing is taken from the system.
+/// One dispatch of a request by an entry, with the configuration that the entry used.
 struct DispatchRecord {
   std::string node;
   int64_t revision = 0;
   wire::Group group;
   std::string tenant;
-  std::vector<std::string> permitted_zones;  ///< By the configuration that the node held.
+  std::vector<std::string> permitted_zones;  ///< According to the configuration that the node used.
 };
 
-/// Checks the brief's conditions as the run goes on. A violation is recorded with its time and details; the run stops
-/// at the first.
+/// Checks the system's invariants during a simulation. Machine state comes from the simulation itself, not from what
+/// the system under test reports. Each violation is recorded with its time; the run stops at the first one.
 class InvariantMonitor {
  public:
+  /// The limits are the longest times for which a group may still receive requests after one of its machines was lost
+  /// or began to leave.
   explicit InvariantMonitor(Duration dispatch_after_loss_limit, Duration dispatch_after_leave_limit)
       : dispatch_after_loss_limit_(dispatch_after_loss_limit),
         dispatch_after_leave_limit_(dispatch_after_leave_limit) {}
 
-  /// Two replicas that applied the same index must have applied the same history.
+  /// Checks that all replicas that have applied the log up to `index` have the same history digest.
   void check_applied_history(TimePoint now, const std::string& node, int64_t index, uint64_t digest);
   void check_lease_holders(TimePoint now, const std::vector<std::string>& leaders);
   void check_group_ownership(TimePoint now, const std::string& node, const control::ControlState& state);
@@ -38,16 +40,17 @@
   void check_dispatch(TimePoint now, const DispatchRecord& dispatch,
                       const std::map<std::string, SimulatedMachine>& machines);
   void record_accepted_load(const std::string& machine, int32_t epoch);
-  /// A back end started a request.
+  /// Records that a back end started a request; a request with a key must not run twice.
   void record_execution(TimePoint now, const std::string& request_id, const std::string& key);
-  /// A caller was told that its request did not run.
+  /// Records that a caller was told that its request did not run.
   void record_not_run_reply(TimePoint now, const std::string& request_id);
-  /// A caller was told the answer for a key, by the id of the request that produced it.
+  /// Records the answer given for a key. `answer` is the id of the request that produced it.
   void record_answer(TimePoint now, const std::string& key, const std::string& answer);
-  /// An operator was told a final verdict for a command.
+  /// Records the final verdict given for a command; repeated replies must agree.
   void record_verdict(TimePoint now, const std::string& command_id, const wire::ChangeAnswer& answer);
-  /// A read of a key began at `began` and found `revision`.
+  /// Records the start of a read of `key`.
   void record_read_start(const std::string& key, int64_t read_id);
+  /// Checks that the read does not return an older revision than any read that had finished before it started.
   void record_read_result(TimePoint now, const std::string& key, int64_t read_id, int64_t revision);
   void report_violation(TimePoint now, const std::string& description) { add_violation(now, description); }
 
--- a/src/simulation/placement_experiment.cc
+++ b/src/simulation/placement_experiment.cc
@@ -12,7 +12,7 @@
 constexpr Duration kSampleInterval = milliseconds(500);
 constexpr Duration kSetupTime = seconds(40);
 
-/// Integrates downtime and stranded accelerators over virtual time.
+/// Accumulates group downtime and stranded accelerator time over virtual time.
 class PlacementMeter {
  public:
   explicit PlacementMeter(SimulatedFleet& fleet) : fleet_(fleet) {}
@@ -58,7 +58,7 @@
   double stranded_accelerator_seconds_ = 0;
 };
 
-/// Machines die one after the other and come back after their repair.
+/// Kills random machines at exponentially distributed intervals and restarts each after a random repair time.
 class MachineFailureInjector {
  public:
   MachineFailureInjector(const Experiment& experiment, SimulatedFleet& fleet, uint64_t seed)
--- a/src/simulation/registered_fleet.cc
+++ b/src/simulation/registered_fleet.cc
@@ -18,13 +18,14 @@
 constexpr Duration kDocumentInterval = milliseconds(2500);
 constexpr Duration kWarmJoinTime = milliseconds(200);
 constexpr Duration kColdJoinTime = seconds(3);
-/// Two disks may be lost at once; the next one only once the repair had this time.
+/// Minimum time between disk losses, so that the cluster can replace the lost replica. At most two disks may be lost at
+/// once.
 constexpr Duration kMinDiskLossInterval = seconds(8);
 constexpr size_t kToleratedReplicaLosses = 2;
 constexpr Duration kStateSaveInterval = milliseconds(400);
 constexpr Duration kTrafficReportInterval = seconds(1);
 constexpr const char* kZoneNames[] = {"a", "b", "c"};
-/// An operator waits for an answer before it sends an order again, gives it up after a while, and rests between orders.
+/// An operator retries an unacknowledged zone order, gives up after the timeout, and pauses between orders.
 constexpr Duration kZoneOrderRetryInterval = seconds(1);
 constexpr Duration kZoneOrderTimeout = seconds(5);
 constexpr Duration kZoneOrderInterval = seconds(2);
@@ -108,7 +109,8 @@
   fleet::PeerIdentity identity;
   identity.peer_address = node.name;
   identity.control_address = node.name;
-  identity.incarnation = Incarnation(draw_integer(1, 1'000'000'000));  // Clocks may be set back: no order in it.
+  identity.incarnation = Incarnation(
+      draw_integer(1, 1'000'000'000));  // Random: incarnations are not ordered, since clocks may be set back.
   const std::vector<std::string> seeds = {control_replicas_[0].name, control_replicas_[1].name,
                                           control_replicas_[2].name};
   node.controller = std::make_unique<fleet::FleetController>(options_.fleet, identity, seeds, random_());
@@ -119,7 +121,7 @@
   }
   node.controller->restore_state(node.saved_state);
   start_replica(node);
-  // The settings are those of the first start, however often a replica starts and whatever it lost.
+  // The seed list stays as on the first start, no matter how often a replica restarts or what data it lost.
   const bool is_seed = std::find(seeds.begin(), seeds.end(), node.name) != seeds.end();
   if (is_seed && !has_log(node)) {
     node.controller->begin_cluster_formation(queue_.now(), node.founder_choice);
@@ -136,7 +138,7 @@
 }
 
 void RegisteredFleet::create_cluster_log(ControlReplica& node) {
-  trace(node.name + " founds");
+  trace(node.name + " creates the cluster log");
   ++result_.created_logs;
   wire::ReplicaAddress founder;
   founder.replica_id = node.disk.replica_id().value();
@@ -156,7 +158,7 @@
   trace(node.name + " stops");
   node.is_running = false;
   node.controller.reset();
-  // Its next start counts its calls anew, and answers none of these.
+  // Call ids start over after a restart, and the restarted process does not answer pending calls.
   const auto is_of_node = [&node](const auto& call) { return call.first.first == node.name; };
   std::erase_if(pending_documents_, is_of_node);
   std::erase_if(pending_zone_calls_, is_of_node);
@@ -177,7 +179,7 @@
   const Duration sync_time = microseconds(draw_integer(300, 6000));
   if (options_.acknowledge_unsynced_writes) {
     queue_.schedule_after(sync_time, acknowledge);
-    return;  // Acknowledged, yet only in the cache.
+    return;  // Acknowledged, but never synced to disk.
   }
   queue_.schedule_after(sync_time, [&node, process_generation, acknowledge] {
     if (node.is_running && node.process_generation == process_generation) {
@@ -351,7 +353,7 @@
   if (!node.is_running || node.is_isolated || !slot.reachable) {
     return;
   }
-  // As the parsed body would arrive: the controller reads JSON, so the report is written as such.
+  // The controller parses heartbeats from JSON, so encode the report as a server would.
   const auto& membership = report.membership;
   static const std::map<wire::MembershipState::type, std::string> states = {
       {wire::MembershipState::JOINING, "joining"}, {wire::MembershipState::READY, "ready"},
@@ -393,7 +395,7 @@
   const bool is_same_group = head != nullptr && head->membership().group == instance.membership().group &&
                              head->membership().epoch == instance.membership().epoch;
   if (is_same_group && head->is_open_head() && head->id() != instance.id()) {
-    add_violation("TWO: " + instance.id() + " takes a join to " + order.group + " while the head of " +
+    add_violation("TWO: " + instance.id() + " accepts a join to " + order.group + " while the head of " +
                   instance.membership().group + " is open");
   }
 }
@@ -401,7 +403,7 @@
 void RegisteredFleet::check_opened_group(const SimulatedInstance& head) {
   for (const auto& member : head.members()) {
     if (!ready_memberships_.contains({member + "/" + head.membership().group, head.membership().epoch})) {
-      add_violation("PARTIAL: " + head.membership().group + " opens though " + member + " was never ready");
+      add_violation("PARTIAL: " + head.membership().group + " opens although " + member + " was never ready");
     }
   }
 }
@@ -420,7 +422,7 @@
   for (const std::string zone : kZoneNames) {
     const auto* order = find_acknowledged_order(zone, minimum_age);
     if (order != nullptr && fleet::is_evacuated(node_evacuations, zone) != order->is_evacuation) {
-      add_violation("EVACUATION: " + node_name + " goes against the order that " + zone + " be " +
+      add_violation("EVACUATION: " + node_name + " contradicts the acknowledged order that " + zone + " be " +
                     (order->is_evacuation ? "evacuated" : "restored"));
     }
   }
@@ -436,7 +438,7 @@
     for (const auto& [version, acknowledgement_time] : document_acknowledged_at_) {
       const bool is_lease_expired = queue_.now() - acknowledgement_time > options_.fleet.document_lease;
       if (is_lease_expired && entry.subscription->document_version() < version) {
-        add_violation("LEASE: " + entry.name + " serves by version " +
+        add_violation("LEASE: " + entry.name + " serves with version " +
                       std::to_string(entry.subscription->document_version()) + " long after " +
                       std::to_string(version));
         return;
@@ -455,18 +457,19 @@
     ++leaders;
     if (node.controller->log().document_version() < newest_acknowledged_version_) {
       add_violation("LOST: version " + std::to_string(newest_acknowledged_version_) +
-                    " was acknowledged, the leader holds " + std::to_string(node.controller->log().document_version()));
+                    " was acknowledged, but the leader has " +
+                    std::to_string(node.controller->log().document_version()));
     }
     const auto& evacuations = node.controller->log().evacuations();
     check_evacuations(node.name, evacuations, Duration::zero());
-    // Nothing forms then, and faults may have ended every group.
+    // With all zones evacuated no new group is formed, and faults may have ended all existing ones.
     are_all_evacuated = evacuations.zones.size() == std::size(kZoneNames);
     for (const auto& group : node.controller->leader_view().groups()) {
       result_.open_groups_at_end += group.phase == wire::GroupPhase::OPEN ? 1 : 0;
     }
   }
   if (result_.created_logs != 1) {
-    add_violation("FORMATION: " + std::to_string(result_.created_logs) + " logs were founded");
+    add_violation("FORMATION: " + std::to_string(result_.created_logs) + " logs were created");
   }
   if (leaders != 1) {
     add_violation("REST: " + std::to_string(leaders) + " leaders after the faults ended");
@@ -474,7 +477,7 @@
   for (const auto& entry : entries_) {
     if (!entry.subscription->has_lease(queue_.now()) ||
         entry.subscription->document_version() < newest_acknowledged_version_) {
-      add_violation("REST: " + entry.name + " does not serve by the newest document");
+      add_violation("REST: " + entry.name + " does not serve with the newest document");
     }
   }
   if (result_.open_groups_at_end == 0 && !are_all_evacuated) {
@@ -490,7 +493,7 @@
       static_cast<size_t>(std::count_if(control_replicas_.begin(), control_replicas_.end(),
                                         [](const auto& item) { return !item.is_running || item.is_isolated; }));
   const int64_t kind = draw_integer(0, 5);
-  if (kind == 0) {  // All of them at once; their disks survive.
+  if (kind == 0) {  // All replicas crash at once; their disks survive.
     for (auto& replica : control_replicas_) {
       if (replica.is_running) {
         stop_control_replica(replica, draw_bool(0.5));
@@ -532,7 +535,7 @@
   if (!slot.instance) {
     return;
   }
-  if (draw_bool(0.3)) {  // Cut off from control, while it goes on.
+  if (draw_bool(0.3)) {  // The server keeps running but is unreachable from the control replicas.
     slot.reachable = false;
     queue_.schedule_after(milliseconds(draw_integer(1000, 9000)), [&slot] { slot.reachable = true; });
     return;
--- a/src/simulation/registered_fleet.h
+++ b/src/simulation/registered_fleet.h
@@ -19,22 +19,24 @@
 
 struct RegisteredFleetOptions {
   uint64_t seed = 1;
-  /// Faults strike during this time; then everything is repaired and the fleet must come to rest.
+  /// Time during which faults are injected. Afterwards all faults are repaired.
   Duration fault_duration = seconds(60);
+  /// Time in which the fleet must reach a stable state after the repair.
   Duration recovery_duration = seconds(40);
   Duration mean_fault_interval = milliseconds(900);
-  /// Share of the orders that get no answer and are carried out seconds later.
+  /// Probability that an order gets no answer and is executed seconds later.
   double late_order_probability = 0.25;
   fleet::FleetOptions fleet;
-  /// How long a head that misses a member really stands still before it is broken.
+  /// Time after which an open head with a missing member becomes broken. The supervisor assumes
+  /// `fleet.stall_time`.
   Duration head_stall_time = seconds(5);
-  /// Operators evacuate and restore zones, one order after the other.
+  /// If set, operators evacuate and restore zones, one order at a time.
   bool enable_zone_orders = false;
-  /// Planted defects, to show that the checks find them.
+  /// Injected defects, for tests that the checks detect them.
   bool entries_ignore_leases = false;
   bool entries_ignore_evacuations = false;
   bool acknowledge_unsynced_writes = false;
-  /// If set, told of every order carried out, every report and every fault.
+  /// If set, receives a line for every executed order, every instance report and every fault.
   std::function<void(const std::string&)> trace;
 };
 
@@ -48,17 +50,18 @@
   uint64_t created_logs = 0;
 };
 
-/// A registered fleet in virtual time: five control replicas and three entries run the daemon's own FleetController and
-/// FleetSubscription over a network that delays, loses and cuts; servers carry out orders late, die and come back;
-/// operators send documents. Checked all the while:
-/// - the seeds found one log, whoever comes late or returns with an empty disk and the settings of the first start;
-/// - an acknowledged document is never lost, and nobody serves by an older one longer than the lease;
-/// - a head opens only when every member was ready under the group's name and epoch;
-/// - no server takes a join to another group while the head of its group is open;
-/// - an acknowledged order to evacuate or restore a zone is never lost, and nobody serves against it longer than the
+/// Simulates a fleet of registered engine servers in virtual time. Five control replicas and three entries run the
+/// daemon's own FleetController and FleetSubscription over a network that delays and loses messages and isolates nodes.
+/// Servers execute orders late, die and restart; operators replace the configuration document. Checked invariants:
+/// - the seeds create exactly one log, even if a seed starts late or restarts with an empty disk and unchanged
+/// settings;
+/// - an acknowledged document is never lost, and no entry serves with an older one for longer than the lease;
+/// - a head opens only after every member was ready in the same group and epoch;
+/// - no server accepts a join order to another group while the head of its current group is open;
+/// - an acknowledged order to evacuate or restore a zone is never lost, and no entry contradicts it for longer than the
 ///   lease;
-/// - at the end the fleet comes to rest: a leader, the newest document everywhere, groups open.
-/// The same seed gives the same run.
+/// - at the end there is one leader, every entry serves with the newest document, and groups are open.
+/// Runs with the same seed are identical.
 class RegisteredFleet {
  public:
   explicit RegisteredFleet(const RegisteredFleetOptions& options);
@@ -71,10 +74,10 @@
     VirtualDisk disk;
     int64_t start_count = 0;
     int64_t next_replica = 0;
-    /// Kept on its disk while the fleet forms.
+    /// Stored on disk while the cluster forms.
     std::string founder_choice;
     uint64_t process_generation = 0;
-    /// The fleet's state as last kept on disk, and when.
+    /// Fleet state last saved to disk, and when.
     wire::FleetState saved_state;
     TimePoint state_saved_at{};
     bool is_running = false;
@@ -86,7 +89,7 @@
     TimePoint traffic_reported_at{};
     bool is_isolated = false;
   };
-  /// A server's place: its address outlives each start.
+  /// A host for one engine server process. The address stays the same when the process restarts.
   struct ServerSlot {
     std::string address;
     std::string domain;
@@ -98,7 +101,7 @@
   struct PendingDocument {
     int64_t version = 0;
   };
-  /// An operator's order on a zone, sent again until it is acknowledged or its time is over.
+  /// An operator's order to evacuate or restore a zone; retried until it is acknowledged or times out.
   struct ZoneOrder {
     std::string zone;
     bool is_evacuation = false;
@@ -126,14 +129,14 @@
   int execute_instance_order(const fleet::InstanceOrder& order);
   void tick();
   void send_heartbeat(ServerSlot& slot);
-  /// Sends a heartbeat now and at every interval from now on.
+  /// Sends a heartbeat now and then at every heartbeat interval.
   void send_periodic_heartbeats(ServerSlot& slot);
   void put_document(int64_t version);
   void start_zone_order();
   void send_zone_order();
-  /// The last order on the zone, if it was acknowledged at least `age` ago.
+  /// Returns the last order for the zone if it was acknowledged at least `minimum_age` ago, else null.
   const ZoneOrder* find_acknowledged_order(const std::string& zone, Duration minimum_age) const;
-  /// Compares what somebody holds with the orders acknowledged at least `age` ago.
+  /// Checks a node's evacuations against the orders that were acknowledged at least `minimum_age` ago.
   void check_evacuations(const std::string& node_name, const wire::ZoneEvacuations& node_evacuations,
                          Duration minimum_age);
   void inject_fault();
@@ -158,13 +161,13 @@
   int64_t next_instance_ = 1;
   int64_t next_version_ = 1;
   int64_t newest_acknowledged_version_ = 0;
-  /// When each version was first acknowledged.
+  /// Time at which each document version was first acknowledged.
   std::map<int64_t, TimePoint> document_acknowledged_at_;
   std::map<std::pair<std::string, int64_t>, PendingDocument> pending_documents_;
-  /// Operators' own, so that runs without their orders are the same as ever.
+  /// Separate generator for zone orders, so that enabling them does not change the other random choices.
   std::mt19937_64 operator_random_;
   std::vector<ZoneOrder> zone_orders_;
-  /// Which of `zone_orders_` each open call of a control node carries.
+  /// Maps the pending call (node, call id) of a zone order to its index in `zone_orders_`.
   std::map<std::pair<std::string, int64_t>, size_t> pending_zone_calls_;
   std::set<std::pair<std::string, int64_t>> ready_memberships_;
   TimePoint last_disk_loss_ = TimePoint::min();
--- a/src/simulation/routing_experiment.cc
+++ b/src/simulation/routing_experiment.cc
@@ -28,7 +28,7 @@
   return samples[std::min(samples.size() - 1, static_cast<size_t>(fraction * static_cast<double>(samples.size())))];
 }
 
-/// Entries with routers of their own before modelled engines.
+/// Simulates several entries, each with its own router, that dispatch requests to simulated engines.
 class RoutingSimulation {
  public:
   RoutingSimulation(const Experiment& experiment, routing::RoutingPolicy policy, uint64_t seed)
@@ -79,7 +79,7 @@
     bool has_first_token = false;
   };
 
-  /// Entries learn the engines' load as it was some time ago.
+  /// Reports to all routers the engine loads of `kLoadReportLag` ago.
   void report_loads() {
     for (size_t group = 0; group < engines_.size(); ++group) {
       load_histories_[group].push_back(
@@ -110,7 +110,7 @@
   }
 
   void dispatch_request() {
-    // A few prefixes carry most requests.
+    // Skewed distribution: a few prefixes account for most requests.
     const double skewed = std::pow(std::uniform_real_distribution<double>(0, 1)(random_), 2.0);
     const auto prefix = static_cast<uint64_t>(skewed * kPrefixCount) + 1;
     const int entry = std::uniform_int_distribution<int>(0, kEntryCount - 1)(random_);
--- a/src/simulation/scale_run.cc
+++ b/src/simulation/scale_run.cc
@@ -24,7 +24,7 @@
 
 double to_ms(Duration duration) { return static_cast<double>(duration.count()) / 1000.0; }
 
-/// One scale run's world.
+/// A uniform fleet with its configuration applied and all groups serving.
 class ScaleSimulation {
  public:
   ScaleSimulation(int nodes, int machines, int zones) : monitor_(seconds(10), seconds(60)) {
@@ -49,7 +49,7 @@
     node_resident_mb_ = (read_resident_mb() - resident_mb_before) / nodes;
   }
 
-  /// Runs until `condition` holds; how long that took.
+  /// Runs the simulation until `condition` holds or the wait times out; returns the virtual time that passed.
   Duration wait_until(const std::function<bool()>& condition) {
     const TimePoint began = queue_.now();
     while (!condition() && queue_.now() < began + kWaitTimeout) {
@@ -176,7 +176,7 @@
       machine.die(scale_simulation.fleet().queue().now());
     }
   }
-  // Steady again: no group of the lost zone is served any more.
+  // The fleet is steady again when no group of the lost zone counts as serving.
   result.zone_loss_to_steady_ms = to_ms(scale_simulation.wait_until([&scale_simulation, &lost_zone] {
     const auto* leader = scale_simulation.fleet().leader();
     if (leader == nullptr) {
--- a/src/simulation/scale_run.h
+++ b/src/simulation/scale_run.h
@@ -6,7 +6,7 @@
 
 namespace larchlever::simulation {
 
-/// Cost of one role, per node and second of virtual time.
+/// Average cost of the nodes of one role, per node and second of virtual time.
 struct RoleCost {
   std::string role;
   int nodes = 0;
@@ -23,7 +23,7 @@
   std::vector<RoleCost> roles;
   double change_in_force_p50_ms = -1;
   double change_in_force_p99_ms = -1;
-  /// With one entry cut off from everybody since just before the change.
+  /// Latency of a change made just after one entry was partitioned from all other nodes.
   double change_with_cut_off_entry_ms = -1;
   double leader_loss_to_change_ms = -1;
   double zone_loss_to_steady_ms = -1;
@@ -31,11 +31,11 @@
   double resident_mb_per_node = 0;
 };
 
-/// Runs `nodes` hollow nodes (the daemon's own controllers, sharing this process) before `machines` machines in virtual
-/// time, over the daemon's codec, and measures what each role sends, receives and computes.
+/// Simulates `nodes` nodes and `machines` machines in virtual time and measures what each role sends, receives and
+/// computes. The nodes run the daemon's own controllers inside this process; messages pass through the daemon's codec.
 ScaleResult run_scale(int nodes, int machines, int zones, double measured_seconds);
 
-/// The results as CSV, one line per size and role.
+/// Formats the results as CSV, one line per fleet size and role.
 std::string format_scale_csv(const std::vector<ScaleResult>& results);
 
 }  // namespace larchlever::simulation
--- a/src/simulation/simulated_fleet.cc
+++ b/src/simulation/simulated_fleet.cc
@@ -287,7 +287,7 @@
         target.disk.in_flight() == 0) {
       return;
     }
-    // Read before it leaves the queue: the controller gets the batch back once it is on disk.
+    // Copy the batch before it leaves the queue, because the controller needs it once it is on disk.
     consensus::RaftOutput batch = target.disk.oldest();
     target.disk.sync_oldest();
     target.is_syncing = false;
--- a/src/simulation/simulated_fleet.h
+++ b/src/simulation/simulated_fleet.h
@@ -18,7 +18,7 @@
 
 namespace larchlever::simulation {
 
-/// A zone of the simulated fleet.
+/// Size and machine type of one zone of the simulated fleet.
 struct ZoneOptions {
   std::string name;
   int domains = 2;
@@ -27,21 +27,21 @@
   bool checks_fences = true;
 };
 
-/// Defects that can be switched on, to see that the monitor catches them.
+/// Defects that can be enabled to test that the invariant monitor detects them.
 struct InjectedDefects {
-  bool entries_ignore_leases = false;        ///< Dispatch by the table held, lease or not.
-  bool entries_ignore_zones = false;         ///< Dispatch to any group of the template.
+  bool entries_ignore_leases = false;        ///< Entries dispatch even without a valid configuration lease.
+  bool entries_ignore_zones = false;         ///< Entries dispatch to any group of the template, whatever its zone.
   bool acknowledge_unsynced_writes = false;  ///< Writes are acknowledged before they are synced.
-  bool dispatch_without_claim = false;       ///< A keyed request runs without asking a quorum.
-  bool report_unknown_as_not_run = false;
-  bool in_force_at_commit = false;  ///< A change counts as in force once committed.
-  bool reads_from_any_node = false;
+  bool dispatch_without_claim = false;       ///< Requests with a key are dispatched without a committed claim.
+  bool report_unknown_as_not_run = false;    ///< Callers get "not run" when the outcome is unknown.
+  bool in_force_at_commit = false;           ///< A change is reported as in force once it is committed.
+  bool reads_from_any_node = false;          ///< Configuration reads use the local state of any node.
 };
 
 struct SimulatedFleetOptions {
   std::vector<ZoneOptions> zones;
   int node_count = 6;
-  int disk_count = 4;
+  int disk_count = 4;  ///< Number of nodes with a disk; these are the control nodes.
   node::NodeControllerOptions controller;
   Duration tick_interval = milliseconds(20);
   Duration network_delay = microseconds(500);
@@ -52,12 +52,12 @@
   Duration membership_lag = seconds(2);
   double max_clock_drift = 0.004;
   InjectedDefects defects;
-  /// Count bytes as encoded on the wire and processor time per node; slower.
+  /// Measures encoded message bytes and processor time per node; slows the simulation down.
   bool measure_cost = false;
   uint64_t seed = 1;
 };
 
-/// What one node cost so far.
+/// Resources that one node has used so far.
 struct NodeCost {
   uint64_t bytes_sent = 0;
   uint64_t bytes_received = 0;
@@ -66,12 +66,12 @@
   int64_t processor_ns = 0;
 };
 
-/// State of the links between nodes.
+/// Faults currently active on the network.
 struct NetworkFaults {
   double loss_probability = 0;
   double duplication_probability = 0;
   Duration extra_delay{};
-  /// One-way cuts: messages from first to second are dropped.
+  /// One-way partitions: messages from `first` to `second` are dropped.
   std::set<std::pair<std::string, std::string>> cuts;
 };
 
@@ -90,19 +90,19 @@
   NodeCost cost;
 };
 
-/// Nodes, machines and the network between them in virtual time. The nodes run the daemon's own NodeController; only
-/// network, disk, clock and back ends are simulated. Deterministic for a seed; single-threaded.
+/// Simulates nodes, machines and their network in virtual time. The nodes run the daemon's own NodeController; only
+/// network, disks, clocks and back ends are simulated. Deterministic for a given seed; single-threaded.
 class SimulatedFleet {
  public:
   SimulatedFleet(const SimulatedFleetOptions& options, EventQueue& queue, InvariantMonitor& monitor);
 
-  /// Bootstraps the region on the first node and starts everything.
+  /// Bootstraps the replicated log on the first node and starts all nodes.
   void start();
 
   void crash(const std::string& node);
   void restart(const std::string& node);
   void pause(const std::string& node, Duration duration);
-  /// The node's disk is replaced by an empty one; the node must be down.
+  /// Replaces the node's disk by an empty one. The node must be down.
   void lose_disk(const std::string& node);
   bool roll_back_disk(const std::string& node);
   NetworkFaults& network() { return network_; }
@@ -117,11 +117,13 @@
   EventQueue& queue() { return queue_; }
   InvariantMonitor& monitor() { return monitor_; }
   Duration random_delay();
-  /// Carries out whatever the node's controller has put out. To be called after every input to a controller.
+  /// Processes the pending outputs of the node's controller: messages, disk writes, orders and replies. Must be called
+  /// after every input to the controller.
   void process_outputs(SimulatedNode& node);
 
-  /// Sends a request to a group's first machine; `done` gets whether it ran there (or nothing if that stays unknown).
+  /// Outcome of one request attempt; `kLost` means that it is unknown whether the request ran.
   enum class AttemptResult { kExecuted, kRefused, kLost };
+  /// Sends a request to the group's first machine and passes the outcome to `done`.
   void run_request(SimulatedNode& node, const wire::Group& group, const std::string& tenant,
                    const std::string& request_id, const std::string& key, Duration service_time,
                    std::function<void(AttemptResult)> done);
@@ -137,7 +139,7 @@
   void tick(const std::string& name, uint64_t process_generation);
   void deliver(const std::string& to, wire::Envelope envelope);
   void send_envelope(SimulatedNode& from, const wire::Envelope& envelope);
-  /// Runs `work` and books its processor time on the node.
+  /// Runs `work` and adds its processor time to the node's cost.
   void run_and_measure(SimulatedNode& node, const std::function<void()>& work);
   void start_sync(SimulatedNode& node);
   void poll_machines(const std::string& name, uint64_t process_generation);
@@ -145,7 +147,7 @@
   void send_order(SimulatedNode& node, const control::EngineOrder& order);
   void check_invariants(SimulatedNode& node);
   bool machine_link_is_cut(const std::string& node) const;
-  /// Runs `action` on the node now, when its pause ends, or never if that incarnation has ended.
+  /// Runs `action` on the node, after its pause if it is paused. Does nothing if that process has ended.
   void run_on_node(const std::string& name, uint64_t process_generation, std::function<void(SimulatedNode&)> action);
   double draw_fraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
--- a/src/simulation/simulated_instance.h
+++ b/src/simulation/simulated_instance.h
@@ -12,32 +12,35 @@
 
 namespace larchlever::simulation {
 
-/// One start of a registered engine server in virtual time: joins, opens and leaves groups as it is ordered, fenced by
-/// epochs, and describes itself in its heartbeats. A head goes on whatever becomes of its members until it is broken.
+/// Simulates one process of a registered engine server. It joins, opens and leaves groups on order, rejects orders with
+/// an old epoch, and reports its state in heartbeats. An open head keeps serving when a member is lost, until it
+/// becomes broken.
 class SimulatedInstance {
  public:
   SimulatedInstance(std::string id, std::string address, std::string domain, std::vector<std::string> staged);
 
-  /// Carries out an order; returns the status that is answered. `ready_at` of a join is `now` plus `join_time`.
+  /// Executes an order and returns the HTTP status of the answer. A join completes at `now + join_time`.
   int execute_order(TimePoint now, const fleet::InstanceOrder& order, Duration join_time);
-  /// Advances to `now`: joins end, orders to open take effect.
+  /// Completes a join that is due at `now`.
   void advance(TimePoint now);
-  /// A member of the group that this head leads is lost since `since`; the head is broken after `stall`.
+  /// Handles the loss of a member of this instance's group. An open head becomes broken `stall_time` after the first
+  /// call.
   void handle_missing_member(TimePoint now, Duration stall_time);
 
+  /// Returns the next heartbeat report and clears `has_unreported_changes()`.
   wire::Instance take_report();
   const std::string& id() const { return id_; }
   const std::string& address() const { return address_; }
   const std::string& domain() const { return domain_; }
   const std::vector<std::string>& staged() const { return staged_; }
-  /// The model of its last group since it started.
+  /// Model of the group that it joined last since it started; empty if none.
   const std::string& model() const { return model_; }
   const wire::GroupMembership& membership() const { return membership_; }
   const std::vector<std::string>& members() const { return members_; }
   bool is_open_head() const { return membership_.rank == 0 && membership_.state == wire::MembershipState::OPEN; }
-  /// Was ever ready under this group and epoch.
+  /// True if the instance was ever ready in this group and epoch.
   bool was_ready(const std::string& group, int64_t epoch) const { return ready_memberships_.contains({group, epoch}); }
-  /// What it reports changed since `report` was last called.
+  /// True if the reported state has changed since the last `take_report()`.
   bool has_unreported_changes() const { return has_unreported_changes_; }
   bool draining = false;
 
--- a/src/simulation/simulated_machine.h
+++ b/src/simulation/simulated_machine.h
@@ -11,7 +11,8 @@
 
 namespace larchlever::simulation {
 
-/// One back-end machine in virtual time: obeys orders, answers polls, runs requests. "Basic" machines check no fence.
+/// Simulates one back-end machine: executes orders, answers polls and runs requests. Machines of kind "basic" do not
+/// check fencing tokens.
 struct SimulatedMachine {
   std::string id;
   std::string zone;
@@ -34,9 +35,11 @@
   int load = 0;
 
   bool available() const { return alive && !paused; }
+  /// Executes an order; weights that are not yet loaded take `load_time`.
   control::OrderVerdict execute_order(const control::EngineOrder& order, TimePoint now, Duration load_time);
   wire::MachineSighting make_sighting(TimePoint now) const;
   void die(TimePoint now);
+  /// Restarts the machine as a new incarnation without a group or weights.
   void restart_empty(TimePoint now);
   void pause(TimePoint now);
   void resume();
--- a/src/simulation/simulation_run.cc
+++ b/src/simulation/simulation_run.cc
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr Duration kSetupTimeout = seconds(30);
-/// Presence bound, serve lease and their margins: longest time in which a lost machine's group may get work.
+/// Longest time for which a group may receive requests after one of its machines was lost: presence bound plus serve
+/// lease plus their margins.
 constexpr Duration kDispatchAfterLossLimit = milliseconds(3200);
 constexpr Duration kDispatchAfterLeaveLimit = seconds(12);
 
@@ -47,11 +48,11 @@
   return writes;
 }
 
-/// Serving groups per wanted (template, zone), compared with what the machines in use allow.
+/// Checks that the planner would create no further group and that every existing group is serving.
 void check_groups_formed(SimulatedFleet& fleet, InvariantMonitor& monitor) {
   auto* leader = fleet.leader();
   if (leader == nullptr) {
-    monitor.report_violation(fleet.queue().now(), "no leader after everything healed");
+    monitor.report_violation(fleet.queue().now(), "no leader after all faults were repaired");
     return;
   }
   const auto& state = leader->controller->state();
@@ -61,13 +62,13 @@
   }
   const auto plan = placement::make_plan(input, *placement::make_placement_policy("first_fit"));
   if (!plan.groups_to_create.empty()) {
-    monitor.report_violation(fleet.queue().now(),
-                             "a group that could form did not: " + plan.groups_to_create.front().template_name +
-                                 " in " + plan.groups_to_create.front().zone);
+    monitor.report_violation(fleet.queue().now(), "a group was not created although machines are available: " +
+                                                      plan.groups_to_create.front().template_name + " in " +
+                                                      plan.groups_to_create.front().zone);
   }
   for (const auto& [id, group] : state.groups()) {
     if (group.state != wire::GroupState::SERVING) {
-      monitor.report_violation(fleet.queue().now(), "group " + std::to_string(id) + " hangs in state " +
+      monitor.report_violation(fleet.queue().now(), "group " + std::to_string(id) + " is stuck in state " +
                                                         std::to_string(static_cast<int>(group.state)));
     }
   }
@@ -103,7 +104,7 @@
     queue.run_until(queue.now() + milliseconds(100), should_stop);
   }
   if (!configured) {
-    monitor.report_violation(queue.now(), "the first templates were never answered");
+    monitor.report_violation(queue.now(), "the initial configuration got no reply");
   }
   queue.run_until(queue.now() + seconds(6), should_stop);
 
@@ -122,7 +123,8 @@
   queue.run_until(queue.now() + options.recovery_duration / 2, should_stop);
   if (monitor.violations().empty()) {
     if (!is_change_in_force) {
-      monitor.report_violation(queue.now(), "a change after everything healed was not in force in time");
+      monitor.report_violation(queue.now(),
+                               "a change made after the repair of all faults did not come into force in time");
     }
     check_groups_formed(fleet, monitor);
   }
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -28,15 +28,15 @@
   std::map<std::string, uint64_t> faults;
   uint64_t checks = 0;
   uint64_t events = 0;
-  /// Equal for equal seeds: a hash over what happened.
+  /// Hash of the run's counters; equal for runs with equal options and seed.
   uint64_t digest = 0;
 };
 
-/// The small fleet on which fault runs are made: six nodes, four of them with disks, three zones, eighteen machines.
+/// Options of a fault run on a small fleet: six nodes, four of them with disks, three zones and eighteen machines.
 SimulationOptions fault_run_options(uint64_t seed);
 
-/// One run: templates applied, faults and load, everything healed, then liveness: a leader, a change in force, every
-/// wanted group serving.
+/// Runs one simulation: applies the configuration, runs the workload under faults, repairs all faults, and then checks
+/// liveness: there is a leader, a change comes into force, and every demanded group that fits is serving.
 SimulationResult run_simulation(const SimulationOptions& options);
 
 }  // namespace larchlever::simulation
--- a/src/simulation/virtual_disk.h
+++ b/src/simulation/virtual_disk.h
@@ -9,27 +9,28 @@
 
 namespace larchlever::simulation {
 
-/// A data folder in virtual time: holds what was synced; a crash loses what was not, or keeps a part of it.
+/// Simulates a replica's data folder. Submitted batches are lost in a crash unless they were synced.
 class VirtualDisk {
  public:
   ReplicaId replica_id() const { return replica_id_; }
   void assign_identity(ReplicaId replica_id);
 
-  /// A batch on its way to the disk.
+  /// Submits a write batch; it stays in flight until it is synced.
   void submit(const consensus::RaftOutput& batch) { in_flight_.push_back(batch); }
-  /// The oldest batch in flight reached the disk.
+  /// Syncs the oldest batch in flight.
   void sync_oldest();
-  /// Power is lost: of the batches in flight the first `kept` had reached the disk all the same.
+  /// Simulates a power loss: the first `synced_batches` batches in flight reach the disk, the others are lost.
   void crash(size_t synced_batches);
-  /// The disk is replaced by an empty one.
+  /// Replaces the disk by an empty one without a replica id.
   void replace_with_empty();
-  /// Remembers the present content; `restore_saved_image` returns to it later under the same identity.
+  /// Saves the current content, so that `restore_saved_image` can roll the disk back to it under the same replica id.
   void save_image() { saved_image_ = image_; }
+  /// Returns false if no image was saved since the replica id was assigned.
   bool restore_saved_image();
 
   const consensus::PersistedState& image() const { return image_; }
   size_t in_flight() const { return in_flight_.size(); }
-  /// The batch that will be synced next. Precondition: something is in flight.
+  /// The batch that is synced next. Precondition: `in_flight() > 0`.
   const consensus::RaftOutput& oldest() const { return in_flight_.front(); }
 
  private:
--- a/src/simulation/workload.cc
+++ b/src/simulation/workload.cc
@@ -215,7 +215,7 @@
   if (--request->remaining_sends <= 0) {
     return;
   }
-  // A fresh copy: the earlier send may still be under way.
+  // Use a copy, because the earlier attempt may still be in flight.
   auto retried = std::make_shared<CallerRequest>(*request);
   retried->claim_nonce = 0;
   fleet_.queue().schedule_after(kRetryDelay, [this, retried] {
@@ -251,7 +251,7 @@
     }
   };
   fleet_.process_outputs(*node);
-  // The node may crash and its answer be lost: the operator then asks another, under the same command id.
+  // If the node crashes, its reply is lost. The operator then retries through another node with the same command id.
   fleet_.queue().schedule_after(kOperatorTimeout * 2, [this, reply_key, answered, retry] {
     if (!*answered) {
       pending_replies_.erase(reply_key);
@@ -349,7 +349,7 @@
   send_change(change, [this, done](const wire::OperatorReply& reply) {
     if (reply.answer.verdict != wire::Verdict::ACCEPTED) {
       fleet_.monitor().report_violation(fleet_.queue().now(),
-                                        "the first templates were refused: " + reply.answer.message);
+                                        "the initial configuration was rejected: " + reply.answer.message);
     }
     done();
   });
--- a/src/simulation/workload.h
+++ b/src/simulation/workload.h
@@ -31,20 +31,20 @@
   uint64_t in_force = 0;
 };
 
-/// Callers who send and resend keyed requests through several nodes, and operators who race each other and resend
-/// commands whose answers they lost. It does in virtual time what the callers' front does in the daemon, with the same
-/// claims, routing and outcomes.
+/// Simulates callers that send and retry requests through several nodes, and operators that make concurrent changes and
+/// retry commands whose replies were lost. Takes the place of the daemon's request path, with the same claims, routing
+/// and outcomes.
 class Workload {
  public:
   Workload(const WorkloadOptions& options, SimulatedFleet& fleet);
 
-  /// Keeps sending until `end`.
+  /// Sends requests and changes until `end`.
   void start(TimePoint end);
-  /// Sends one change to `tenant` and resends it until answered; `done` gets the answer.
+  /// Changes `tenant` once, retrying a limited number of times until there is a reply; passes the reply to `done`.
   void apply_change(const std::string& tenant, std::function<void(const wire::OperatorReply&)> done);
-  /// Applies the first templates; `done` once they are in force.
+  /// Applies the initial configuration; calls `done` on the reply.
   void configure(const std::vector<wire::KeyWrite>& writes, std::function<void()> done);
-  /// Resends every command that was answered: the answers must be the same.
+  /// Resends every change that was answered. The monitor checks that the new reply agrees with the first.
   void resend_answered_changes();
 
   const WorkloadStats& stats() const { return stats_; }
--- a/tests/unit/registered_fleet_test.cc
+++ b/tests/unit/registered_fleet_test.cc
@@ -11,7 +11,7 @@
 constexpr uint64_t kSeedCount = 40;
 constexpr uint64_t kMaxDefectSeeds = 60;
 
-TEST(RegisteredFleet, KeepsItsPromisesUnderFaults) {
+TEST(RegisteredFleet, MaintainsInvariantsUnderFaults) {
   for (uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     RegisteredFleetOptions options;
     options.seed = seed;
@@ -23,10 +23,10 @@
   }
 }
 
-/// Seeds that once broke a promise: a copy named an earlier holder of an address (16), a predecessor's orders took a
-/// member out of a group that its successor opened (497), late orders opened a dissolved group again (388), a fence
-/// struck a head that had been given to another group (5).
-TEST(RegisteredFleet, KeepsItsPromisesOnSeedsThatOnceFailed) {
+/// Seeds that once violated an invariant: a copy of the instance list named a previous process at an address (16);
+/// orders of a previous leader removed a member from a group that the next leader then opened (497); late orders
+/// reopened a dissolved group (388); a fence hit a head that had already been assigned to another group (5).
+TEST(RegisteredFleet, MaintainsInvariantsOnRegressionSeeds) {
   for (const uint64_t seed : {5U, 16U, 388U, 497U}) {
     RegisteredFleetOptions options;
     options.seed = seed;
@@ -35,7 +35,7 @@
   }
 }
 
-TEST(RegisteredFleet, GivesTheSameRunForTheSameSeed) {
+TEST(RegisteredFleet, SameSeedGivesSameRun) {
   RegisteredFleetOptions options;
   options.seed = 5;
   const auto first = RegisteredFleet(options).run();
@@ -45,8 +45,9 @@
   EXPECT_EQ(first.faults, second.faults);
 }
 
-// Orders on zones beside lost leaders, cut entries and lost disks: what was acknowledged holds for who may serve.
-TEST(RegisteredFleet, KeepsAcknowledgedEvacuationsUnderFaults) {
+// Zone orders together with leader crashes, isolated entries and lost disks: no entry that may serve contradicts an
+// acknowledged order.
+TEST(RegisteredFleet, MaintainsAcknowledgedEvacuationsUnderFaults) {
   uint64_t acknowledged = 0;
   for (uint64_t seed = 1; seed <= kSeedCount / 2; ++seed) {
     RegisteredFleetOptions options;
@@ -59,11 +60,12 @@
   EXPECT_GT(acknowledged, 5 * kSeedCount / 2);
 }
 
-// A control process that started again counts its calls anew. The answer to one of them was taken for the answer to an
-// order on a zone that was open when the process before it ended, and entries seemed to go against that order:
-//   EVACUATION: 10.0.1.1:7000 goes against the order that b be evacuated
-// On the last of these seeds all zones are evacuated in the end, and no group is left.
-TEST(RegisteredFleet, TakesNoAnswerOfALaterStartForThatToAnOrderOnAZone) {
+// A restarted control replica numbers its calls from the start again. The simulation once matched the answer to such a
+// call with a zone order that had been pending when the replica stopped, and reported entries as contradicting that
+// order:
+//   EVACUATION: 10.0.1.1:7000 contradicts the acknowledged order that b be evacuated
+// With the last seed all zones are evacuated at the end and no group is left.
+TEST(RegisteredFleet, RestartedReplicaDoesNotAcknowledgeEarlierZoneOrder) {
   for (const uint64_t seed : {1096U, 1268U, 1342U, 1362U, 1236U}) {
     RegisteredFleetOptions options;
     options.seed = seed;
@@ -73,6 +75,7 @@
   }
 }
 
+/// Runs seeds with an injected defect until one violates an invariant; returns that violation, or empty if none does.
 std::string first_violation(const std::function<void(RegisteredFleetOptions&)>& enable_defect) {
   for (uint64_t seed = 1; seed <= kMaxDefectSeeds; ++seed) {
     RegisteredFleetOptions options;
@@ -86,12 +89,12 @@
   return "";
 }
 
-TEST(RegisteredFleet, CatchesEntriesThatIgnoreTheirLease) {
+TEST(RegisteredFleet, DetectsEntriesThatIgnoreTheirLease) {
   const auto violation = first_violation([](auto& options) { options.entries_ignore_leases = true; });
   EXPECT_NE(violation.find("LEASE"), std::string::npos) << violation;
 }
 
-TEST(RegisteredFleet, CatchesEntriesThatServeAgainstAnEvacuation) {
+TEST(RegisteredFleet, DetectsEntriesThatIgnoreEvacuations) {
   const auto violation = first_violation([](auto& options) {
     options.enable_zone_orders = true;
     options.entries_ignore_evacuations = true;
@@ -99,8 +102,8 @@
   EXPECT_NE(violation.find("EVACUATION"), std::string::npos) << violation;
 }
 
-TEST(RegisteredFleet, CatchesMembersFreedBeforeTheirHeadStands) {
-  // A head that misses a member goes on for longer than the supervisor believes.
+TEST(RegisteredFleet, DetectsMembersReassignedBeforeTheirHeadStops) {
+  // A head with a missing member keeps serving for longer than the supervisor assumes.
   const auto violation = first_violation([](auto& options) {
     options.fleet.stall_time = milliseconds(100);
     options.late_order_probability = 0.5;
@@ -108,7 +111,7 @@
   EXPECT_NE(violation.find("TWO"), std::string::npos) << violation;
 }
 
-TEST(RegisteredFleet, CatchesDisksThatLie) {
+TEST(RegisteredFleet, DetectsDisksThatAcknowledgeUnsyncedWrites) {
   const auto violation = first_violation([](auto& options) {
     options.acknowledge_unsynced_writes = true;
     options.mean_fault_interval = milliseconds(400);
--- a/tests/unit/simulation_test.cc
+++ b/tests/unit/simulation_test.cc
@@ -9,7 +9,7 @@
 
 constexpr uint64_t kMaxDefectSeeds = 60;
 
-TEST(Simulation, KeepsEveryInvariantUnderFaults) {
+TEST(Simulation, MaintainsInvariantsUnderFaults) {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     const auto result = run_simulation(fault_run_options(seed));
     ASSERT_TRUE(result.violations.empty()) << "seed " << seed << " " << result.violations.front();
@@ -18,7 +18,7 @@
   }
 }
 
-TEST(Simulation, GivesTheSameRunForTheSameSeed) {
+TEST(Simulation, SameSeedGivesSameRun) {
   const auto first = run_simulation(fault_run_options(7));
   const auto second = run_simulation(fault_run_options(7));
   EXPECT_EQ(first.digest, second.digest);
@@ -26,7 +26,7 @@
   EXPECT_NE(first.digest, run_simulation(fault_run_options(8)).digest);
 }
 
-/// Runs seeds with a planted defect until one breaks an invariant; returns that violation.
+/// Runs seeds with an injected defect until one violates an invariant; returns that violation, or empty if none does.
 std::string first_violation(const std::function<void(SimulationOptions&)>& enable_defect) {
   for (uint64_t seed = 1; seed <= kMaxDefectSeeds; ++seed) {
     auto options = fault_run_options(seed);
@@ -47,7 +47,7 @@
 
 class PlantedDefect : public testing::TestWithParam<Defect> {};
 
-TEST_P(PlantedDefect, IsCaught) {
+TEST_P(PlantedDefect, IsDetected) {
   const auto violation = first_violation(GetParam().enable_defect);
   EXPECT_NE(violation.find(GetParam().expected), std::string::npos) << "found: " << violation;
 }
@@ -71,7 +71,7 @@
                "was lost"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(Simulation, ALyingDiskLosesCommittedEntries) {
+TEST(Simulation, DetectsDiskThatAcknowledgesUnsyncedWrites) {
   const auto violation = first_violation([](auto& options) {
     options.fleet.defects.acknowledge_unsynced_writes = true;
     options.fleet.disk_sync_time = milliseconds(400);
