--- a/src/emulator/emulated_machine.cc
+++ b/src/emulator/emulated_machine.cc
@@ -25,10 +25,10 @@
 }
 
 int64_t new_incarnation() {
-  static int64_t last = 0;
+  static int64_t last_incarnation = 0;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  last = std::max(last + 1, std::chrono::duration_cast<std::chrono::microseconds>(now).count());
-  return last;
+  last_incarnation = std::max(last_incarnation + 1, std::chrono::duration_cast<std::chrono::microseconds>(now).count());
+  return last_incarnation;
 }
 
 net::HttpResponse json_response(int status, const json::object& body) {
@@ -77,7 +77,7 @@
 
 EmulatedMachine::~EmulatedMachine() {
   *lifetime_token_ = false;
-  fail_streams();
+  fail_all_streams();
 }
 
 bool EmulatedMachine::start(std::string& error) {
@@ -105,7 +105,7 @@
 void EmulatedMachine::die() {
   condition_ = MachineCondition::kDead;
   incarnation_ = 0;
-  fail_streams();
+  fail_all_streams();
   if (server_) {
     server_->close_all();
   }
@@ -123,7 +123,7 @@
   }
 }
 
-void EmulatedMachine::fail_streams() {
+void EmulatedMachine::fail_all_streams() {
   for (auto& [id, stream] : streams_) {
     stream->failed = true;
     stream->wake_timer.cancel();
@@ -168,7 +168,7 @@
   while (*lifetime_token && incarnation_ == incarnation && condition_ != MachineCondition::kDead) {
     sample_load();
     if (!streams_.empty() && any_member_lost()) {
-      fail_streams();
+      fail_all_streams();
       engine_.clear();
     }
     if (condition_ == MachineCondition::kAlive && rank_ == 0 && all_members_ready()) {
@@ -248,7 +248,7 @@
   const std::string kind = text_field(order, "kind");
   if (kind == "release") {
     if (epoch_ == epoch || options_.kind != "fenced") {
-      fail_streams();
+      fail_all_streams();
       engine_.clear();
       group_id_ = 0;
       epoch_ = 0;
@@ -258,7 +258,7 @@
   } else if (kind == "load") {
     const bool is_repeated = epoch_ == epoch && group_id_ == integer_field(order, "group", 0);
     if (!is_repeated) {
-      fail_streams();
+      fail_all_streams();
       engine_.clear();
       group_id_ = integer_field(order, "group", 0);
       epoch_ = epoch;
--- a/src/emulator/emulated_machine.h
+++ b/src/emulator/emulated_machine.h
@@ -85,7 +85,7 @@
   boost::asio::awaitable<void> wait_while_paused();
   bool all_members_ready() const;
   bool any_member_lost() const;
-  void fail_streams();
+  void fail_all_streams();
   void sample_load();
 
   boost::asio::any_io_executor executor_;
--- a/src/emulator/engine_model.cc
+++ b/src/emulator/engine_model.cc
@@ -59,10 +59,10 @@
   while (!waiting_requests_.empty() && running_requests_.size() < options_.max_running_requests) {
     EngineRequest request = std::move(waiting_requests_.begin()->second);
     waiting_requests_.erase(waiting_requests_.begin());
-    const int cached = cached_prefix_tokens(request);
-    cached_prompt_tokens_ += static_cast<uint64_t>(cached);
+    const int cached_tokens = cached_prefix_tokens(request);
+    cached_prompt_tokens_ += static_cast<uint64_t>(cached_tokens);
     total_prompt_tokens_ += static_cast<uint64_t>(request.prompt_tokens);
-    step_duration += options_.prefill_time_per_token * (request.prompt_tokens - cached);
+    step_duration += options_.prefill_time_per_token * (request.prompt_tokens - cached_tokens);
     for (const uint64_t block : request.prefix_blocks) {
       mark_block_used(block);
     }
--- a/src/load/load_generator.cc
+++ b/src/load/load_generator.cc
@@ -151,7 +151,7 @@
       options_.nodes[static_cast<size_t>(generated.random_number(0, static_cast<int>(options_.nodes.size()) - 1))];
   record.expected = generated.expected;
   record.sent_ms = wall_clock_ms();
-  const auto began = Clock::now();
+  const auto started_at = Clock::now();
   net::OpenOptions open;
   open.timeout = options_.timeout;
   open.fresh_connection = generated.random_number(0, 3) == 0;
@@ -162,14 +162,14 @@
     record.outcome = std::string(opened.stream->head().headers.find("larchlever-outcome"));
     const bool is_event_stream = opened.stream->head().headers.find("content-type") == "text/event-stream";
     std::string body;
-    auto last_chunk_at = began;
+    auto last_chunk_at = started_at;
     while (true) {
       std::string chunk = co_await opened.stream->read_some(options_.timeout);
       if (chunk.empty()) {
         break;
       }
       if (is_event_stream && body.empty()) {
-        report_.first_token_ms.push_back(elapsed_ms(began));
+        report_.first_token_ms.push_back(elapsed_ms(started_at));
       } else if (is_event_stream) {
         report_.between_tokens_ms.push_back(elapsed_ms(last_chunk_at));
       }
@@ -192,7 +192,7 @@
 }
 
 asio::awaitable<void> LoadGenerator::run_request(GeneratedRequest generated) {
-  const auto began = Clock::now();
+  const auto started_at = Clock::now();
   ++report_.requests;
   for (int attempt = 0; attempt < options_.max_attempts; ++attempt) {
     ++report_.attempts;
@@ -200,7 +200,7 @@
     history_.push_back(record);
     if (record.status >= 200 && record.status < 300 && record.is_complete) {
       ++report_.answered;
-      report_.latency_ms.push_back(elapsed_ms(began));
+      report_.latency_ms.push_back(elapsed_ms(started_at));
       co_return;
     }
     report_.not_run += record.outcome == "not-run" ? 1 : 0;
@@ -233,7 +233,7 @@
 }
 
 asio::awaitable<void> LoadGenerator::run() {
-  const auto began = Clock::now();
+  const auto started_at = Clock::now();
   for (int number = 0; number < options_.caller_count; ++number) {
     ++running_callers_;
     asio::co_spawn(executor_, run_caller(), asio::detached);
@@ -243,7 +243,7 @@
     timer.expires_after(std::chrono::milliseconds(10));
     co_await timer.async_wait(kAwait);
   }
-  report_.seconds = std::chrono::duration<double>(Clock::now() - began).count();
+  report_.seconds = std::chrono::duration<double>(Clock::now() - started_at).count();
 }
 
 asio::awaitable<std::vector<ExecutionRecord>> fetch_executions(net::HttpClient& client,
--- a/src/simulation/certification_experiment.cc
+++ b/src/simulation/certification_experiment.cc
@@ -76,13 +76,13 @@
     write.value = std::move(value);
     return write;
   }
-  static std::string tenant_value(int number, int concurrent) {
+  static std::string tenant_value(int number, int concurrency_limit) {
     wire::Tenant tenant;
     tenant.name = "t" + std::to_string(number);
     tenant.template_name = "main";
     tenant.zones = {"a"};
     tenant.share_percent = 5;
-    tenant.max_concurrent = concurrent;
+    tenant.max_concurrent = concurrency_limit;
     return wire::encode(tenant);
   }
 
@@ -128,9 +128,9 @@
     ++log_index_;
     lock.is_held = false;
     if (!lock.waiting_operators.empty()) {
-      const auto next = std::move(lock.waiting_operators.front());
+      const auto waiting_operator = std::move(lock.waiting_operators.front());
       lock.waiting_operators.pop_front();
-      next();
+      waiting_operator();
     }
   }
 
--- a/src/simulation/experiment.cc
+++ b/src/simulation/experiment.cc
@@ -141,11 +141,11 @@
   out << "{\"experiment\":\"" << experiment.name << "\",\"seeds\":" << experiment.seed_count << ",\"rows\":[";
   for (size_t position = 0; position < rows.size(); ++position) {
     out << (position == 0 ? "" : ",") << "{\"policy\":\"" << rows[position].policy << "\",\"measures\":{";
-    bool first = true;
+    bool is_first = true;
     for (const auto& [measure, summary] : rows[position].measures) {
-      out << (first ? "" : ",") << "\"" << measure << "\":{\"median\":" << summary.median
+      out << (is_first ? "" : ",") << "\"" << measure << "\":{\"median\":" << summary.median
           << ",\"least\":" << summary.minimum << ",\"greatest\":" << summary.maximum << "}";
-      first = false;
+      is_first = false;
     }
     out << "}}";
   }
--- a/src/simulation/fault_injector.cc
+++ b/src/simulation/fault_injector.cc
@@ -186,10 +186,10 @@
   }
   for (const auto& voter : raft.replicas().voters) {
     auto& node = fleet_.nodes().at(voter.node);
-    const bool self = voter.replica_id == raft.id().value();
-    const bool complete = node.disk.replica_id().value() == voter.replica_id &&
-                          (self || raft.match_index(ReplicaId(voter.replica_id)) >= raft.commit_index());
-    if (!complete) {
+    const bool is_own_replica = voter.replica_id == raft.id().value();
+    const bool is_up_to_date = node.disk.replica_id().value() == voter.replica_id &&
+                               (is_own_replica || raft.match_index(ReplicaId(voter.replica_id)) >= raft.commit_index());
+    if (!is_up_to_date) {
       return false;
     }
   }
--- a/src/simulation/registered_fleet.cc
+++ b/src/simulation/registered_fleet.cc
@@ -303,7 +303,7 @@
   const bool staged =
       std::find(instance->staged().begin(), instance->staged().end(), order.model) != instance->staged().end();
   const bool is_warm = staged || instance->model() == order.model;
-  const bool was_open = instance->is_open_head();
+  const bool was_open_head = instance->is_open_head();
   const SimulatedInstance instance_before = *instance;
   const int status = instance->execute_order(queue_.now(), order, is_warm ? kWarmJoinTime : kColdJoinTime);
   trace("order " + std::to_string(static_cast<int>(order.kind)) + " of " + order.group + " at " + order.instance_id +
@@ -311,7 +311,7 @@
   if (order.kind == fleet::OrderKind::kJoin && status == http_status::kAccepted) {
     check_join_order(instance_before, order);
   }
-  if (instance->is_open_head() && !was_open) {
+  if (instance->is_open_head() && !was_open_head) {
     check_opened_group(*instance);
     ++result_.groups_opened;
   }
@@ -430,8 +430,8 @@
 
 void RegisteredFleet::check_leases() {
   for (const auto& entry : entries_) {
-    const bool serves = options_.entries_ignore_leases || entry.subscription->has_lease(queue_.now());
-    if (!serves || entry.subscription->document_version() == 0) {
+    const bool may_serve = options_.entries_ignore_leases || entry.subscription->has_lease(queue_.now());
+    if (!may_serve || entry.subscription->document_version() == 0) {
       continue;
     }
     check_evacuations(entry.name, entry.subscription->evacuations(), options_.fleet.document_lease);
--- a/src/simulation/routing_experiment.cc
+++ b/src/simulation/routing_experiment.cc
@@ -111,8 +111,8 @@
 
   void dispatch_request() {
     // Skewed distribution: a few prefixes account for most requests.
-    const double skewed = std::pow(std::uniform_real_distribution<double>(0, 1)(random_), 2.0);
-    const auto prefix = static_cast<uint64_t>(skewed * kPrefixCount) + 1;
+    const double skewed_fraction = std::pow(std::uniform_real_distribution<double>(0, 1)(random_), 2.0);
+    const auto prefix = static_cast<uint64_t>(skewed_fraction * kPrefixCount) + 1;
     const int entry = std::uniform_int_distribution<int>(0, kEntryCount - 1)(random_);
     routing::RouteQuery query;
     query.tenant = "t";
--- a/src/simulation/scale_run.cc
+++ b/src/simulation/scale_run.cc
@@ -51,11 +51,11 @@
 
   /// Runs the simulation until `condition` holds or the wait times out; returns the virtual time that passed.
   Duration wait_until(const std::function<bool()>& condition) {
-    const TimePoint began = queue_.now();
-    while (!condition() && queue_.now() < began + kWaitTimeout) {
+    const TimePoint started_at = queue_.now();
+    while (!condition() && queue_.now() < started_at + kWaitTimeout) {
       advance(milliseconds(10));
     }
-    return queue_.now() - began;
+    return queue_.now() - started_at;
   }
 
   void advance(Duration duration) {
--- a/src/simulation/simulated_fleet.cc
+++ b/src/simulation/simulated_fleet.cc
@@ -208,9 +208,9 @@
     work();
     return;
   }
-  const int64_t before = thread_time_ns();
+  const int64_t cpu_time_before_ns = thread_time_ns();
   work();
-  node.cost.processor_ns += thread_time_ns() - before;
+  node.cost.processor_ns += thread_time_ns() - cpu_time_before_ns;
 }
 
 void SimulatedFleet::send_envelope(SimulatedNode& from, const wire::Envelope& envelope) {
@@ -323,8 +323,8 @@
         }
         const auto sighting = machine->second.make_sighting(queue_.now());
         queue_.schedule_after(random_delay(), [this, name, process_generation, polled_at, sighting] {
-          run_on_node(name, process_generation, [polled_at, sighting](SimulatedNode& watcher) {
-            watcher.controller->on_sighting(polled_at, sighting);
+          run_on_node(name, process_generation, [polled_at, sighting](SimulatedNode& polling_node) {
+            polling_node.controller->on_sighting(polled_at, sighting);
           });
         });
       });
@@ -392,8 +392,8 @@
   dispatch.revision = node.controller->entry().revision().value();
   dispatch.group = group;
   dispatch.tenant = tenant;
-  if (const auto* view = node.controller->entry().router().table().find_tenant(tenant)) {
-    dispatch.permitted_zones = view->tenant.zones;
+  if (const auto* tenant_view = node.controller->entry().router().table().find_tenant(tenant)) {
+    dispatch.permitted_zones = tenant_view->tenant.zones;
   }
   monitor_.check_dispatch(queue_.now(), dispatch, machines_);
   const std::string head = group.machines.front();
--- a/src/simulation/workload.cc
+++ b/src/simulation/workload.cc
@@ -59,16 +59,16 @@
   auto& random = fleet_.random();
   auto request = std::make_shared<CallerRequest>();
   request->tenant = options_.tenants[std::uniform_int_distribution<size_t>(0, options_.tenants.size() - 1)(random)];
-  const bool keyed = std::uniform_int_distribution<int>(0, 1)(random) == 1;
+  const bool has_key = std::uniform_int_distribution<int>(0, 1)(random) == 1;
   const int64_t number = next_id_++;
-  if (keyed) {
+  if (has_key) {
     request->key = "key-" + std::to_string(number);
     request->remaining_sends = 3;
   }
   if (auto* node = pick_running_node()) {
     send_request(*node, request);
   }
-  const bool is_duplicated = keyed && std::uniform_int_distribution<int>(0, 3)(random) == 0;
+  const bool is_duplicated = has_key && std::uniform_int_distribution<int>(0, 3)(random) == 0;
   if (is_duplicated) {
     auto duplicate = std::make_shared<CallerRequest>(*request);
     duplicate->remaining_sends = 1;
@@ -84,9 +84,9 @@
   request->id = "request-" + std::to_string(next_id_++);
   request->remaining_attempts = 3;
   request->tried_groups.clear();
-  const bool may_act = node.controller->entry().has_configuration_lease(fleet_.local_now(node)) ||
-                       fleet_.options().defects.entries_ignore_leases;
-  if (!may_act) {
+  const bool may_dispatch = node.controller->entry().has_configuration_lease(fleet_.local_now(node)) ||
+                            fleet_.options().defects.entries_ignore_leases;
+  if (!may_dispatch) {
     ++stats_.not_run;
     fleet_.monitor().record_not_run_reply(fleet_.queue().now(), request->id);
     schedule_retry(request);
@@ -151,11 +151,11 @@
   auto& router = node.controller->entry().router();
   routing::RouteQuery query;
   query.tenant = request->tenant;
-  const auto* view = router.table().find_tenant(request->tenant);
-  query.model = view == nullptr ? "" : view->shape.model;
+  const auto* tenant_view = router.table().find_tenant(request->tenant);
+  query.model = tenant_view == nullptr ? "" : tenant_view->shape.model;
   query.excluded = request->tried_groups;
   auto decision = router.route(fleet_.local_now(node), query);
-  apply_dispatch_defects(router, view, decision);
+  apply_dispatch_defects(router, tenant_view, decision);
   if (decision.verdict != routing::RouteVerdict::kDispatch) {
     finish_request(node, request, wire::ClaimState::NOT_RUN);
     return;
@@ -175,9 +175,10 @@
         } else if (result == SimulatedFleet::AttemptResult::kRefused && request->remaining_attempts > 0) {
           dispatch_request(entry, request);
         } else {
-          const bool refused = result == SimulatedFleet::AttemptResult::kRefused;
+          const bool is_refused = result == SimulatedFleet::AttemptResult::kRefused;
           const bool misreport = fleet_.options().defects.report_unknown_as_not_run;
-          finish_request(entry, request, refused || misreport ? wire::ClaimState::NOT_RUN : wire::ClaimState::UNKNOWN);
+          finish_request(entry, request,
+                         is_refused || misreport ? wire::ClaimState::NOT_RUN : wire::ClaimState::UNKNOWN);
         }
       });
 }
--- a/tests/unit/simulation_test.cc
+++ b/tests/unit/simulation_test.cc
@@ -45,15 +45,15 @@
   const char* expected;
 };
 
-class PlantedDefect : public testing::TestWithParam<Defect> {};
+class InjectedDefect : public testing::TestWithParam<Defect> {};
 
-TEST_P(PlantedDefect, IsDetected) {
+TEST_P(InjectedDefect, IsDetected) {
   const auto violation = first_violation(GetParam().enable_defect);
   EXPECT_NE(violation.find(GetParam().expected), std::string::npos) << "found: " << violation;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Simulation, PlantedDefect,
+    Simulation, InjectedDefect,
     testing::Values(
         Defect{"leases", [](auto& options) { options.fleet.defects.entries_ignore_leases = true; },
                "dispatch to group"},
