--- a/src/simulation/invariant_monitor.h
+++ b/src/simulation/invariant_monitor.h
@@ -34,11 +34,16 @@
 
   /// Checks that all replicas that have applied the log up to `index` have the same history digest.
   void check_applied_history(TimePoint now, const std::string& node, int64_t index, uint64_t digest);
+  /// Checks that at most one node holds the leader lease.
   void check_lease_holders(TimePoint now, const std::vector<std::string>& leaders);
+  /// Checks that every group that is not being released owns all its machines.
   void check_group_ownership(TimePoint now, const std::string& node, const control::ControlState& state);
+  /// Records that an operator was told that a configuration revision is in force on all entries.
   void record_revision_in_force(TimePoint now, int64_t revision);
+  /// Checks revision, zone, epoch and machine state of a dispatch.
   void check_dispatch(TimePoint now, const DispatchRecord& dispatch,
                       const std::map<std::string, SimulatedMachine>& machines);
+  /// Records that a machine accepted an order to load a group with this epoch.
   void record_accepted_load(const std::string& machine, int32_t epoch);
   /// Records that a back end started a request; a request with a key must not run twice.
   void record_execution(TimePoint now, const std::string& request_id, const std::string& key);
--- a/src/simulation/registered_fleet.h
+++ b/src/simulation/registered_fleet.h
@@ -27,8 +27,7 @@
   /// Probability that an order gets no answer and is executed seconds later.
   double late_order_probability = 0.25;
   fleet::FleetOptions fleet;
-  /// Time after which an open head with a missing member becomes broken. The supervisor assumes
-  /// `fleet.stall_time`.
+  /// Time after which an open head with a missing member becomes broken. The supervisor assumes `fleet.stall_time`.
   Duration head_stall_time = seconds(5);
   /// If set, operators evacuate and restore zones, one order at a time.
   bool enable_zone_orders = false;
@@ -53,8 +52,8 @@
 /// Simulates a fleet of registered engine servers in virtual time. Five control replicas and three entries run the
 /// daemon's own FleetController and FleetSubscription over a network that delays and loses messages and isolates nodes.
 /// Servers execute orders late, die and restart; operators replace the configuration document. Checked invariants:
-/// - the seeds create exactly one log, even if a seed starts late or restarts with an empty disk and unchanged
-/// settings;
+/// - the seeds create exactly one log, even if a seed starts late or restarts with an empty disk and its original
+///   settings;
 /// - an acknowledged document is never lost, and no entry serves with an older one for longer than the lease;
 /// - a head opens only after every member was ready in the same group and epoch;
 /// - no server accepts a join order to another group while the head of its current group is open;
--- a/src/simulation/simulated_fleet.h
+++ b/src/simulation/simulated_fleet.h
@@ -45,7 +45,7 @@
   node::NodeControllerOptions controller;
   Duration tick_interval = milliseconds(20);
   Duration network_delay = microseconds(500);
-  Duration network_jitter = milliseconds(2);
+  Duration network_jitter = milliseconds(2);  ///< Mean of the random delay added to `network_delay`.
   Duration disk_sync_time = milliseconds(2);
   Duration load_time = milliseconds(800);
   Duration poll_interval = milliseconds(400);
