--- a/tests/integration/announced_rate_limits.h
+++ b/tests/integration/announced_rate_limits.h
@@ -15,16 +15,16 @@
 
 namespace larchlever::integration {
 
-/// Since when a server names a limit; 0 for none.
+/// A rate limit that a server announced, and the time of the first response that did so; 0 for no limit.
 struct RateLimitPhase {
   std::chrono::steady_clock::time_point since;
   double per_second = 0;
 };
 
-/// The limit that a stand-in names in its answers, and those that it named before. Thread-safe.
+/// The rate limit that a simulated server announces in its responses, and the history of such limits. Thread-safe.
 class AnnouncedRateLimits {
  public:
-  /// From now on; empty for naming none.
+  /// Sets the limit that is announced from now on; empty for none.
   void set(const std::string& per_second) {
     const std::lock_guard lock(mutex_);
     current_ = per_second;
@@ -33,7 +33,7 @@
       phases_.push_back({std::chrono::steady_clock::now(), 0});
     }
   }
-  /// What an answer names that goes out now.
+  /// Value of the limit header of a response that is sent now; empty for none.
   std::string for_next_response() {
     const std::lock_guard lock(mutex_);
     const double per_second = std::strtod(current_.c_str(), nullptr);
@@ -52,12 +52,12 @@
  private:
   mutable std::mutex mutex_;
   std::string current_;
-  /// An answer has named the current limit.
+  /// A response has announced the current limit.
   bool is_announced_ = false;
   std::vector<RateLimitPhase> phases_;
 };
 
-/// The highest limit that held in some time; nothing if none held for a part of it.
+/// Highest rate limit in force between `from` and `to`; nothing if there was no limit during a part of this time.
 inline std::optional<double> highest_rate_limit(const std::vector<RateLimitPhase>& phases,
                                                 std::chrono::steady_clock::time_point from,
                                                 std::chrono::steady_clock::time_point to) {
@@ -78,11 +78,12 @@
   return highest;
 }
 
-/// In no 4 s did the server get more than the limits allow that held in them and for a while before.
+/// Expects that in any window of 4 s the server got no more requests than allowed by the highest limit in force during
+/// the window and `kLimitValidityTime` before it.
 inline void expect_rate_limits_respected(const std::vector<Arrival>& arrivals,
                                          const std::vector<RateLimitPhase>& phases) {
   constexpr auto kWindow = std::chrono::seconds(4);
-  /// A server may count on its limit this long after it named it.
+  /// A server may rely on its limit for this long after a response announced it.
   constexpr auto kLimitValidityTime = std::chrono::seconds(3);
   for (size_t last = 0; last < arrivals.size(); ++last) {
     const auto to = arrivals[last].at;
@@ -98,7 +99,7 @@
       }
     }
     ASSERT_LE(std::ssize(in_window), max_requests_in_window(*limit))
-        << "a limit of " << *limit << "; " << testing::PrintToString(in_window);
+        << "with a rate limit of " << *limit << "; " << testing::PrintToString(in_window);
   }
 }
 
--- a/tests/integration/child_process.cc
+++ b/tests/integration/child_process.cc
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// How much of the end of each log is printed after a failure.
+/// Size of the part of each log that is printed after a failure.
 constexpr size_t kLogTailBytes = 3000;
 
 std::vector<char*> null_terminated_pointers(std::vector<std::string>& argument_strings) {
@@ -30,7 +30,7 @@
   return pointers;
 }
 
-/// The writing end of a pipe that takes nothing more. Both ends stay open as long as the test runs.
+/// Returns the write end of a full pipe. Both ends stay open until the test process exits.
 int full_pipe_write_end() {
   static const int write_end = [] {
     int pipe_ends[2] = {-1, -1};
@@ -38,7 +38,7 @@
     const std::string filler(4096, '.');
     while (::write(pipe_ends[1], filler.data(), filler.size()) > 0) {
     }
-    // The processes under test get a pipe as any other: one whose writes block.
+    // Processes under test get an ordinary pipe, in which writes block.
     EXPECT_EQ(::fcntl(pipe_ends[1], F_SETFL, 0), 0);
     return pipe_ends[1];
   }();
@@ -72,7 +72,8 @@
       }
       break;
   }
-  // A listening socket of a stand-in, inherited, would go on taking connections after the stand-in closed it.
+  // A child that inherited the listening socket of a simulated server would keep accepting connections after the server
+  // closed it.
   posix_spawn_file_actions_addclosefrom_np(&actions, 3);
   int pid = -1;
   const int spawn_error =
--- a/tests/integration/child_process.h
+++ b/tests/integration/child_process.h
@@ -14,30 +14,31 @@
 
 namespace larchlever::integration {
 
-/// Where a process under test writes.
+/// Where the standard output and error of a process under test go.
 enum class OutputTarget {
   kFile,
-  /// Into a pipe that is full already and that nobody reads.
+  /// A pipe that is already full and that nobody reads.
   kFullPipe,
   /// Standard input, output and error are closed.
   kClosed,
 };
 
-/// Starts the program under test with standard output and standard error going to `output`, unless `kind` says
-/// otherwise. `environment` is added to this process's own, as NAME=VALUE. Returns the process id, or -1.
+/// Starts the program under test. Standard output and standard error go to the file `output`, unless `kind` selects
+/// another target. `environment` holds NAME=VALUE pairs that are added to the environment of this process. Returns the
+/// process id, or -1 on failure.
 int spawn_program(const std::vector<std::string>& arguments, const std::filesystem::path& output,
                   const std::vector<std::string>& environment = {}, OutputTarget kind = OutputTarget::kFile);
 
 std::string read_file(const std::filesystem::path& path);
 void write_file(const std::filesystem::path& path, const std::string& content);
 
-/// Polls until `condition` holds; false after the deadline.
+/// Polls until `condition` holds. Returns false if it does not hold within `max_wait`.
 bool wait_until(const std::function<bool()>& condition, std::chrono::milliseconds max_wait = std::chrono::seconds(90));
 
-/// Prints the ends of all logs in `folder` when the test that runs has failed.
+/// Prints the last part of every log file in `folder` if the current test has failed.
 void print_logs_on_failure(const std::filesystem::path& folder);
 
-/// An HTTP client for tests: calls from the test's thread block until the answer is there.
+/// A blocking HTTP client for tests, with an I/O thread of its own.
 class BlockingClient {
  public:
   BlockingClient();
@@ -57,8 +58,8 @@
   std::unique_ptr<net::HttpClient> client_;
 };
 
-/// Closes a server that runs in the client's context and waits until its sessions have ended: they use the server and
-/// its handler until then, on that thread.
+/// Closes a server that runs in the I/O context of `client`, waits until its sessions have ended and destroys it on
+/// that thread. The sessions use the server and its handler until they end.
 void destroy_server_on_client_thread(BlockingClient& client, std::unique_ptr<net::HttpServer>& server);
 
 }  // namespace larchlever::integration
--- a/tests/integration/crashing_server.cc
+++ b/tests/integration/crashing_server.cc
@@ -139,7 +139,7 @@
     co_await crash_timer.async_wait(kAwait);
     response.headers.add("Content-Length", "100");
     co_await exchange.begin_stream(response);
-    co_await exchange.write_piece("a part of it");
+    co_await exchange.write_piece("partial body");
     crash();
     co_return;
   }
--- a/tests/integration/crashing_server.h
+++ b/tests/integration/crashing_server.h
@@ -14,22 +14,24 @@
 
 namespace larchlever::integration {
 
-/// A plain server of the service `forms` that ends under one request: its answer breaks off, and with it all that runs
-/// there. It starts again after three seconds, under its id, born later. What becomes of its port meanwhile is `Port`.
+/// A plain server (not an engine) of the service `forms` that crashes when it runs a request with the body
+/// `kCrashBody`: the response to it and all other in-flight requests are cut. It restarts after three seconds under the
+/// same id, with a later start time. `PortAfterCrash` says what happens to its port in between.
 class CrashingServer : public net::HttpHandler {
  public:
   enum class PortAfterCrash {
-    /// Connections are refused some milliseconds later: a process's listening socket outlives its connections.
+    /// New connections are refused after some milliseconds, since the listening socket of a process outlives its
+    /// connections.
     kClosesAfterDelay,
-    /// Something in front of the server holds the port: connections are taken and closed.
+    /// Something in front of the server keeps the port open: connections are accepted and closed at once.
     kAcceptsAndCloses,
-    /// A proxy in front of the server holds the port: connections are taken and kept until a request was read, then
-    /// closed without an answer.
+    /// A proxy in front of the server keeps the port open: connections are accepted, and closed without a response once
+    /// a request was read.
     kReadsRequestAndCloses,
   };
   using Timestamp = std::chrono::steady_clock::time_point;
 
-  /// When servers ended, and when harmful requests reached them, over all of a test.
+  /// Times of all crashes in a test, and of the arrivals of requests that cause one. Thread-safe.
   class CrashLog {
    public:
     void add_crash() { append_now(crash_times_); }
@@ -52,24 +54,25 @@
     std::vector<Timestamp> crash_request_times_;
   };
 
-  /// `client` lends its thread.
+  /// The server runs on the thread of `client`.
   CrashingServer(BlockingClient& client, std::string id, std::string address, PortAfterCrash port, CrashLog& crash_log);
   ~CrashingServer() override;
   CrashingServer(const CrashingServer&) = delete;
   CrashingServer& operator=(const CrashingServer&) = delete;
 
   boost::asio::awaitable<void> handle(net::HttpExchange& exchange) override;
-  /// The next report of this server; nothing while it is down.
+  /// Body of the next registration report; nothing while the server is down. Restarts the server when its downtime is
+  /// over.
   std::optional<std::string> report();
   const std::string& id() const { return id_; }
 
-  /// The body that ends who runs it.
-  static constexpr const char* kCrashBody = "ends who runs it";
+  /// A request with this body crashes the server that runs it.
+  static constexpr const char* kCrashBody = "crash the server";
 
  private:
   void listen();
   void crash();
-  /// Takes connections and closes them, those of a proxy once they have brought something.
+  /// Accepts connections on the port of the crashed server and closes them as `PortAfterCrash` says.
   boost::asio::awaitable<void> accept_and_close_connections();
 
   BlockingClient& client_;
--- a/tests/integration/engine_fleet.h
+++ b/tests/integration/engine_fleet.h
@@ -15,7 +15,7 @@
 
 namespace larchlever::integration {
 
-/// Control replicas, entries and engine servers in open groups.
+/// Starts control replicas, entries and engine servers in open groups.
 class EngineFleetFixture : public testing::Test {
  protected:
   static constexpr auto kWaitTimeout = std::chrono::seconds(15);
@@ -23,14 +23,14 @@
 
   explicit EngineFleetFixture(const FleetNodeOptions& options) : fleet_(options) {}
 
-  /// Starts everything; done once `open_group_count` serve.
+  /// Starts all processes and waits until `open_group_count` groups are open.
   void start(const RegisteredEngines::Options& options, int open_group_count) {
     engines_ = std::make_unique<RegisteredEngines>(options, fleet_);
     ASSERT_TRUE(fleet_.start_serving(kWaitTimeout));
     ASSERT_TRUE(wait_until([&] { return engines_->open_group_count() >= open_group_count; }, kWaitTimeout))
-        << "no groups";
+        << "too few open groups";
   }
-  /// Sixteen servers in two domains.
+  /// Starts 16 servers in two domains.
   void start() {
     RegisteredEngines::Options options;
     options.domains = 2;
@@ -44,14 +44,15 @@
     return result.response && result.response->status == http_status::kOk;
   }
 
-  /// Every entry serves requests for the small model.
+  /// Waits until every entry serves requests for the small model.
   void wait_until_entries_serve() {
     BlockingClient client;
     for (const auto& entry : fleet_.entries()) {
       ASSERT_TRUE(wait_until([&] { return request_succeeds(client, entry); }, kWaitTimeout));
     }
   }
-  /// A caller at each entry that sends a request after each pause for `time`; counted in `sent_` and `served_`.
+  /// For `time`, one caller at each entry sends requests with a pause of `kRequestInterval`. The requests are counted
+  /// in `sent_count_` and `served_count_`.
   void send_load_for(std::chrono::steady_clock::duration time) {
     std::vector<std::thread> callers;
     for (const auto& entry : fleet_.entries()) {
--- a/tests/integration/fleet_node_processes.cc
+++ b/tests/integration/fleet_node_processes.cc
@@ -21,10 +21,10 @@
 constexpr int kPeerPort = 7340;
 constexpr int kControlPort = 8229;
 constexpr int kCallerPort = 8227;
-/// A caller waits this much longer than the deadline that it names.
+/// Callers wait for this much longer than the deadline in their request.
 constexpr auto kDeadlineMargin = std::chrono::seconds(1);
 constexpr int kReadyPort = 8220;
-/// Addresses of entries follow those of control replicas at this distance.
+/// Added to the node number to get the last octet of the address of an entry; control replicas use their number alone.
 constexpr int kEntryAddressOffset = 100;
 constexpr int kEngineAddressOffset = 150;
 constexpr const char* kZones[] = {"north", "south", "west"};
@@ -32,7 +32,7 @@
 
 constexpr auto kModelCallTimeout = std::chrono::seconds(5);
 
-/// 0 when no answer came.
+/// Returns 0 if there is no response.
 int status_of(const net::FetchResult& result) { return result.response ? result.response->status : 0; }
 
 std::string with_port(const std::string& address, int port) { return address + ":" + std::to_string(port); }
@@ -115,7 +115,7 @@
   }
   print_logs_on_failure(folder_);
   if (testing::Test::HasFailure() && std::getenv("LARCHLEVER_KEEP_LOGS") != nullptr) {
-    std::cerr << "whole logs are kept in " << folder_ << "\n";
+    std::cerr << "complete logs are kept in " << folder_ << "\n";
     return;
   }
   std::error_code ignored;
@@ -137,7 +137,7 @@
 }
 
 std::string FleetNodeProcesses::address(const std::string& node) const {
-  // Each test process has a range of loopback addresses of its own, so that tests may run side by side.
+  // Each test process uses a range of loopback addresses of its own, so that tests can run in parallel.
   const int process = ::getpid();
   const int last = node_number(node) + (is_control(node) ? 0 : kEntryAddressOffset);
   return "127." + std::to_string(64 + process / 250 % 128) + "." + std::to_string(1 + process % 250) + "." +
@@ -228,10 +228,10 @@
 testing::AssertionResult FleetNodeProcesses::start_serving(std::chrono::milliseconds deadline) {
   start_all();
   if (!put_document(kFirstDocumentVersion, deadline)) {
-    return testing::AssertionFailure() << "no replica takes the first document";
+    return testing::AssertionFailure() << "no control replica accepted the first document";
   }
   if (!wait_until_entries_ready(deadline)) {
-    return testing::AssertionFailure() << "not every entry serves by the first document";
+    return testing::AssertionFailure() << "not every entry became ready with the first document";
   }
   return testing::AssertionSuccess();
 }
--- a/tests/integration/fleet_node_processes.h
+++ b/tests/integration/fleet_node_processes.h
@@ -16,20 +16,21 @@
 struct FleetNodeOptions {
   int control_replicas = 5;
   int entries = 2;
-  /// How many of the control replicas, from the first, every node is told as seeds.
+  /// The first so many control replicas are the seeds in the settings of every node.
   int seeds = 3;
   int tolerated_losses = 2;
-  /// Further lines of the entries' section `node`.
+  /// Further lines of the section `node` in the settings of entries.
   std::string entry_settings;
-  /// Longest time that a request of the plain service is held.
+  /// Timeout of the route to the plain service `forms`.
   std::chrono::milliseconds forms_timeout{4000};
 };
 
-/// Control replicas `c1`, `c2`, ... and entries `e1`, `e2`, ... of a registered fleet as real processes of
-/// `fleet-node`, each on a loopback address of its own, all on the same ports. Ends only what it started.
+/// Runs the control replicas `c1`, `c2`, ... and the entries `e1`, `e2`, ... of a registered fleet as `fleet-node`
+/// processes. Each node has a loopback address of its own; all use the same ports. Only processes started here are
+/// ended.
 class FleetNodeProcesses {
  public:
-  /// Version of the document that `start_serving` sends.
+  /// Version of the configuration document that `start_serving` sends.
   static constexpr int64_t kFirstDocumentVersion = 7;
 
   explicit FleetNodeProcesses(const FleetNodeOptions& options);
@@ -40,53 +41,56 @@
   std::vector<std::string> control_replicas() const;
   std::vector<std::string> entries() const;
   std::vector<std::string> all_nodes() const;
-  /// Starts a process by its settings file, which is written when none stands yet.
+  /// Starts a node with its settings file, which is written first if it does not exist.
   void start(const std::string& node);
-  /// The same, with the file named by the environment alone.
+  /// The same, with the path of the settings file passed only in the environment.
   void start_with_settings_from_environment(const std::string& node);
-  /// The same, with a standard output that takes nothing.
+  /// The same, with a full pipe as standard output.
   void start_with_full_output_pipe(const std::string& node);
   void start_without_standard_descriptors(const std::string& node);
   void start_all();
-  /// Starts all, sends the first document and waits until every entry serves by it; each step within `deadline`.
+  /// Starts all nodes, sends the first configuration document and waits until every entry is ready; fails if one of
+  /// these steps takes longer than `deadline`.
   testing::AssertionResult start_serving(std::chrono::milliseconds deadline);
   /// Writes the settings file of a node and returns its path.
   std::filesystem::path write_settings(const std::string& node, bool first_start = true);
   void signal(const std::string& node, int number);
   void kill(const std::string& node);
-  /// Asks a process to stop and waits for its end; its exit code.
+  /// Sends SIGTERM, waits until the process has ended and returns its exit code.
   int terminate(const std::string& node);
   void wipe_data(const std::string& node);
   bool is_running(const std::string& node);
   std::string log(const std::string& node) const;
-  /// Last start's process id.
+  /// Process id of the last start.
   int process_id(const std::string& node) const { return processes_.at(node).pid; }
-  /// Memory that the process holds now, in bytes; 0 when it is gone.
+  /// Resident memory of the process in bytes; 0 if it has ended.
   size_t resident_bytes(const std::string& node) const;
 
-  /// Sends a call to a control replica.
+  /// Sends a request to the API of a control replica.
   net::FetchResult call_control(const std::string& node, const std::string& method, const std::string& path,
                                 const std::string& body = "");
-  /// Asks a model for a stream through an entry, with a client of the caller's own, which may live on another thread.
+  /// Sends a streaming request for a model through an entry. `client` belongs to the calling thread.
   net::FetchResult call_model(BlockingClient& client, const std::string& entry, const std::string& model,
                               const std::string& request_id, const std::string& body = "{}") const;
-  /// Sends a request of the plain service through an entry, with a body by POST. Waits a second beyond its deadline.
+  /// Sends a request for the plain service `forms` through an entry: a POST if `body` is not empty, otherwise a GET.
+  /// Waits for one second more than `deadline`.
   net::FetchResult call_forms(BlockingClient& client, const std::string& entry, const std::string& request_id,
                               const std::string& body = "",
                               std::chrono::milliseconds deadline = std::chrono::seconds(2)) const;
-  /// Loopback addresses for stand-ins of engines that belong to this fleet.
+  /// Loopback addresses for simulated servers of this fleet.
   std::vector<std::string> engine_addresses(int count) const;
   bool is_ready(const std::string& node);
-  /// Sends a document to one replica after the other until it is accepted; false after `deadline`.
+  /// Sends a configuration document to one control replica after another until one accepts it. Returns false if none
+  /// has within `deadline`.
   bool put_document(int64_t version, std::chrono::milliseconds deadline);
-  /// The version that a replica reads back; 0 when it answers with none.
+  /// Version of the configuration document that a control replica returns; 0 if it returns none.
   int64_t document_version_at(const std::string& node);
   bool wait_until_entries_ready(std::chrono::milliseconds deadline);
 
   std::string address(const std::string& node) const;
   std::string control_endpoint(const std::string& node) const;
   std::vector<std::string> control_endpoints() const;
-  /// Where callers send their requests.
+  /// Address at which the entry accepts requests from callers.
   std::string caller_endpoint(const std::string& entry) const;
   const std::filesystem::path& folder() const { return folder_; }
 
--- a/tests/integration/forms_server.h
+++ b/tests/integration/forms_server.h
@@ -19,8 +19,8 @@
 
 namespace larchlever::integration {
 
-/// A plain server of the service `forms`, which answers everything, after `delay`; or turns it away and asks for rest,
-/// or says in its answers that it leaves or how many requests a second it takes.
+/// A plain server (not an engine) of the service `forms`. It answers every request after `delay`, or rejects requests
+/// with a Retry-After header. It can announce in its responses that it is leaving or which rate limit it has.
 class FormsServer : public net::HttpHandler {
  public:
   FormsServer(BlockingClient& client, const std::string& address, std::chrono::milliseconds delay = {})
@@ -65,19 +65,19 @@
     co_await exchange.respond(std::move(response));
   }
   int served_count() const { return served_count_; }
-  /// Turns everything away from now on with this `Retry-After`; empty for serving again.
+  /// From now on rejects every request with this value of `Retry-After`; an empty value ends this.
   void reject_with_retry_after(const std::string& retry_after) {
     const std::lock_guard lock(mutex_);
     current_retry_after_ = retry_after;
   }
-  /// Serves on, but names this limit in every answer; empty for naming none.
+  /// From now on announces this rate limit in every response while still serving; an empty value announces none.
   void announce_rate_limit(const std::string& per_second) { rate_limits_.set(per_second); }
   std::vector<RateLimitPhase> rate_limit_phases() const { return rate_limits_.phases(); }
-  /// Serves on, but says in every answer that it leaves.
+  /// From now on announces in every response that the server is leaving, while still serving.
   void announce_leaving() { is_leaving_ = true; }
   std::vector<Arrival> arrivals() const { return arrivals_.all(); }
 
-  /// Answered with so many bytes.
+  /// Requests for this path are answered with a body of `kLargeBodyBytes`.
   static constexpr const char* kLargePath = "/forms/large";
   static constexpr size_t kLargeBodyBytes = 400'000;
 
--- a/tests/integration/plain_fleet.h
+++ b/tests/integration/plain_fleet.h
@@ -19,7 +19,7 @@
 
 namespace larchlever::integration {
 
-/// What a caller was told, and when.
+/// The response that a caller got, with its times.
 struct TimedResponse {
   int status = 0;
   double retry_after_seconds = 0;
@@ -29,7 +29,8 @@
 
 inline bool is_served(const TimedResponse& answer) { return answer.status == http_status::kOk; }
 
-/// Control replicas, entries with callers of their own, and plain servers `i1`, `i2`, ... that report themselves ready.
+/// Starts control replicas, entries with callers of their own, and plain servers `i1`, `i2`, ... that report themselves
+/// as ready.
 class PlainServerFleetFixture : public testing::Test {
  protected:
   using Clock = std::chrono::steady_clock;
@@ -78,7 +79,7 @@
     return answer;
   }
 
-  /// Fifteen requests a second at each of `entries` for `time`.
+  /// For `time`, sends 15 requests per second to each of `entries`.
   std::vector<TimedResponse> send_load_for(Clock::duration time, const std::vector<std::string>& entries) {
     std::vector<TimedResponse> answers;
     std::mutex mutex;
--- a/tests/integration/process_fleet.cc
+++ b/tests/integration/process_fleet.cc
@@ -41,7 +41,7 @@
 ports = 0, 0, 0
 )";
 
-/// Of the stand-ins, in all zones.
+/// Number of emulated machines in all zones.
 constexpr int kMachineCount = 15;
 
 constexpr const char* kTemplateSettings = R"(
@@ -63,7 +63,7 @@
 max_concurrent = 64
 )";
 
-/// Value of `key=` in the last line of `text` that contains `event`.
+/// Returns the value of `key=` in the last line of `text` with this event.
 std::string last_event_field(const std::string& text, const std::string& event, const std::string& key) {
   const size_t line = text.rfind("event=" + event + " ");
   if (line == std::string::npos) {
@@ -218,7 +218,8 @@
   write_file(folder_ / "templates.ini",
              std::string(kTemplateSettings) +
                  "[service forms]\npath_prefix = /forms\nzones = ljubljana\nendpoints = " + service_ports_ + "\n");
-  // A change is judged by the machines that are known at that moment, and its answer is kept for its command id.
+  // A change is validated against the machines known at that time, and the result is stored under its command id. So
+  // wait until all machines are known.
   const std::string all_machines = "machines " + std::to_string(kMachineCount) + " ";
   ASSERT_TRUE(wait_until([&] {
     return run_operator_command({"status"}).output.find(all_machines) != std::string::npos;
@@ -371,7 +372,7 @@
                           std::string(node.at("identity").as_string()));
     }
   }
-  // A replica set with a member that no node carries any more is still under repair.
+  // A replica set with a voter that runs on no node is still being repaired.
   return static_cast<size_t>(status.at("voters").to_number<int64_t>()) == voters.size() ? voters
                                                                                         : std::vector<std::string>();
 }
--- a/tests/integration/process_fleet.h
+++ b/tests/integration/process_fleet.h
@@ -19,7 +19,7 @@
 struct ProcessFleetOptions {
   int nodes = 5;
   int nodes_with_disk = 3;
-  /// Extra lines for every node's settings file.
+  /// Further lines in the settings file of every node.
   std::string node_settings;
 };
 
@@ -28,17 +28,17 @@
   std::string output;
 };
 
-/// Real processes on loopback: nodes, stand-ins, and a fault proxy on every link from a node to a control node. All
-/// ports are free ones taken by the processes themselves. Ends only what it started.
+/// Runs nodes and the emulator of machines as processes on loopback, with a fault proxy on every link from a node to a
+/// control node. The processes choose free ports. Only processes started here are ended.
 class ProcessFleet {
  public:
   explicit ProcessFleet(const ProcessFleetOptions& options);
   ~ProcessFleet();
 
-  /// Starts everything and applies the example templates. Fails the test when that does not work in time.
+  /// Starts all processes and applies the example templates. Fails the test if this takes too long.
   void start();
   void kill_node(const std::string& node, int signal);
-  /// Waits for a process that was told to end; its exit code.
+  /// Waits until a node that got a signal has exited and returns its exit code.
   int wait_for_exit(const std::string& node);
   void start_node(const std::string& node);
   void wipe_data(const std::string& node);
@@ -49,9 +49,10 @@
   net::FetchResult fetch_endpoint(const std::string& endpoint, const net::HttpRequest& request);
   net::HttpRequest model_request(const std::string& prompt, int tokens, bool stream, const std::string& key = "");
   bool inject_fault(const std::string& machine, const std::string& action);
-  /// The same for every machine.
+  /// Injects the fault at every machine.
   void inject_fault_everywhere(const std::string& action);
-  /// Runs callers until they are done; history and executions are then compared.
+  /// Runs the load generator until it is done, and `during_load` meanwhile. Returns the violations found by comparing
+  /// the history of the callers with the executions on the machines.
   std::vector<std::string> run_load_and_check(load::LoadOptions options, load::LoadReport& report,
                                               const std::function<void()>& during_load = {},
                                               load::NotRunScope scope = load::NotRunScope::kRequest);
@@ -59,16 +60,16 @@
 
   std::string leader();
   int serving_group_count();
-  /// Whether a serving group counts on the machine.
+  /// Whether the machine belongs to a serving group.
   bool has_serving_group_with(const std::string& machine);
-  /// "node/identity" of every voter; empty while the replica set holds one that no node carries.
+  /// "node/identity" of every voter; empty while the replica set has a voter that runs on no node.
   std::vector<std::string> voters();
   const std::string& service_address(const std::string& node) const { return service_addresses_.at(node); }
   const std::string& admin_address(const std::string& node) const { return admin_addresses_.at(node); }
   std::string peer_address(const std::string& node) const { return peer_addresses_.at(node); }
   std::vector<std::string> node_names() const;
   void set_link_faults(const std::string& from, const std::string& to, const load::ProxyFaults& faults);
-  /// Faults on all links between the node and the others, seen from the node.
+  /// Drops traffic on all links between the node and the others; directions are seen from the node.
   void partition_node(const std::string& node, bool outgoing, bool incoming);
   void clear_link_faults();
 
--- a/tests/integration/registered_engines.cc
+++ b/tests/integration/registered_engines.cc
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr int kEnginePort = 9000;
-/// Servers that return under their id have called this often in their first life, as after some minutes.
+/// With `keeps_id_on_restart`, servers start with this call number, as if they had been running for some minutes.
 constexpr int64_t kFirstLifeCallNumberOffset = 1000;
 constexpr auto kReportTimeout = std::chrono::seconds(1);
 constexpr auto kReportPollInterval = std::chrono::milliseconds(20);
@@ -91,7 +91,8 @@
 
 }  // namespace
 
-/// One server: its state in a group under a lock, since reports are made on another thread than calls are served on.
+/// One engine server. Its group state is guarded by a lock, since reports are made on a different thread than the one
+/// that handles requests.
 class RegisteredEngines::Server : public net::HttpHandler {
  public:
   Server(RegisteredEngines& engines, const std::string& id, const std::string& address, const std::string& domain,
@@ -119,7 +120,7 @@
     const std::lock_guard lock(mutex_);
     return instance_.id();
   }
-  /// Starts again when its time has come after an end.
+  /// Restarts the server if it has crashed and its downtime is over.
   void restart_if_due() {
     {
       const std::lock_guard lock(mutex_);
@@ -141,7 +142,7 @@
     instance_.advance(node::monotonic_now());
     return !down_until_ && instance_.is_open_head();
   }
-  /// True when this server leads an open group of the model; it then turns every request away from now on.
+  /// If this server is the head of an open group of the model, rejects every request from now on and returns true.
   bool reject_with_retry_after(const std::string& model, const std::string& retry_after) {
     const std::lock_guard lock(mutex_);
     instance_.advance(node::monotonic_now());
@@ -151,7 +152,8 @@
     current_retry_after_ = retry_after;
     return true;
   }
-  /// True when this server leads an open group of the model; it then names this limit in every answer from now on.
+  /// If this server is the head of an open group of the model, announces this rate limit in every response from now on
+  /// and returns true.
   bool announce_rate_limit(const std::string& model, const std::string& per_second) {
     const std::lock_guard lock(mutex_);
     instance_.advance(node::monotonic_now());
@@ -168,7 +170,7 @@
   }
   void withdraw_rate_limit() { rate_limits_.set(""); }
   RateLimitedHead rate_limit_history() const { return {arrivals_.all(), rate_limits_.phases()}; }
-  /// The group of which this server is a member; empty for none, and while it is down.
+  /// Name of the group of this server; empty if it has none or is down.
   std::string group() {
     const std::lock_guard lock(mutex_);
     return down_until_ ? std::string() : instance_.membership().group;
@@ -178,12 +180,12 @@
     const std::lock_guard lock(mutex_);
     return !down_until_ && start_count_ > 1;
   }
-  /// A start begins with empty accelerators: who holds weights was ordered to join a group since.
+  /// A restarted server has no weights until it is ordered to join a group.
   bool holds_weights() {
     const std::lock_guard lock(mutex_);
     return !instance_.model().empty();
   }
-  /// The next report, when one is due.
+  /// The next registration report, if one is due.
   std::optional<std::string> report() {
     const std::lock_guard lock(mutex_);
     const TimePoint now = node::monotonic_now();
@@ -206,7 +208,7 @@
   }
   const std::string& zone() const { return zone_; }
   std::vector<Arrival> arrivals() const { return arrivals_.all(); }
-  /// Told with the next report, which is due at once.
+  /// Makes the next report due at once, in which the server says that it is cold.
   void report_cold_for(std::chrono::milliseconds time) {
     const std::lock_guard lock(mutex_);
     cold_until_ = node::monotonic_now() + time;
@@ -227,7 +229,7 @@
     return current_retry_after_;
   }
 
-  /// As when the process dies: every connection is dropped, and new ones are refused.
+  /// Drops every connection and refuses new ones, as if the process had died.
   void crash() {
     const std::lock_guard lock(mutex_);
     if (down_until_) {
@@ -328,7 +330,7 @@
   std::string first_id_;
   int start_count_ = 1;
   int64_t start_time_ms_ = unix_milliseconds();
-  /// While the server is down, when it starts again.
+  /// Time of the restart; set while the server is down.
   std::optional<TimePoint> down_until_;
   simulation::SimulatedInstance instance_;
   TimePoint next_report_{};
--- a/tests/integration/registered_engines.h
+++ b/tests/integration/registered_engines.h
@@ -19,10 +19,9 @@
 
 namespace larchlever::integration {
 
-/// Engine servers on loopback that register themselves at control replicas, form groups as they are ordered and answer
-/// requests at the heads of open groups with a stream of events. Groups behave as SimulatedInstance does; what a test
-/// of the whole path needs of real engines beyond that is the check that no request runs at a server that is not an
-/// open head.
+/// Engine servers on loopback that register at control replicas, form groups as ordered, and answer requests at the
+/// heads of open groups with a stream of events. Group membership is simulated by `SimulatedInstance`. Unlike a real
+/// engine, a server also checks that no request reaches it unless it is an open head.
 class RegisteredEngines {
  public:
   struct Options {
@@ -32,67 +31,68 @@
     std::chrono::milliseconds heartbeat_interval{400};
     int events = 5;
     std::chrono::milliseconds event_pause{10};
-    /// A request with this body ends the server that runs it, after its first event; empty for none does.
+    /// A request with this body crashes the server that runs it, after the first event. Empty for none.
     std::string crash_body;
-    /// A stream whose request has this body is broken off, by dropping its connection; empty for none is. One after the
-    /// other brings so many events before; those beyond the list bring none.
+    /// A request with this body gets a stream that is aborted by closing the connection. Empty for none. Element i of
+    /// `events_before_aborts` is the number of events sent before the i-th abort; aborts beyond the list send none.
     std::string abort_body;
     std::vector<int> events_before_aborts;
-    /// A server that ended starts again after this time, under another id, with what its host holds.
+    /// A crashed server restarts after this time, under a new id, with the staged models that its host still holds.
     std::chrono::milliseconds restart_delay{3000};
-    /// It starts again under the id that it had, and its reports tell when it was born.
+    /// A restarted server keeps its id, and its reports contain its start time.
     bool keeps_id_on_restart = false;
-    /// Zones of the domains, in turn.
+    /// Zones assigned to the domains in turn.
     std::vector<std::string> zones = {"a"};
   };
 
   using Timestamp = std::chrono::steady_clock::time_point;
 
-  /// `addresses` are loopback addresses, one a server; `controls` where heartbeats go.
-  /// Engines of a fleet, at the first addresses that it has for them.
+  /// Runs the engines of a fleet, at the first engine addresses of this fleet.
   RegisteredEngines(const Options& options, const FleetNodeProcesses& fleet);
+  /// `addresses` holds one loopback address per server. Heartbeats go to `control_replica_endpoints`.
   RegisteredEngines(const Options& options, const std::vector<std::string>& addresses,
                     std::vector<std::string> control_replica_endpoints);
   ~RegisteredEngines();
   RegisteredEngines(const RegisteredEngines&) = delete;
   RegisteredEngines& operator=(const RegisteredEngines&) = delete;
 
-  /// Servers that lead an open group now.
+  /// Number of servers that are heads of open groups now.
   int open_group_count();
-  /// Servers that are up and members of a group.
+  /// Number of running servers that are members of a group.
   int count_servers_in_groups();
-  /// Servers that are up and members of a group whose head is open.
+  /// Number of running servers that are members of a group whose head is open.
   int count_servers_in_serving_groups();
-  /// Servers that started again after an end, and those of them that were given weights since.
+  /// Number of servers that restarted after a crash, and of those that have loaded weights since then.
   int count_restarted_servers();
   int count_restarted_servers_with_weights();
   uint64_t served_count() const { return served_count_; }
-  /// Requests that reached a server which led no open group; each was turned away.
+  /// Number of requests rejected because they reached a server that was not the head of an open group.
   uint64_t misdirected() const { return misdirected_; }
-  /// When requests with `crash_body` reached open heads, in order.
+  /// Arrival times of requests with `crash_body` at open heads, in order.
   std::vector<Timestamp> crash_request_arrivals();
-  /// When servers ended under them, in order.
+  /// Times of the crashes that these requests caused, in order.
   std::vector<Timestamp> crash_times();
   /// Requests with `abort_body` that reached open heads.
   std::vector<Arrival> aborted_stream_arrivals() const { return aborted_streams_.all(); }
-  /// Requests that reached open heads of the zone.
+  /// Requests that reached open heads in the zone.
   std::vector<Arrival> arrivals_in(const std::string& zone);
-  /// The servers of the zone say from now on that they are cold, for `time`.
+  /// The servers in the zone report themselves as cold for `time` from now on.
   void report_cold_for(const std::string& zone, std::chrono::milliseconds time);
-  /// From now on one head of an open group of `model` turns every request away and asks for rest with `retry_after`.
+  /// From now on one head of an open group of `model` rejects every request with this value of `Retry-After`.
   void make_one_head_reject(const std::string& model, const std::string& retry_after);
-  /// From now on every head of an open group of `model`, or just one, names this limit in its answers.
+  /// From now on up to `max_heads` heads of open groups of `model` announce this rate limit in their responses.
   void announce_rate_limit_at_heads(const std::string& model, const std::string& per_second,
                                     size_t max_heads = SIZE_MAX);
-  /// They name none any more.
+  /// The heads announce no rate limit any more.
   void withdraw_rate_limits();
-  /// What reached a head that named limits, and which; a request that came before has `announces_limit` unset.
+  /// The requests that reached a head that has announced rate limits, and these limits. `announces_limit` is unset for
+  /// requests before the first announcement.
   struct RateLimitedHead {
     std::vector<Arrival> arrivals;
     std::vector<RateLimitPhase> limits;
   };
   std::vector<RateLimitedHead> rate_limited_heads();
-  /// What that head turned away.
+  /// Requests that `make_one_head_reject` caused to be rejected.
   std::vector<Arrival> rejected_arrivals() const { return rejected_arrivals_.all(); }
 
  private:
--- a/tests/integration/server_arrivals.h
+++ b/tests/integration/server_arrivals.h
@@ -11,19 +11,19 @@
 
 namespace larchlever::integration {
 
-/// A request that reached a server. Its id begins with the two letters of the entry that took it.
+/// A request that reached a server. Its id begins with the two-letter name of the entry that received it.
 struct Arrival {
   std::string request_id;
   std::chrono::steady_clock::time_point at;
-  /// It did not run: the server asked the entry for rest.
+  /// The server rejected it without running it, with a Retry-After header.
   bool was_rejected = false;
-  /// The answer names a limit.
+  /// The response announced a rate limit.
   bool announces_limit = false;
 
   std::string entry() const { return request_id.substr(0, 2); }
 };
 
-/// What reached one server, recorded on its thread and read on the test's.
+/// Records the requests that reached one server, on its thread, for reading on the thread of the test.
 class ArrivalRecord {
  public:
   void add(const std::string& request_id, bool was_rejected, bool announces_limit = false) {
@@ -40,8 +40,8 @@
   std::vector<Arrival> arrivals_;
 };
 
-/// The most requests that reached a server from one entry within a rest that it had asked of that entry, not counting
-/// those that came while its answer was on the way.
+/// Largest number of requests that one entry sent to a server during a backoff that the server had requested from this
+/// entry. Requests that arrive while the rejection is still in transit do not count.
 inline int64_t max_requests_during_backoff(const std::vector<Arrival>& arrivals, std::chrono::milliseconds backoff) {
   constexpr auto kResponseTransitTime = std::chrono::milliseconds(500);
   int64_t max_requests = 0;
@@ -58,8 +58,8 @@
   return max_requests;
 }
 
-/// The most requests that reached a server in any 4 s, from entries that had passed on an answer with its limit half a
-/// second before or earlier.
+/// Largest number of requests that reached a server in any 4 s. Counts only requests from entries that relayed a
+/// response with the rate limit at least half a second earlier.
 inline int64_t max_requests_after_announcement(const std::vector<Arrival>& arrivals) {
   constexpr auto kWindow = std::chrono::seconds(4);
   constexpr auto kResponseTransitTime = std::chrono::milliseconds(500);
@@ -83,7 +83,7 @@
   return static_cast<int64_t>(max_requests);
 }
 
-/// What a server that names a limit may get in 4 s.
+/// Number of requests that a server with this rate limit may get in 4 s.
 inline int64_t max_requests_in_window(double per_second) { return static_cast<int64_t>(1.5 * per_second * 4 + 5); }
 
 }  // namespace larchlever::integration
--- a/tests/integration/server_reports.h
+++ b/tests/integration/server_reports.h
@@ -10,17 +10,17 @@
 
 namespace larchlever::integration {
 
-/// What a ready plain server of the service `forms` reports of itself.
+/// Registration report of a ready plain server (not an engine) of the service `forms`.
 boost::json::object plain_server_report(const std::string& address, const std::string& zone, int64_t call_number);
 
-/// Sends the reports of servers to control replicas, one after the other until one takes them. For one thread.
+/// Sends the reports of servers to one control replica after another until one accepts the report. Not thread-safe.
 class ReportSender {
  public:
-  /// A replica that has not answered after `timeout` is passed over.
+  /// A replica that does not answer within `timeout` is skipped.
   explicit ReportSender(std::vector<std::string> control_endpoints,
                         std::chrono::milliseconds timeout = std::chrono::milliseconds(500))
       : control_endpoints_(std::move(control_endpoints)), timeout_(timeout) {}
-  /// The replica that took the last report comes first. False when none took this one.
+  /// Starts with the replica that accepted the last report. Returns false if no replica accepted this one.
   bool send(BlockingClient& client, const std::string& server_id, const std::string& report);
 
  private:
--- a/tests/integration/soak_seeds.h
+++ b/tests/integration/soak_seeds.h
@@ -7,7 +7,7 @@
 
 namespace larchlever::integration {
 
-/// The seeds of the gate, unless the environment names a range, as FIRST-LAST.
+/// Seeds for a soak test: `default_seeds`, unless LARCHLEVER_SOAK_SEEDS holds a range FIRST-LAST.
 inline std::vector<uint64_t> soak_seeds(std::vector<uint64_t> default_seeds) {
   const char* range = std::getenv("LARCHLEVER_SOAK_SEEDS");
   if (range == nullptr) {
--- a/tests/integration/stream_callers.cc
+++ b/tests/integration/stream_callers.cc
@@ -12,7 +12,7 @@
 
 constexpr int kCallerCount = 4;
 constexpr auto kRequestInterval = milliseconds(10);
-/// Fewer requests than this tell nothing about the share served.
+/// Minimum number of requests for a meaningful share of served ones.
 constexpr uint64_t kMinSentRequests = 20;
 
 std::string describe_result(const net::FetchResult& result) {
@@ -46,9 +46,8 @@
   const uint64_t sent_count = sent_count_ - baseline.sent_count;
   const uint64_t served_count = served_count_ - baseline.served_count;
   EXPECT_GT(sent_count, kMinSentRequests);
-  EXPECT_GE(served_count * 20, sent_count * 19)
-      << served_count << " of " << sent_count << " served while all was calm\n"
-      << unserved_since(baseline.at);
+  EXPECT_GE(served_count * 20, sent_count * 19) << served_count << " of " << sent_count << " served without faults\n"
+                                                << unserved_since(baseline.at);
 }
 
 void StreamCallers::call_until_stopped(uint64_t seed, int number) {
@@ -63,7 +62,8 @@
     if (is_success && result.error.empty()) {
       ++served_count_;
       if (result.response->body != expected_body()) {
-        record_wrong_response("request " + id + " at " + entry + " was answered whole with " + result.response->body);
+        record_wrong_response("request " + id + " at " + entry +
+                              " got a complete but wrong response: " + result.response->body);
       }
     } else {
       record_unserved_request("request " + id + " at " + entry + ", " + describe_result(result) + "\n");
--- a/tests/integration/stream_callers.h
+++ b/tests/integration/stream_callers.h
@@ -12,17 +12,17 @@
 
 namespace larchlever::integration {
 
-/// Callers that ask for streams through entries drawn by seed until they are told to stop, and check each answer.
+/// Callers that send streaming requests through randomly chosen entries until `stop`, and check each response.
 class StreamCallers {
  public:
-  /// Counts at a moment.
+  /// Numbers of requests sent and served up to a point in time.
   struct RequestCounts {
     std::chrono::steady_clock::time_point at;
     uint64_t sent_count = 0;
     uint64_t served_count = 0;
   };
 
-  /// Every whole answer has `events` events.
+  /// Every complete response has `events` events.
   StreamCallers(const FleetNodeProcesses& fleet, int events, uint64_t seed);
   ~StreamCallers() { stop(); }
   StreamCallers(const StreamCallers&) = delete;
@@ -31,11 +31,11 @@
   void stop();
   uint64_t served_count() const { return served_count_; }
   uint64_t sent_count() const { return sent_count_; }
-  /// Whole answers whose events were not those of the model, one line each.
+  /// One line for each complete response whose events were wrong.
   std::vector<std::string> wrong_responses();
-  /// What was sent and served up to now.
+  /// Numbers of requests sent and served so far.
   RequestCounts request_counts() const { return {std::chrono::steady_clock::now(), sent_count_, served_count_}; }
-  /// Nearly all that was sent since `mark` is to have been served.
+  /// Expects that nearly all requests sent since `baseline` were served.
   void expect_served_since(const RequestCounts& baseline);
 
  private:
@@ -46,7 +46,7 @@
 
   void call_until_stopped(uint64_t seed, int number);
   std::string expected_body() const;
-  /// What callers were told instead of an answer since `begin`, one line each.
+  /// One line for each request since `begin` that was not served, with its result.
   std::string unserved_since(std::chrono::steady_clock::time_point begin);
   void record_wrong_response(std::string description);
   void record_unserved_request(std::string description);
--- a/tests/integration/zoned_fleet.h
+++ b/tests/integration/zoned_fleet.h
@@ -19,8 +19,8 @@
 
 namespace larchlever::integration {
 
-/// Three replicas, three entries, and in each of two zones, which are regions of their own, a plain server and a domain
-/// of engines; callers all the while.
+/// Starts three control replicas and three entries. Each of the two zones is a region of its own with one plain server
+/// and one domain of engines. Callers send requests throughout the test.
 class ZonedFleetFixture : public testing::Test {
  protected:
   using Clock = std::chrono::steady_clock;
@@ -54,7 +54,8 @@
         engine_options(), std::vector<std::string>(addresses.begin() + 2, addresses.end()), fleet_.control_endpoints());
     ASSERT_TRUE(fleet_.start_serving(kWaitTimeout));
     reporter_ = std::thread([this] { report_until_stopped(); });
-    ASSERT_TRUE(wait_until([this] { return engines_->open_group_count() >= 4; }, kWaitTimeout)) << "no groups";
+    ASSERT_TRUE(wait_until([this] { return engines_->open_group_count() >= 4; }, kWaitTimeout))
+        << "too few open groups";
     for (const auto& entry : fleet_.entries()) {
       callers_.emplace_back([this, entry] { call_until_stopped(entry); });
     }
@@ -83,7 +84,7 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(300));
     }
   }
-  /// Plain requests and streams of both models in turn.
+  /// Sends requests for the plain service, the small and the large model in turn.
   void call_until_stopped(const std::string& entry) {
     BlockingClient client;
     for (int number = 0; !stopped_; ++number) {
@@ -100,7 +101,7 @@
     }
   }
 
-  /// All requests that reached the servers of a zone.
+  /// All requests that reached servers in a zone.
   std::vector<Arrival> arrivals_in(const std::string& zone) {
     auto all = engines_->arrivals_in(zone);
     for (const auto& server : plain_servers_) {
@@ -111,13 +112,13 @@
     }
     return all;
   }
-  /// Those that did so between two moments.
+  /// Number of requests that reached servers in a zone in the given time interval.
   int64_t count_arrivals(const std::string& zone, Clock::time_point from, Clock::time_point to) {
     const auto all = arrivals_in(zone);
     return std::count_if(all.begin(), all.end(),
                          [&](const auto& arrival) { return arrival.at >= from && arrival.at < to; });
   }
-  /// Both kinds of servers of a zone got requests shortly before `at`.
+  /// Whether both the plain server and the engines in a zone got requests in the second before `at`.
   bool receives_requests(const std::string& zone, Clock::time_point at) {
     const auto is_recent = [at](const Arrival& arrival) { return arrival.at > at - std::chrono::seconds(1); };
     const auto engines = engines_->arrivals_in(zone);
