--- a/tests/integration/attempt_limit_test.cc
+++ b/tests/integration/attempt_limit_test.cc
@@ -8,8 +8,8 @@
 
 using std::chrono::seconds;
 
-constexpr const char* kAbortBody = R"({"prompt":"breaks off"})";
-/// What the route of the model allows.
+constexpr const char* kAbortBody = R"({"prompt":"abort the stream"})";
+/// Maximum number of attempts per request on the route of the model (`max_attempts`).
 constexpr size_t kMaxServersPerRequest = 2;
 
 FleetNodeOptions fleet_options() {
@@ -22,7 +22,7 @@
 
 struct AbortScenario {
   std::string name;
-  /// How many events one server after the other brings before it breaks the stream off; beyond the list, none.
+  /// Number of events that each successive server sends before it aborts the stream; 0 beyond the end of the list.
   std::vector<int> events_by_server;
 };
 
@@ -40,7 +40,7 @@
     ASSERT_TRUE(wait_until([&] { return serve_ordinary_requests(); }, kWaitTimeout));
   }
 
-  /// Requests that are served, so that the entry has a part of the retry budget.
+  /// Sends requests that are served, so that the entry has credit in its retry budget.
   bool serve_ordinary_requests() {
     int served_count = 0;
     for (int number = 0; number < 20; ++number) {
@@ -53,17 +53,15 @@
   BlockingClient client_;
 };
 
-// A server that took a stream and lost its connection before the first event was taken for one that had not begun, so
-// the request went on to a third server, and to a fourth, though its route allows two. Two sendings were answered by
-// "Connection reset by peer", and then:
-//   request_ended sent=3 runs=0 reason="the whole stream"
+// A stream that was aborted before its first event was treated as not started and did not count as an attempt. So the
+// request was dispatched to a third and a fourth server, although its route allows two attempts.
 TEST_P(AttemptLimit, AbortedStreamCountsAsAttemptRegardlessOfEventsReceived) {
   const auto result = fleet_.call_model(client_, "e1", "small", "e1-breaks", kAbortBody);
   const auto arrivals = engines_->aborted_stream_arrivals();
   EXPECT_GT(arrivals.size(), 0U);
   EXPECT_LE(arrivals.size(), kMaxServersPerRequest);
   EXPECT_FALSE(result.response && result.response->status == http_status::kServiceUnavailable)
-      << "it may have run, so its caller must not be told that it did not";
+      << "the request may have run, so it must not be reported as not run";
 }
 
 INSTANTIATE_TEST_SUITE_P(Streams, AttemptLimit,
--- a/tests/integration/bad_input_test.cc
+++ b/tests/integration/bad_input_test.cc
@@ -9,7 +9,7 @@
 
 namespace asio = boost::asio;
 
-/// Sends raw bytes and returns what comes back until the other side closes or falls silent.
+/// Sends raw bytes and returns everything received until the peer closes the connection or 20 s have passed.
 std::string exchange_raw(const std::string& endpoint, const std::string& bytes, bool keep_write_side_open = false) {
   const auto [host, port] = net::split_endpoint(endpoint);
   asio::io_context context;
@@ -66,7 +66,7 @@
   EXPECT_EQ(status_of(R"({"model":"other","messages":[{"role":"user","content":"x"}]})"), 404);
   EXPECT_EQ(status_of(R"({"model":"census:unknown","messages":[{"role":"user","content":"x"}]})"), 403);
 
-  // Garbage on the peer port: the connection is dropped and counted, the node goes on.
+  // Invalid data on the peer port: the connection is dropped and counted, and the node keeps running.
   exchange_raw(fleet.peer_address("n1"), "GET / HTTP/1.1\r\n\r\n" + std::string(200, '\x07'));
   std::string malformed_frame = "1ELL";
   malformed_frame += std::string(12, '\x7f');
@@ -92,12 +92,12 @@
   post.body = "cut-post";
   const auto cut_response = fleet.fetch("n3", post);
   EXPECT_FALSE(cut_response.response && cut_response.response->status == 200)
-      << "half an answer passed for a whole one";
+      << "a truncated response was relayed as complete";
   int runs = 0;
   for (const auto& execution : fleet.executions()) {
     runs += execution.tag == "cut-post" ? 1 : 0;
   }
-  EXPECT_EQ(runs, 1) << "an unsafe request was repeated";
+  EXPECT_EQ(runs, 1) << "an unsafe request was retried";
   post.target = "/forms/late?delay_ms=4000";
   post.body = "late-post";
   const auto late_response = fleet.fetch("n3", post);
@@ -130,7 +130,7 @@
        at = whole.response->body.find("\"content\"", at + 1)) {
     ++events;
   }
-  EXPECT_EQ(events, 500U) << "every token once";
+  EXPECT_EQ(events, 500U) << "every token must arrive exactly once";
 }
 
 }  // namespace
--- a/tests/integration/crashing_request_test.cc
+++ b/tests/integration/crashing_request_test.cc
@@ -13,17 +13,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr const char* kCrashBody = R"({"prompt":"ends who runs it"})";
+constexpr const char* kCrashBody = R"({"prompt":"crash the server"})";
 constexpr int kCrashRequestCount = 35;
 constexpr auto kCrashRequestInterval = milliseconds(285);
 constexpr int kCallerCount = 4;
-/// From the third server that ended, copies may go on reaching servers for this long, and so many of them later.
+/// At most `kMaxLateArrivals` crashing requests may reach servers later than this after the third crash.
 constexpr auto kMaxBlockingTime = seconds(1);
 constexpr int kMaxLateArrivals = 3;
 
 int status_of(const net::FetchResult& result) { return result.response ? result.response->status : 0; }
 
-/// Callers whose requests are all different and harm nobody.
+/// Callers that send distinct requests, none of which crashes a server.
 class HarmlessCallers {
  public:
   explicit HarmlessCallers(const FleetNodeProcesses& fleet) : fleet_(fleet) {
@@ -80,14 +80,14 @@
   return options;
 }
 
-/// Three replicas, three entries and 24 engine servers, up and serving.
+/// Runs three control replicas, three entries and 24 engine servers, and waits until they serve.
 class CrashingRequest : public EngineFleetFixture {
  protected:
   CrashingRequest() : EngineFleetFixture(fleet_options()) {}
   void SetUp() override { EngineFleetFixture::start(engine_options(), 8); }
   void start(const RegisteredEngines::Options& options) { EngineFleetFixture::start(options, 8); }
 
-  /// Sends copies of the harmful request to entries drawn by lot, and returns the statuses that they got.
+  /// Sends the crashing request `count` times to randomly chosen entries and returns the response statuses.
   std::vector<int> send_crash_requests(int count, const std::string& name) {
     std::mt19937_64 random(32);
     std::vector<int> statuses;
@@ -103,35 +103,34 @@
   }
 };
 
-// One request ended every server that ran it, and its caller sent it again and again, to any entry. Nothing remembered
-// what it had done: each entry, and each attempt there, sent it to a healthy server once more and resent it when that
-// one ended. On a recorded day it reached servers 19 times after it had ended three, 43 servers ended in all, and
-// everything that ran beside it was cut:
-//   stream_broke_off target=g2-69 reason="partial message" last_event=8
-//   sending_failed target=g2-69 reason="cannot connect to 10.3.64.15:8740: Connection refused"
+// One request crashed every server that ran it, and its caller sent it again and again to any entry. No state was kept
+// about it: each entry, and each attempt there, dispatched it to another healthy server and retried it when that one
+// crashed. In one recording it reached servers 19 times after the third crash and crashed 43 servers in total, and
+// every request running there was cut.
 TEST_F(CrashingRequest, IsBlockedAfterThreeServersCrash) {
   HarmlessCallers ordinary(fleet_);
   const auto statuses = send_crash_requests(kCrashRequestCount, "copy-");
   ordinary.stop();
   const auto crash_times = engines_->crash_times();
   const auto arrivals = engines_->crash_request_arrivals();
-  ASSERT_GE(crash_times.size(), 3U) << "the request did no harm";
+  ASSERT_GE(crash_times.size(), 3U) << "the request crashed no server";
   const auto late_after = crash_times[2] + kMaxBlockingTime;
   const auto late_count =
       std::count_if(arrivals.begin(), arrivals.end(), [late_after](auto at) { return at > late_after; });
-  EXPECT_LE(late_count, kMaxLateArrivals) << arrivals.size() << " arrivals, " << crash_times.size() << " servers ended";
+  EXPECT_LE(late_count, kMaxLateArrivals)
+      << arrivals.size() << " arrivals, " << crash_times.size() << " servers crashed";
   EXPECT_LE(crash_times.size(), 6U);
   RecordProperty("arrivals", std::to_string(arrivals.size()));
   RecordProperty("ended", std::to_string(crash_times.size()));
   RecordProperty("other_served",
                  std::to_string(ordinary.served_count()) + " of " + std::to_string(ordinary.sent_count()));
-  EXPECT_EQ(statuses.back(), 503) << "a copy that is not sent any more has not run";
+  EXPECT_EQ(statuses.back(), 503) << "a blocked request has not run";
   EXPECT_GE(ordinary.served_count() * 100, ordinary.sent_count() * 95)
       << ordinary.served_count() << " of " << ordinary.sent_count() << " other requests served";
 }
 
-// The block must not be lost with who decided it: a leader that begins, an entry and a replica that start again know it
-// from the state that they copy.
+// The block must survive the leader that decided it. A new leader, and entries and replicas that restart, learn it from
+// the state that they copy.
 TEST_F(CrashingRequest, StaysBlockedAfterLeaderAndEntryRestart) {
   send_crash_requests(8, "first-");
   const size_t crashes_before = engines_->crash_times().size();
@@ -150,7 +149,7 @@
   EXPECT_EQ(std::count(statuses.begin(), statuses.end(), 503), 10);
 }
 
-// Everything ends at once, so that only the replicas' disks remember.
+// All processes are killed at once, so the block survives only on the disks of the replicas.
 TEST_F(CrashingRequest, StaysBlockedAfterRestartOfAllProcesses) {
   send_crash_requests(8, "first-");
   const size_t crashes_before = engines_->crash_times().size();
@@ -173,24 +172,24 @@
   }
 };
 
-// Servers that ended started again under the ids that they had, holding nothing, their counts anew. Their reports were
-// taken for late ones until they had called as often as in their life before, and their rows went on naming groups,
-// weights and states of that life, so none of them was ever used again.
+// Crashed servers restarted under the same ids, with empty state and new call numbers. Their reports were treated as
+// late ones until the call numbers passed those of the previous incarnation. Their records kept the groups, weights and
+// states of that incarnation, so none of these servers was used again.
 TEST_F(RestartedServers, AreUsedAgainUnderTheSameIds) {
   const int in_groups_before = engines_->count_servers_in_groups();
   const int serving_before = engines_->count_servers_in_serving_groups();
   send_crash_requests(8, "copy-");
   ASSERT_GE(engines_->crash_times().size(), 3U);
   EXPECT_TRUE(wait_until([&] { return engines_->count_servers_in_groups() >= in_groups_before; }, seconds(12)))
-      << engines_->count_servers_in_groups() << " of " << in_groups_before << " servers in groups after they came back";
+      << engines_->count_servers_in_groups() << " of " << in_groups_before << " servers in groups after the restarts";
   EXPECT_TRUE(wait_until([&] { return engines_->count_servers_in_serving_groups() >= serving_before; }, seconds(12)))
       << engines_->count_servers_in_serving_groups() << " of " << serving_before
-      << " servers serve after they came back";
+      << " servers in serving groups after the restarts";
   const int ended = static_cast<int>(engines_->crash_times().size());
   EXPECT_TRUE(wait_until([&] { return engines_->count_restarted_servers() == ended; }, seconds(12)));
   EXPECT_TRUE(wait_until([&] { return engines_->count_restarted_servers_with_weights() == ended; }, seconds(12)))
       << engines_->count_restarted_servers_with_weights() << " of " << ended
-      << " servers that came back were given weights";
+      << " restarted servers have loaded weights";
   HarmlessCallers ordinary(fleet_);
   std::this_thread::sleep_for(seconds(3));
   ordinary.stop();
--- a/tests/integration/fleet_node_pause_test.cc
+++ b/tests/integration/fleet_node_pause_test.cc
@@ -20,15 +20,13 @@
 constexpr int kPauseCount = 6;
 constexpr int kMinPauseMs = 300;
 constexpr int kPauseSpreadMs = 1500;
-/// Callers are to be served again this long after an entry goes on.
+/// Requests must succeed again this long after an entry resumes.
 constexpr auto kRecoveryTime = milliseconds(500);
 constexpr auto kObservationTime = std::chrono::seconds(2);
 
-// An entry stood still for over a second and went on. The streams that it relays had ended meanwhile, all their events
-// lay in its sockets. It took its own pause for theirs, cut every answer and left the group alone for seconds:
-//   group_stalled node=e3 group=g2-2 requests=3
-//   request_ended held_ms=3007 pause_ms=1427 reason="the stream could not be continued; cut"
-// An answer that is there is delivered, also late.
+// An entry was paused for over a second. Meanwhile the streams that it relays had completed, with all their events in
+// its socket buffers. After resuming, it mistook its own pause for a stall of the group, cut every response and avoided
+// the group for seconds. Data that has arrived must be delivered, even if late.
 TEST(FleetNodePause, ResumedEntryDeliversDataReceivedDuringPause) {
   FleetNodeOptions options;
   options.control_replicas = 1;
@@ -40,7 +38,7 @@
   engine_options.event_pause = milliseconds(100);
   RegisteredEngines engines(engine_options, fleet);
   ASSERT_TRUE(fleet.start_serving(kWaitTimeout));
-  ASSERT_TRUE(wait_until([&] { return engines.open_group_count() >= 3; }, kWaitTimeout)) << "no groups";
+  ASSERT_TRUE(wait_until([&] { return engines.open_group_count() >= 3; }, kWaitTimeout)) << "too few open groups";
   std::atomic<int> complete_responses = 0;
   std::vector<std::thread> callers;
   for (int number = 0; number < kRequestCount; ++number) {
@@ -65,7 +63,7 @@
 /// What happens shortly before each pause.
 enum class PausePreparation {
   kNone,
-  /// All replicas end at once and start again.
+  /// All control replicas are killed at once and restarted.
   kControlsRestart,
 };
 
@@ -87,7 +85,7 @@
   engine_options.events = 5;
   RegisteredEngines engines(engine_options, fleet);
   ASSERT_TRUE(fleet.start_serving(kWaitTimeout));
-  ASSERT_TRUE(wait_until([&] { return engines.open_group_count() >= 3; }, kWaitTimeout)) << "no groups";
+  ASSERT_TRUE(wait_until([&] { return engines.open_group_count() >= 3; }, kWaitTimeout)) << "too few open groups";
   StreamCallers callers(fleet, engine_options.events, seed);
   std::mt19937_64 random(seed);
   const auto entries = fleet.entries();
@@ -112,20 +110,20 @@
     callers.expect_served_since(counts_before);
   }
   EXPECT_TRUE(callers.wrong_responses().empty()) << callers.wrong_responses().front();
-  // All groups are healthy: whoever calls one stalled takes the pause of its own process for theirs.
+  // All groups are healthy. An entry that logs a stalled group mistook its own pause for a stall of the group.
   for (const auto& entry : entries) {
     EXPECT_EQ(fleet.log(entry).find("event=group_stalled"), std::string::npos) << entry;
   }
 }
 
-// An entry that had stood still shunned healthy groups for seconds, and callers went unserved after all was calm.
+// A resumed entry avoided healthy groups for seconds, so requests failed although no fault was active any more.
 TEST(FleetNodePause, RequestsSucceedSoonAfterEachEntryPause) {
   for (const uint64_t seed : soak_seeds({1, 2})) {
     pause_entries_repeatedly(seed, PausePreparation::kNone);
   }
 }
 
-// Callers went unserved after all was calm once an entry had stood still while a new leader took over the groups.
+// Requests kept failing after an entry had been paused while a new leader took over the groups.
 TEST(FleetNodePause, RequestsSucceedSoonAfterEntryPauseDuringLeaderChange) {
   for (const uint64_t seed : soak_seeds({1, 2})) {
     pause_entries_repeatedly(seed, PausePreparation::kControlsRestart);
--- a/tests/integration/fleet_node_soak_test.cc
+++ b/tests/integration/fleet_node_soak_test.cc
@@ -17,12 +17,14 @@
 using std::chrono::seconds;
 
 constexpr auto kWaitTimeout = seconds(15);
-/// After an accepted document every replica answers with it, or not at all, within this time.
+/// Within this time after a document was accepted, every replica returns this document or a newer one, or no document
+/// at all.
 constexpr auto kMaxApplyTime = seconds(2);
 constexpr int kEvents = 5;
 constexpr int kFaultCount = 14;
 
-/// Kills, stops, pauses and empties processes of a fleet, within what it must bear, and restarts them.
+/// Kills, stops and pauses processes of a fleet or deletes their data, within the faults that the fleet must tolerate,
+/// and restarts them.
 class FaultInjector {
  public:
   FaultInjector(FleetNodeProcesses& fleet, uint64_t seed) : fleet_(fleet), random_(seed) {}
@@ -73,13 +75,13 @@
       fleet_.start(node);
     }
   }
-  /// The settings stay those of the first start.
+  /// The settings are still those of the first start.
   void restart_with_empty_disk(const std::string& node) {
     fleet_.kill(node);
     fleet_.wipe_data(node);
     std::this_thread::sleep_for(milliseconds(random_below(500)));
     fleet_.start(node);
-    // The next disk may be lost only once this replica is a voter again.
+    // Before another disk may be lost, this replica must be a voter again.
     std::this_thread::sleep_for(seconds(4));
   }
 
@@ -87,12 +89,12 @@
   std::mt19937_64 random_;
 };
 
-/// No replica answers with a document older than the one accepted `kMaxApplyTime` ago.
+/// Expects that no replica returns a document older than `version`.
 void expect_no_older_document(FleetNodeProcesses& fleet, int64_t version) {
   for (const auto& node : fleet.control_replicas()) {
     const int64_t read_version = fleet.document_version_at(node);
     EXPECT_TRUE(read_version == 0 || read_version >= version)
-        << node << " answers " << read_version << " after " << version;
+        << node << " returns version " << read_version << " after version " << version;
   }
 }
 
@@ -106,45 +108,46 @@
   RegisteredEngines engines(engine_options, fleet);
   ASSERT_TRUE(fleet.start_serving(kWaitTimeout));
   int64_t version = FleetNodeProcesses::kFirstDocumentVersion;
-  ASSERT_TRUE(wait_until([&] { return engines.open_group_count() >= 2; }, kWaitTimeout)) << "no groups";
+  ASSERT_TRUE(wait_until([&] { return engines.open_group_count() >= 2; }, kWaitTimeout)) << "too few open groups";
   StreamCallers callers(fleet, kEvents, seed);
   FaultInjector fault_injector(fleet, seed);
   for (int number = 0; number < kFaultCount; ++number) {
     fault_injector.inject_random_fault();
     version += 3;
-    EXPECT_TRUE(fleet.put_document(version, kWaitTimeout)) << "after disturbance " << number;
+    EXPECT_TRUE(fleet.put_document(version, kWaitTimeout)) << "after fault " << number;
     std::this_thread::sleep_for(kMaxApplyTime / 4);
     expect_no_older_document(fleet, version - 3);
     for (const auto& node : fleet.all_nodes()) {
-      EXPECT_TRUE(fleet.is_running(node)) << node << " ended by itself";
+      EXPECT_TRUE(fleet.is_running(node)) << node << " exited unexpectedly";
     }
   }
   EXPECT_TRUE(fleet.wait_until_entries_ready(kWaitTimeout));
-  EXPECT_TRUE(wait_until([&] { return engines.open_group_count() >= 2; }, kWaitTimeout)) << "no groups at the end";
-  // What callers get once all is calm: nearly everything.
+  EXPECT_TRUE(wait_until([&] { return engines.open_group_count() >= 2; }, kWaitTimeout))
+      << "too few open groups at the end";
+  // Nearly all requests must be served once no more faults are injected.
   const auto counts_before = callers.request_counts();
   std::this_thread::sleep_for(seconds(3));
   callers.stop();
   callers.expect_served_since(counts_before);
   EXPECT_GE(callers.served_count() * 2, callers.sent_count())
-      << callers.served_count() << " of " << callers.sent_count() << " served in all";
+      << callers.served_count() << " of " << callers.sent_count() << " requests served in total";
   EXPECT_TRUE(callers.wrong_responses().empty()) << callers.wrong_responses().front();
   for (const auto& node : fleet.all_nodes()) {
     EXPECT_EQ(fleet.terminate(node), 0) << node;
   }
 }
 
-// By hand: LARCHLEVER_SOAK_SEEDS=FIRST-LAST integration_tests --gtest_filter=FleetNodeSoak.*
-// With LARCHLEVER_KEEP_LOGS set, the whole logs of a seed that fails stay where the output says.
+// To run other seeds: LARCHLEVER_SOAK_SEEDS=FIRST-LAST integration_tests --gtest_filter=FleetNodeSoak.*
+// With LARCHLEVER_KEEP_LOGS set, the complete logs of a failing seed are kept in the printed folder.
 TEST(FleetNodeSoak, ServesUnderKillsStopsPausesAndLostDisks) {
-  // Seed 31 once left callers without an answer after all was calm: an entry shunned a healthy group. Seed 224 left a
-  // model unserved for 15 s: leaders kept members of a group that had been released.
+  // Seed 31 left requests unanswered after the last fault, since an entry avoided a healthy group. Seed 224 left a
+  // model unserved for 15 s, since leaders kept members of a group that had been released.
   for (const uint64_t seed : soak_seeds({1, 2, 31, 224})) {
     run_soak(seed);
   }
 }
 
-// This seed left callers without an answer after all was calm, at first since an entry shunned a healthy group.
+// This seed left requests unanswered after the last fault, at first since an entry avoided a healthy group.
 TEST(FleetNodeSoak, ServesAllRequestsAfterFaultsOfSeed58) { run_soak(58); }
 
 }  // namespace
--- a/tests/integration/fleet_node_start_test.cc
+++ b/tests/integration/fleet_node_start_test.cc
@@ -11,13 +11,11 @@
 
 constexpr auto kStartTimeout = std::chrono::seconds(5);
 
-// In one of some eighty starts, three of five control replicas never joined: nobody could change the configuration and
-// no entry ever served, though no process ended. A replica that was answered "not the leader" moved on to the next
-// replica it knew, and did so a second time when its next question was due. Of an even number of replicas it so asked
-// every other one, over and over. The log of such a start, 6 s in, with the leader at 127.101.1.43:
-//   leader_sought node=core-2 known_replicas=4 asked=127.101.2.44:7340*50,127.101.3.45:7340*51
-//   leader_sought node=core-4 known_replicas=4 asked=127.101.1.43:7340*1,127.101.1.46:7340*50,127.101.2.44:7340*50
-// Two replicas that know just each other show it at every start: the second one asks itself alone.
+// In about one of 80 starts, three of five control replicas never joined, so the configuration could not be changed and
+// no entry ever served, although every process kept running. A replica that got the answer "not the leader" moved on to
+// the next known replica, and skipped one more when its next query was due. With an even number of known replicas it
+// asked only every second one, again and again. Two replicas that know only each other reproduce this at every start:
+// the second one asks only itself.
 TEST(FleetNodeStart, ReplicaAsksAllOtherReplicasForLeader) {
   FleetNodeOptions options;
   options.control_replicas = 2;
@@ -28,7 +26,7 @@
   fleet.start_all();
   EXPECT_TRUE(
       wait_until([&] { return fleet.log("c2").find("event=voters_changed") != std::string::npos; }, kStartTimeout))
-      << "the second replica does not join the log";
+      << "the second replica did not become a voter";
 }
 
 TEST(FleetNodeStart, FleetServesAfterEveryStart) {
@@ -43,8 +41,8 @@
       fleet.start(node);
       std::this_thread::sleep_for(std::chrono::milliseconds(random() % (kMaxDelayMs / nodes.size() + 1)));
     }
-    ASSERT_TRUE(fleet.put_document(7, kStartTimeout)) << "start " << run;
-    ASSERT_TRUE(fleet.wait_until_entries_ready(kStartTimeout)) << "start " << run;
+    ASSERT_TRUE(fleet.put_document(7, kStartTimeout)) << "in start " << run;
+    ASSERT_TRUE(fleet.wait_until_entries_ready(kStartTimeout)) << "in start " << run;
     for (const auto& control : fleet.control_replicas()) {
       EXPECT_TRUE(wait_until([&] { return fleet.document_version_at(control) == 7; }, kStartTimeout))
           << control << " in start " << run;
@@ -52,9 +50,8 @@
   }
 }
 
-// A platform that runs several nodes on one machine gives each its own settings file and names it in the environment.
-// Started that way, all processes of a fleet of 14 ended within a moment, exit code 3, with the line
-//   cannot read ''; check the path and its permissions
+// A platform that runs several nodes on one machine gives each node a settings file of its own and passes its path in
+// the environment. The path was not read from there: all processes of a fleet of 14 exited at once with exit code 3.
 TEST(FleetNodeStart, ReadsSettingsPathFromEnvironment) {
   FleetNodeProcesses fleet({});
   for (const auto& node : fleet.all_nodes()) {
@@ -64,9 +61,9 @@
   EXPECT_TRUE(fleet.wait_until_entries_ready(kStartTimeout));
 }
 
-// A process that found a port of its own taken ended at once, exit code 7. A predecessor may still be stopping, so the
-// port is free a moment later, while a fleet that is short of a process for as long as it takes to start it again, or
-// for good, may never have had all the voters that a first document needs.
+// A process that found one of its ports occupied exited at once with exit code 7. The predecessor of the process may
+// still be stopping and release the port soon. Without the process, a fleet may lack the voters that it needs to accept
+// its first document.
 TEST(FleetNodeStart, WaitsForOccupiedPort) {
   FleetNodeProcesses fleet({});
   boost::asio::io_context context;
@@ -77,7 +74,7 @@
                                static_cast<uint16_t>(std::stoi(occupied_endpoint.substr(colon + 1))));
   auto port_holder = std::make_unique<tcp::acceptor>(context, endpoint);
   ASSERT_EQ(::fcntl(port_holder->native_handle(), F_SETFD, FD_CLOEXEC), 0)
-      << "the processes started must not hold it too";
+      << "child processes must not inherit the socket";
   fleet.start_all();
   EXPECT_TRUE(wait_until([&] { return fleet.log("c1").find("cannot listen on") != std::string::npos; }, kStartTimeout));
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
@@ -87,9 +84,9 @@
   EXPECT_TRUE(wait_until([&] { return fleet.document_version_at("c1") == 7; }, kStartTimeout));
 }
 
-// Of the three seeds one alone, the one whose address sorted lowest, could make the first log. Without it the others
-// answered every call with 503 for as long as it stayed away, and no line said what they waited for; an address written
-// in another way had the same effect. Two of three seeds must be enough, and the third must join when it comes.
+// Only one of the three seeds, the one with the lowest address, could found the cluster. Without it, or if its address
+// was written differently, the others answered every call with 503, and no log line gave the reason. Two of three seeds
+// must be enough, and the third must join when it starts.
 TEST(FleetNodeStart, ClusterFormsWithoutLowestSeed) {
   FleetNodeProcesses fleet({});
   for (const auto& node : fleet.all_nodes()) {
@@ -99,15 +96,16 @@
   }
   EXPECT_TRUE(
       wait_until([&] { return fleet.log("c3").find("event=voters_changed") != std::string::npos; }, kStartTimeout))
-      << "nobody founded the cluster";
+      << "no replica founded the cluster";
   fleet.start("c1");
   ASSERT_TRUE(fleet.put_document(7, kStartTimeout));
   EXPECT_TRUE(wait_until([&] { return fleet.document_version_at("c1") == 7; }, kStartTimeout));
   EXPECT_EQ(fleet.log("c1").find("event=cluster_founded"), std::string::npos);
 }
 
-// The seed that makes the first log may lose its disk later and be started by the same settings again. It founded a
-// second log, of which it was the only voter, and never came back to the first; every call to it was answered 503.
+// The seed that founded the cluster may lose its disk later and be restarted with the same settings. It founded a
+// second cluster of which it was the only voter and never rejoined the first one; every call to it was answered with
+// 503.
 TEST(FleetNodeStart, SeedWithEmptyDiskRejoinsWithFirstStartSettings) {
   FleetNodeProcesses fleet({});
   ASSERT_TRUE(fleet.start_serving(kStartTimeout));
@@ -119,7 +117,7 @@
   EXPECT_TRUE(wait_until([&] { return fleet.document_version_at("c1") == 8; }, kStartTimeout));
 }
 
-// A settings file that is read while it is being written is refused, and is read again until it is whole.
+// A settings file that is read while it is being written is rejected, and is read again until it is complete.
 TEST(FleetNodeStart, ReloadsSettingsFileAfterRejection) {
   FleetNodeOptions options;
   options.control_replicas = 1;
@@ -142,8 +140,8 @@
   EXPECT_TRUE(fleet.is_running("c1"));
 }
 
-// Log lines go to standard output. When that is a pipe whose reader does not read, a blocking write stops the whole
-// process once the pipe is full, and with it leases, elections and every request.
+// Logs go to standard output. If this is a full pipe that nobody reads, a blocking write stops the whole process, and
+// with it leases, elections and all requests.
 TEST(FleetNodeStart, ServesWithFullLogPipe) {
   FleetNodeProcesses fleet({});
   for (const auto& node : fleet.all_nodes()) {
@@ -153,8 +151,8 @@
   EXPECT_TRUE(fleet.wait_until_entries_ready(kStartTimeout));
 }
 
-// A process may be started without standard descriptors. The first files it opens then take their numbers, and log
-// lines go into whatever that is: a connection to a peer, or the replicated log.
+// A process may be started without standard descriptors. The first files that it opens then get their numbers, and log
+// lines end up in a peer connection or in the replicated log.
 TEST(FleetNodeStart, ServesWithoutStandardDescriptors) {
   FleetNodeProcesses fleet({});
   for (const auto& node : fleet.all_nodes()) {
@@ -168,8 +166,9 @@
   }
 }
 
-// Processes that had closed everything waited in the destructors of libraries, for threads of theirs, until they were
-// killed at the end of their grace: six of six entries of a rolling stop, 4 s after their last line.
+// Processes that had closed everything blocked in destructors of libraries, which waited for their threads, until they
+// were killed at the end of the grace period. This happened to six of six entries in a rolling stop, 4 s after their
+// last log line.
 TEST(FleetNodeStop, ProcessExitsPromptlyAfterStoppedEvent) {
   FleetNodeOptions options;
   options.control_replicas = 3;
@@ -184,7 +183,7 @@
     const std::string log = fleet.log(node);
     const size_t stopped = log.find("event=stopped");
     ASSERT_NE(stopped, std::string::npos) << node;
-    EXPECT_EQ(log.find('\n', stopped), log.size() - 1) << node << " went on after it had stopped";
+    EXPECT_EQ(log.find('\n', stopped), log.size() - 1) << node << " logged more lines after the stopped event";
   }
 }
 
--- a/tests/integration/fleet_test.cc
+++ b/tests/integration/fleet_test.cc
@@ -90,8 +90,8 @@
   EXPECT_EQ(count_executions(fleet, "another letter"), 0);
 }
 
-// The key of a repeatable request is not looked up, and still an attempt that found no place was told "not-run" under
-// it, though the request had run through another node.
+// The idempotency key of a safe request is not looked up. An attempt with such a key that found no free slot was
+// reported as not run, although the request had run through another node.
 TEST(Fleet, SafeKeyedRequestThatRanIsNotReportedAsNotRun) {
   ProcessFleet fleet({3, 1, "[requests]\nqueue_timeout_ms = 300\n"});
   fleet.start();
@@ -110,7 +110,7 @@
   EXPECT_EQ(outcome_of(refused), "unknown") << refused.response->body;
   auto without_key = request;
   without_key.headers.remove("Idempotency-Key");
-  EXPECT_EQ(outcome_of(fleet.fetch("n3", without_key)), "not-run") << "nothing ties it to the first";
+  EXPECT_EQ(outcome_of(fleet.fetch("n3", without_key)), "not-run") << "without a key it is a different request";
 }
 
 TEST(Fleet, GroupIsReplacedAfterMachineLoss) {
@@ -119,7 +119,7 @@
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   const int before = fleet.serving_group_count();
   ASSERT_TRUE(fleet.inject_fault("celje-d1-m1", "die"));
-  // Reformed from the spare machine of the same domain, without the dead one.
+  // The new group uses the spare machine of the same domain instead of the lost one.
   ASSERT_TRUE(wait_until([&] {
     return fleet.serving_group_count() == before && !fleet.has_serving_group_with("celje-d1-m1");
   })) << fleet.run_operator_command({"groups"}).output;
@@ -143,7 +143,7 @@
     new_leader = fleet.leader();
     return !new_leader.empty() && new_leader != old_leader;
   }));
-  // The cut-off node lets nothing through: it cannot confirm its configuration any more.
+  // The partitioned node rejects requests, since it cannot confirm its configuration any more.
   ASSERT_TRUE(wait_until([&] {
     const auto refused = fleet.fetch(old_leader, fleet.model_request("through the cut", 2, false));
     return refused.response && refused.response->status == 503 && outcome_of(refused) == "not-run";
@@ -178,7 +178,7 @@
     EXPECT_EQ(executions[position].zone, "koper");
   }
   EXPECT_GT(executions.size(), before);
-  // The same command again gets the same answer, and a blind change on the old revision is refused.
+  // Sending the same command again returns the same result.
   const auto resent = fleet.run_operator_command({"apply", file.string(), "--command_id=move", "--operator_name=test"});
   EXPECT_EQ(resent.exit_code, 0) << resent.output;
   std::filesystem::remove(file);
@@ -195,7 +195,8 @@
   options.most_tokens = 40;
   options.seed = 11;
   options.nodes = {fleet.service_address("n1"), fleet.service_address("n2")};
-  // All load goes to two nodes, one of which stops; its address stays with the callers, as with a late balancer.
+  // All load goes to two nodes, one of which stops. Callers keep using its address, as behind a load balancer that
+  // reacts late.
   load::LoadReport report;
   int exit_code = -1;
   const auto violations = fleet.run_load_and_check(options, report, [&] {
@@ -249,10 +250,9 @@
   EXPECT_GT(report.answered, 600U);
 }
 
-// A node was killed with repeatable requests under way, and their callers sent them again without a key. One attempt
-// came to a node that was cut off and turned it away as not run, so its caller was told that a request had not run
-// which had begun through the first node:
-//   false not-run: request t5-292 through 127.0.0.1:46283 ran on ljubljana-d2-m1
+// A node was killed with safe requests in flight, and their callers sent them again without a key. A partitioned node
+// rejected one such attempt as not run. So the caller was told that a request had not run, although it had begun to run
+// through the killed node.
 TEST(Fleet, RequestDispatchedByKilledNodeIsNotReportedAsNotRun) {
   ProcessFleet fleet({6, 4, ""});
   fleet.start();
@@ -280,13 +280,12 @@
   for (const auto& violation : violations) {
     ADD_FAILURE() << violation;
   }
-  EXPECT_GT(report.refused_after_loss, 0U) << "no attempt was turned away after one whose answer was lost";
+  EXPECT_GT(report.refused_after_loss, 0U) << "no attempt was rejected after one whose response was lost";
 }
 
-// A repeatable request without a key was cut while a machine ran it, and its caller sent it again: three nodes turned
-// those attempts away as not run, which is true of each of them. The check of histories held the earlier run against
-// them, as one beside much other work did:
-//   false not-run: request t5-292 through 127.0.0.1:46283 ran on ljubljana-d2-m1
+// A safe request without a key was interrupted while a machine ran it, and its caller sent it again. Three nodes
+// rejected these attempts as not run, which is correct for each attempt. The history check wrongly counted the earlier
+// run as a contradiction.
 TEST(Fleet, AttemptsRejectedAfterInterruptedStreamAreReportedAsNotRun) {
   ProcessFleet fleet({5, 3, "[requests]\nqueue_timeout_ms = 300\n"});
   fleet.start();
@@ -310,7 +309,7 @@
   for (const auto& violation : violations) {
     ADD_FAILURE() << violation;
   }
-  EXPECT_GT(report.not_run, 0U) << "no attempt was turned away";
+  EXPECT_GT(report.not_run, 0U) << "no attempt was rejected";
 }
 
 TEST(Fleet, DataSurvivesSuccessiveReplacementOfTwoLostDisks) {
@@ -324,7 +323,7 @@
     fleet.kill_node(node, SIGKILL);
     fleet.wipe_data(node);
     fleet.start_node(node);
-    // Repaired: three voters again, one of them with an identity that was not there before.
+    // Repaired: there are three voters again, one of them with a new identity.
     ASSERT_TRUE(wait_until([&] {
       const auto now = fleet.voters();
       return now.size() == 3 && now != before;
--- a/tests/integration/home_region_test.cc
+++ b/tests/integration/home_region_test.cc
@@ -17,10 +17,10 @@
 constexpr int kRoundCount = 30;
 constexpr const char* kRegionBoundIdPrefix = "home-";
 
-/// Routes whose requests may run in the northern region alone, beside others.
+/// Routes with `allowed_regions`, whose requests may run only in the northern region, next to unrestricted routes.
 class RegionBoundRoutes : public ZonedFleetFixture {
  protected:
-  /// One request of a route with a home, plain or for a model, through an entry.
+  /// Sends one request on a region-bound route through an entry; `model` is empty for the plain service.
   net::FetchResult call_region_bound_route(BlockingClient& client, const std::string& entry, const std::string& model) {
     net::HttpRequest request;
     request.method = model.empty() ? "GET" : "POST";
@@ -44,7 +44,7 @@
   int next_request_ = 0;
 };
 
-// A route named the region in which its requests may run, and nothing read it: half of them ran in the other one.
+// The `allowed_regions` of a route were ignored: half of its requests ran in the other region.
 TEST_F(RegionBoundRoutes, RequestsRunOnlyInAllowedRegions) {
   BlockingClient client;
   int served_count = 0;
@@ -60,7 +60,8 @@
   EXPECT_EQ(served_count, kRoundCount * static_cast<int>(fleet_.entries().size()));
 }
 
-// The home is lost: nothing of it runs elsewhere, callers are told at once that it did not run, and others go on.
+// With the allowed region evacuated, its requests must not run elsewhere and are rejected at once as not run. Requests
+// of other routes are still served.
 TEST_F(RegionBoundRoutes, RequestsAreRejectedWhileAllowedRegionIsEvacuated) {
   ASSERT_EQ(fleet_.call_control("c1", "POST", std::string("/v1/zones/") + kNorth + "/evacuate").response->status,
             http_status::kOk);
--- a/tests/integration/registration_test.cc
+++ b/tests/integration/registration_test.cc
@@ -62,9 +62,9 @@
   int calls_ = 0;
 };
 
-// The only server of a service drained, was silent for two seconds and started again under its id, born later and
-// counting from 1. Its reports were answered and its state stayed what it had said last: not served for as long as
-// anyone watched.
+// The only server of a service was draining, sent no report for two seconds and restarted under the same id, with a
+// later start time and call numbers from 1. Its reports were acknowledged, but its state stayed draining, so it got no
+// more requests.
 TEST_F(ServerRegistration, DrainedServerIsUsedAgainAfterRestartUnderSameId) {
   auto body = heartbeat_body(good_address_, 1001);
   body["born"] = kStartTimeMs;
@@ -79,12 +79,13 @@
   restarted_body["born"] = kStartTimeMs + 5000;
   EXPECT_TRUE(wait_until([&] { return send_heartbeat("i1", restarted_body) == 200; }, kWaitTimeout));
   EXPECT_TRUE(wait_until([this] { return request_succeeds(); }, seconds(2)));
-  // A late word of the life before changes nothing, though it counts higher.
+  // A late report of the previous incarnation changes nothing, although its call number is higher.
   EXPECT_TRUE(wait_until([&] { return send_heartbeat("i1", body) == 200; }, kWaitTimeout));
   EXPECT_TRUE(request_succeeds());
 }
 
-// Reports of another writer, beside a good server's: each was answered 200 and its address got requests.
+// Malformed reports, some under the id of a healthy server, were each answered with 200, and requests were sent to
+// their address.
 TEST_F(ServerRegistration, MalformedReportsAreRejectedWithoutSideEffects) {
   ASSERT_EQ(send_heartbeat("i1", heartbeat_body(good_address_, 1)), 200);
   ASSERT_TRUE(wait_until([this] { return request_succeeds(); }, kWaitTimeout));
@@ -121,7 +122,7 @@
     bodies.emplace_back(field, json::serialize(body));
   }
   for (const auto& [field, body] : bodies) {
-    // Under an id of its own, and under the good server's.
+    // Under an unused id, and under the id of the healthy server.
     for (const auto* id : {"i2", "i1"}) {
       const auto answer = fleet_.call_control("c" + std::to_string(1 + calls_++ % 3), "POST",
                                               std::string("/v1/instances/") + id + "/heartbeat", body);
@@ -136,7 +137,7 @@
   }
   EXPECT_EQ(other_->served_count(), 0);
   for (const auto& node : fleet_.all_nodes()) {
-    EXPECT_TRUE(fleet_.is_running(node)) << node << " ended";
+    EXPECT_TRUE(fleet_.is_running(node)) << node << " exited";
   }
   EXPECT_NE((fleet_.log("c1") + fleet_.log("c2") + fleet_.log("c3")).find("event=malformed_report"), std::string::npos);
 }
--- a/tests/integration/server_crash_detection_test.cc
+++ b/tests/integration/server_crash_detection_test.cc
@@ -20,7 +20,7 @@
 constexpr int kServerCount = 12;
 constexpr int kCrashRequestCount = 35;
 constexpr auto kCrashRequestInterval = milliseconds(285);
-/// Servers may go on ending for this long after the third one, and so many of them later.
+/// At most `kMaxLateCrashes` servers may crash later than this after the third crash.
 constexpr auto kMaxBlockingTime = seconds(1);
 constexpr int kMaxLateCrashes = 3;
 constexpr int kMinServedPercent = 95;
@@ -36,7 +36,7 @@
   return options;
 }
 
-/// Three replicas, some entries and twelve plain servers, which report themselves.
+/// Runs three control replicas, some entries and twelve plain servers that report to the replicas.
 class ServerCrashDetection : public testing::Test {
  protected:
   explicit ServerCrashDetection(int entries = 5) : fleet_(fleet_options(entries)) {}
@@ -92,7 +92,8 @@
     }
   }
 
-  /// Sends the harmful request to entries drawn by lot beside ordinary ones; `after_second_crash` is called once.
+  /// Sends the crashing request to randomly chosen entries, with ordinary requests in parallel. `after_second_crash` is
+  /// called once.
   void send_crash_requests(const std::function<void()>& after_second_crash) {
     std::vector<std::thread> callers;
     for (int number = 0; number < kCallerCount; ++number) {
@@ -116,8 +117,8 @@
     }
   }
 
-  /// One copy at each entry at about the same moment, each after ordinary requests, by which the entry has a part of
-  /// the retry budget.
+  /// Sends one crashing request to each entry at about the same time. Ordinary requests before it give the entry credit
+  /// in its retry budget.
   void send_crash_requests_at_once() {
     std::vector<std::thread> callers;
     for (const auto& entry : fleet_.entries()) {
@@ -136,16 +137,16 @@
 
   void expect_few_crashes() {
     const auto crash_times = crash_log_.crash_times();
-    ASSERT_GE(crash_times.size(), 1U) << "the request did no harm";
+    ASSERT_GE(crash_times.size(), 1U) << "the request crashed no server";
     if (crash_times.size() >= 3) {
       const auto late_after = crash_times[2] + kMaxBlockingTime;
       const auto late_count =
           std::count_if(crash_times.begin(), crash_times.end(), [late_after](auto at) { return at > late_after; });
-      EXPECT_LE(late_count, kMaxLateCrashes) << crash_times.size() << " servers ended";
+      EXPECT_LE(late_count, kMaxLateCrashes) << crash_times.size() << " servers crashed";
     }
     EXPECT_GE(served_count_ * 100, sent_count_ * kMinServedPercent)
         << served_count_ << " of " << sent_count_ << " other requests served";
-    std::cout << crash_times.size() << " servers ended; " << served_count_ << " of " << sent_count_
+    std::cout << crash_times.size() << " servers crashed; " << served_count_ << " of " << sent_count_
               << " other requests served\n";
   }
 
@@ -157,7 +158,7 @@
         return;
       }
     }
-    ADD_FAILURE() << "nobody leads";
+    ADD_FAILURE() << "there is no leader";
   }
 
   FleetNodeProcesses fleet_;
@@ -172,26 +173,25 @@
   std::atomic<int> served_count_ = 0;
 };
 
-// One request ended every server that ran it. The entry looked at the listening socket once, at the moment at which the
-// answer broke off; the port closed some milliseconds later, so most ends were never reported, and 18 servers ended, 11
-// of them later than a second after the third. Of 18 ends these were all that was noticed:
-//   server_ended_under_request instance=i4 ends_seen_here=1   (4 lines in 10 s)
+// One request crashed every server that ran it. An entry checked the listening socket only once, when the response was
+// cut, but the port closed some milliseconds later. So most crashes were not reported (only 4 of 18 within 10 s), and
+// 11 of the 18 servers crashed later than a second after the third crash.
 TEST_F(ServerCrashDetection, DetectsCrashWhenPortClosesAfterDelay) {
   start(CrashingServer::PortAfterCrash::kClosesAfterDelay);
   send_crash_requests([] {});
   expect_few_crashes();
 }
 
-// Something in front of the server holds its port, so that no connection is ever refused: 27 servers ended.
+// Something in front of the server keeps its port open, so connections are never refused: 27 servers crashed.
 TEST_F(ServerCrashDetection, DetectsCrashWhenPortStillAcceptsConnections) {
   start(CrashingServer::PortAfterCrash::kAcceptsAndCloses);
   send_crash_requests([] {});
   expect_few_crashes();
 }
 
-// A proxy in front of the server takes connections and reads a request before it closes, which looks like a server that
-// lives: one request ended 29 servers, 23 of them later than a second after the third, and 58 of 99 other requests were
-// served.
+// A proxy in front of the server accepts connections and reads a request before it closes them, which looks like a
+// running server. One request crashed 29 servers, 23 of them later than a second after the third crash, and only 58 of
+// 99 other requests were served.
 TEST_F(ServerCrashDetection, DetectsCrashBehindProxyThatReadsRequests) {
   start(CrashingServer::PortAfterCrash::kReadsRequestAndCloses);
   send_crash_requests([] {});
@@ -203,20 +203,20 @@
   ServerCrashDetectionAtManyEntries() : ServerCrashDetection(9) {}
 };
 
-// Copies that run at once end their servers at once, and each entry sent its own copy to a second server in the same
-// millisecond, before it could hear of the others. Four copies were sent on after the third server had ended:
-//   stream_broke_off target=g2-9 last_event=none      (the third end)
-//   request_blocked                                   (16 ms later; the repeat had left)
+// Crashing requests that run at the same time crash their servers at the same time. Each entry retried its own request
+// at a second server in the same millisecond, before it could learn of the other crashes: four retries were dispatched
+// after the third server had crashed. The request was blocked 16 ms after the third crash, when the retry had already
+// been sent.
 TEST_F(ServerCrashDetectionAtManyEntries, SimultaneousCrashesAreNotFollowedByRetries) {
   start(CrashingServer::PortAfterCrash::kClosesAfterDelay);
   send_crash_requests_at_once();
   const auto crash_times = crash_log_.crash_times();
-  ASSERT_GE(crash_times.size(), 3U) << "the request did no harm";
+  ASSERT_GE(crash_times.size(), 3U) << "the request crashed no server";
   const auto arrivals = crash_log_.crash_request_times();
   const auto late_arrivals =
       std::count_if(arrivals.begin(), arrivals.end(), [&](auto at) { return at > crash_times[2]; });
   EXPECT_LE(late_arrivals, kMaxLateCrashes) << arrivals.size() << " arrivals";
-  std::cout << late_arrivals << " arrivals later than the third end\n";
+  std::cout << late_arrivals << " arrivals after the third crash\n";
 }
 
 TEST_F(ServerCrashDetection, DetectsCrashesAcrossLeaderRestart) {
--- a/tests/integration/server_limit_soak_test.cc
+++ b/tests/integration/server_limit_soak_test.cc
@@ -19,9 +19,9 @@
 
 constexpr int kPhaseCount = 4;
 constexpr auto kPhaseDuration = seconds(10);
-/// Once all limits have ended and no node is disturbed any more, all are served after this time.
+/// All requests must be served again within this time after the last limit was withdrawn and the last fault injected.
 constexpr auto kRecoveryTimeout = seconds(20);
-/// Limits in turn by lot; "" for none.
+/// Rate limits per second from which each phase picks at random; "" for none.
 constexpr const char* kRateLimits[] = {"0.2", "0.4", "2.4", "10", ""};
 
 FleetNodeOptions fleet_options() {
@@ -31,7 +31,7 @@
   return options;
 }
 
-/// Kills or pauses nodes until told to stop.
+/// Kills or pauses random nodes until `is_finished`.
 void disturb_nodes(FleetNodeProcesses& fleet, uint64_t seed, const std::atomic<bool>& is_finished) {
   std::mt19937_64 random(seed);
   const auto random_node = [&random](const std::vector<std::string>& nodes) { return nodes[random() % nodes.size()]; };
@@ -56,7 +56,8 @@
   }
 }
 
-/// Sends load while nodes are disturbed; `begin_phase` changes the limits at the start of each phase.
+/// Calls `send_load` while nodes are killed and paused; `begin_phase` changes the rate limits at the start of each
+/// phase.
 void run_phases(FleetNodeProcesses& fleet, uint64_t seed, const std::function<void()>& send_load,
                 const std::function<void(std::mt19937_64&)>& begin_phase) {
   std::mt19937_64 random(seed);
@@ -72,7 +73,7 @@
   disturbing_thread.join();
 }
 
-/// Servers name, change and lift limits while entries and control replicas are killed and paused.
+/// Plain servers announce, change and withdraw rate limits while entries and control replicas are killed and paused.
 class ServerRateLimitSoak : public PlainServerFleetFixture {
  protected:
   ServerRateLimitSoak() : PlainServerFleetFixture(fleet_options(), 3) {}
@@ -99,7 +100,7 @@
         return std::all_of(answers.begin(), answers.end(), is_served);
       },
       kRecoveryTimeout))
-      << "not all served once all limits ended";
+      << "not all requests were served after all limits were withdrawn";
 }
 
 /// The same with the heads of engine groups.
@@ -135,10 +136,10 @@
         return sent_count_ - served_count_ == unserved_before;
       },
       kRecoveryTimeout))
-      << "not all served once all limits ended";
+      << "not all requests were served after all limits were withdrawn";
 }
 
-// By hand: LARCHLEVER_SOAK_SEEDS=FIRST-LAST integration_tests --gtest_filter=*LimitSoak.*
+// To run other seeds: LARCHLEVER_SOAK_SEEDS=FIRST-LAST integration_tests --gtest_filter=*LimitSoak.*
 TEST_F(HeadRateLimitSoak, ChangingLimitsAreRespectedUnderNodeFaults) {
   for (const uint64_t seed : soak_seeds({1})) {
     run_with_seed(seed);
--- a/tests/integration/server_limits_test.cc
+++ b/tests/integration/server_limits_test.cc
@@ -14,7 +14,7 @@
 using std::chrono::seconds;
 
 constexpr auto kLoadDuration = seconds(8);
-/// A caller that nobody will serve is told so within this time.
+/// A request that no server can take must be rejected within this time.
 constexpr auto kMaxRefusalTime = milliseconds(500);
 
 FleetNodeOptions fleet_options(int entries) {
@@ -24,7 +24,7 @@
   return options;
 }
 
-/// Kills two of the five control replicas, each after `pause`.
+/// Kills two of the five control replicas, with `delay` before each.
 std::thread kill_two_control_replicas(FleetNodeProcesses& fleet, seconds delay) {
   return std::thread([&fleet, delay] {
     for (const auto* control : {"c1", "c2"}) {
@@ -34,7 +34,7 @@
   });
 }
 
-/// Five replicas, nine entries with callers of their own, and two plain servers.
+/// Runs five control replicas, nine entries with callers of their own, and two plain servers.
 class ServerRateLimits : public PlainServerFleetFixture {
  protected:
   ServerRateLimits() : PlainServerFleetFixture(fleet_options(9), 2) {}
@@ -47,15 +47,15 @@
   return std::count_if(answers.begin(), answers.end(), is_served);
 }
 
-// One server said that it takes ten requests a second and got 68: nobody read its limit.
+// One server announced a rate limit of ten requests per second and got 68, since entries ignored the limit.
 TEST_F(ServerRateLimits, LimitAppliesToSumOverEntriesAndOtherServerTakesExcess) {
   first_server_.announce_rate_limit("10");
   const auto answers = send_load_for(kLoadDuration);
   EXPECT_LE(max_requests_after_announcement(first_server_.arrivals()), max_requests_in_window(10));
-  EXPECT_EQ(count_served(answers), std::ssize(answers)) << "the second server was free";
+  EXPECT_EQ(count_served(answers), std::ssize(answers)) << "the second server had no limit";
 }
 
-// With both servers limited, what they take was to be used, and the others told at once.
+// With both servers limited, their limits must be used up, and all other requests rejected at once.
 TEST_F(ServerRateLimits, AllLimitsAreUsedAndExcessRequestsAreRejectedImmediately) {
   send_load_for(seconds(1));
   first_server_.announce_rate_limit("10");
@@ -66,14 +66,14 @@
   const double served_during_load = first_server_.served_count() + second_server_.served_count() - served_before;
   EXPECT_LE(max_requests_after_announcement(first_server_.arrivals()), max_requests_in_window(10));
   EXPECT_LE(max_requests_after_announcement(second_server_.arrivals()), max_requests_in_window(10));
-  EXPECT_GE(served_during_load, 0.8 * 20 * 8) << "callers of three entries could have used all of it";
+  EXPECT_GE(served_during_load, 0.8 * 20 * 8) << "the requests of three entries are enough to use up both limits";
   for (const auto& answer : answers) {
     EXPECT_LT(answer.latency, kMaxRefusalTime);
     EXPECT_TRUE(is_served(answer) || answer.retry_after_seconds > 0) << answer.status;
   }
 }
 
-// Shares that are rounded up to one request an entry break a limit of less than one a second.
+// Per-entry shares that are rounded up to one request exceed a limit of less than one request per second.
 TEST_F(ServerRateLimits, LimitBelowOneRequestPerSecondIsRespected) {
   first_server_.announce_rate_limit("0.4");
   second_server_.announce_rate_limit("0.4");
@@ -85,17 +85,17 @@
   }
 }
 
-// A limit has to outlast the leader that counted against it.
+// A limit must survive the leader that counted requests against it.
 TEST_F(ServerRateLimits, LimitIsRespectedWhileControlReplicasAreLost) {
   first_server_.announce_rate_limit("10");
   std::thread killer = kill_two_control_replicas(fleet_, seconds(2));
   const auto answers = send_load_for(kLoadDuration);
   killer.join();
   EXPECT_LE(max_requests_after_announcement(first_server_.arrivals()), max_requests_in_window(10));
-  EXPECT_GE(count_served(answers) * 100, std::ssize(answers) * 99) << "the second server was free";
+  EXPECT_GE(count_served(answers) * 100, std::ssize(answers) * 99) << "the second server had no limit";
 }
 
-// A value that cannot be read says nothing of the limit: neither that it ended nor another one.
+// A limit header that cannot be parsed neither ends the limit nor changes it.
 TEST_F(ServerRateLimits, UnparsableValueKeepsPreviousLimit) {
   first_server_.announce_rate_limit("2.4");
   send_load_for(seconds(2));
@@ -111,7 +111,7 @@
   }));
 }
 
-// A server whose limit is over has to be used as before, however seldom it was sent to.
+// After its limit was withdrawn, a server must get its full share again, however few requests it got before.
 TEST_F(ServerRateLimits, ServerIsFullyUsedAfterLimitIsWithdrawn) {
   first_server_.announce_rate_limit("1");
   send_load_for(seconds(4));
@@ -123,7 +123,7 @@
   EXPECT_EQ(count_served(answers), std::ssize(answers));
 }
 
-// The entries that had been told of a limit take no requests any more when it ends.
+// The entries that received the limit get no requests any more when it is withdrawn, so other entries must detect this.
 TEST_F(ServerRateLimits, LimitWithdrawalIsDetectedByEntriesThatNeverReceivedTheLimit) {
   first_server_.announce_rate_limit("1");
   send_load_for(seconds(3), {"e1", "e2"});
@@ -134,13 +134,13 @@
   EXPECT_GE(first_server_.served_count() - served_before, 0.3 * static_cast<double>(std::ssize(answers)));
 }
 
-/// The same before as many entries as one machine bears beside the other tests.
+/// The same with as many entries as one machine can run next to the other tests.
 class LargeFleetRateLimits : public PlainServerFleetFixture {
  protected:
   LargeFleetRateLimits() : PlainServerFleetFixture(fleet_options(40), 2) {}
 };
 
-// One request an entry at the moment when the leader is lost is more than a small limit allows in all.
+// One request per entry, sent when the leader is lost, already exceeds a small limit.
 TEST_F(LargeFleetRateLimits, SmallLimitsAreRespectedWhileControlReplicasAreLost) {
   servers_[0]->announce_rate_limit("0.2");
   servers_[1]->announce_rate_limit("2.4");
@@ -154,7 +154,7 @@
   }
 }
 
-/// Five replicas, six entries and engine servers in groups.
+/// Runs five control replicas, six entries and engine servers in groups.
 class EngineRateLimits : public EngineFleetFixture {
  protected:
   EngineRateLimits() : EngineFleetFixture(fleet_options(6)) {}
@@ -165,17 +165,17 @@
   }
 };
 
-// The heads of groups named limits; the leader heard nothing of it and granted slots by load, as before.
+// The heads of groups announced rate limits. The leader did not learn of them and kept granting slots by load.
 TEST_F(EngineRateLimits, HeadLimitIsRespectedAndOtherGroupsServeAllRequests) {
   engines_->announce_rate_limit_at_heads("small", "2.4", 1);
   send_load_for(kLoadDuration);
   for (const auto& head : engines_->rate_limited_heads()) {
     EXPECT_LE(max_requests_after_announcement(head.arrivals), max_requests_in_window(2.4));
   }
-  EXPECT_EQ(served_count_, sent_count_) << "other groups were free";
+  EXPECT_EQ(served_count_, sent_count_) << "other groups had no limit";
 }
 
-// With all heads of a model limited while leaders are lost, entries choose by themselves for a while.
+// With all heads of a model limited while leaders are lost, entries choose groups on their own for some time.
 TEST_F(EngineRateLimits, HeadLimitsAreRespectedWhileControlReplicasAreLost) {
   engines_->announce_rate_limit_at_heads("small", "2.4");
   std::thread killer = kill_two_control_replicas(fleet_, seconds(2));
--- a/tests/integration/server_notices_test.cc
+++ b/tests/integration/server_notices_test.cc
@@ -14,12 +14,13 @@
 using std::chrono::seconds;
 using Clock = std::chrono::steady_clock;
 
-/// A server that asked for rest gets no more than this many requests from an entry until the rest is over.
+/// Maximum number of requests that an entry may send to a server during the backoff that the server requested.
 constexpr int64_t kMaxRequestsDuringBackoff = 2;
 constexpr auto kBackoff = seconds(3);
 constexpr const char* kRetryAfterText = "3";
 constexpr auto kLoadDuration = seconds(8);
-/// An entry may go on sending to a server for this long after it passed on an answer in which that server leaves.
+/// An entry may send requests to a server for this long after it relayed a response in which the server announced that
+/// it is leaving.
 constexpr auto kLeavingGracePeriod = seconds(2);
 
 FleetNodeOptions fleet_options() {
@@ -30,7 +31,8 @@
   return options;
 }
 
-/// Three replicas, four entries with callers of their own, and two plain servers that report themselves ready.
+/// Runs three control replicas, four entries with callers of their own, and two plain servers that report themselves as
+/// ready.
 class ServerResponseHeaders : public PlainServerFleetFixture {
  protected:
   ServerResponseHeaders() : PlainServerFleetFixture(fleet_options(), 2) {}
@@ -39,19 +41,17 @@
   FormsServer* second_server_ = servers_[1].get();
 };
 
-// A server that was full turned requests away and asked each entry for three seconds of rest. Nobody read that: every
-// entry went on sending to it, 15 times within one rest on a recorded day, and each of these sendings cost a part of
-// the retry budget, so that requests ended unserved while another server stood free:
-//   sending_refused request=e1-57 target=i1 status=503
-//   request_ended status=503 sent=1 runs=0 reason="no server took the request"
+// A full server rejected requests with a Retry-After of three seconds, which entries ignored. Each entry kept sending
+// requests to it, 15 within one backoff in a recording. Each of these attempts used up retry budget, so requests failed
+// although another server was free.
 TEST_F(ServerResponseHeaders, RetryAfterIsRespectedAndOtherServerServesAllRequests) {
-  send_load_for(seconds(1));  // Entries have a part of the retry budget by the requests that they took.
+  send_load_for(seconds(1));  // Gives the entries credit in their retry budget.
   first_server_->reject_with_retry_after(kRetryAfterText);
   const auto answers = send_load_for(kLoadDuration);
   EXPECT_LE(max_requests_during_backoff(first_server_->arrivals(), kBackoff), kMaxRequestsDuringBackoff);
   const auto served_count = std::count_if(answers.begin(), answers.end(), is_served);
-  EXPECT_EQ(served_count, std::ssize(answers)) << "the second server was free";
-  // Its rest over, it is tried again, and serves again once it takes requests.
+  EXPECT_EQ(served_count, std::ssize(answers)) << "the second server had free slots";
+  // After the backoff the server is tried again, and it gets requests again once it accepts them.
   const int served_before = first_server_->served_count();
   first_server_->reject_with_retry_after("");
   send_load_for(kBackoff + seconds(1));
@@ -66,11 +66,11 @@
   EXPECT_LE(max_requests_during_backoff(second_server_->arrivals(), kBackoff), kMaxRequestsDuringBackoff);
   for (const auto& answer : answers) {
     EXPECT_EQ(answer.status, http_status::kServiceUnavailable);
-    EXPECT_LT(answer.latency, milliseconds(500)) << "it was known at once that nobody serves";
+    EXPECT_LT(answer.latency, milliseconds(500)) << "the entry already knew that no server accepts requests";
     EXPECT_GT(answer.retry_after_seconds, 0);
     EXPECT_LE(answer.retry_after_seconds, 3.0);
   }
-  // Most callers meet servers that rest for a while yet, and are told so.
+  // Most requests are rejected long before the backoff ends, and their Retry-After says so.
   const auto long_retry_after_count = std::count_if(
       answers.begin(), answers.end(), [](const auto& answer) { return answer.retry_after_seconds > 1.0; });
   EXPECT_GT(long_retry_after_count * 2, std::ssize(answers));
@@ -81,8 +81,7 @@
   EXPECT_EQ(std::count_if(later.begin(), later.end(), is_served), std::ssize(later));
 }
 
-// Callers that were refused in the last milliseconds of a rest were told "0.00": no time to come back after. Short
-// rests make that common.
+// Requests rejected in the last milliseconds of a backoff got a Retry-After of "0.00". Short backoffs make this common.
 TEST_F(ServerResponseHeaders, RetryAfterForCallersIsAlwaysPositive) {
   first_server_->reject_with_retry_after("0.008");
   second_server_->reject_with_retry_after("0.008");
@@ -92,8 +91,8 @@
   }
 }
 
-// A server said in its answers that it leaves, while its reports went on saying that it is ready; 246 requests were
-// sent to it later than the two seconds in which it wants to be left.
+// A server announced in its responses that it is leaving, while its reports still said that it is ready. Entries sent
+// it 246 requests later than the two seconds after which it must get none.
 TEST_F(ServerResponseHeaders, LeavingServerReceivesNoMoreRequests) {
   first_server_->announce_leaving();
   const auto begin = Clock::now();
@@ -111,20 +110,20 @@
   return options;
 }
 
-/// Three replicas, three entries and engine servers in four groups of the model that is asked for.
+/// Runs three control replicas, three entries and engine servers in four groups of the requested model.
 class EngineResponseHeaders : public EngineFleetFixture {
  protected:
   EngineResponseHeaders() : EngineFleetFixture(engine_fleet_options()) {}
   void SetUp() override { start(); }
 };
 
-// The heads of engine groups ask for rest in the same way. The leader, which hears nothing of it, goes on granting
-// slots there.
+// The heads of engine groups reject requests with Retry-After in the same way. The leader does not learn of this and
+// keeps granting slots there.
 TEST_F(EngineResponseHeaders, HeadRetryAfterIsRespectedAndOtherGroupsServeAllRequests) {
   engines_->make_one_head_reject("small", kRetryAfterText);
   BlockingClient first_caller;
   for (const auto& entry : fleet_.entries()) {
-    // Once served, the entry knows of another group.
+    // After the first served request the entry knows another group.
     ASSERT_TRUE(wait_until([&] { return request_succeeds(first_caller, entry); }, kWaitTimeout));
   }
   std::atomic<int> sent_count = 0;
--- a/tests/integration/slow_reader_test.cc
+++ b/tests/integration/slow_reader_test.cc
@@ -20,10 +20,10 @@
 
 constexpr auto kWaitTimeout = seconds(15);
 constexpr int kReaderCount = 500;
-/// Half of the memory of the smallest machines that entries run on.
+/// Half of the memory of the smallest machines on which entries run.
 constexpr size_t kMaxResidentBytes = 80'000'000;
 constexpr auto kMaxLatency = milliseconds(300);
-/// Longer than the test; the route holds requests for as long.
+/// Longer than the test. The route has the same timeout.
 constexpr auto kLongDeadline = seconds(30);
 
 FleetNodeOptions fleet_options() {
@@ -36,7 +36,7 @@
   return options;
 }
 
-/// One entry, and a server whose large answers hundreds of callers ask for and never read.
+/// Runs one entry and a server. Hundreds of callers request large responses and do not read them.
 class SlowReaders : public testing::Test {
  protected:
   void SetUp() override {
@@ -63,7 +63,7 @@
     const auto result = fleet_.call_forms(client_, "e1", "e1-" + std::to_string(next_request_++));
     return result.response ? result.response->status : 0;
   }
-  /// Asks for a large answer on a connection of its own, which takes little by itself.
+  /// Requests a large response on a connection with a small receive buffer and returns the unread connection.
   asio::ip::tcp::socket request_without_reading(milliseconds deadline = seconds(4)) {
     asio::ip::tcp::socket socket(context_);
     socket.open(asio::ip::tcp::v4());
@@ -87,7 +87,7 @@
   std::atomic<int> next_request_ = 0;
 };
 
-// Whole answers were held until their callers had read them, however many callers read nothing.
+// Complete responses were buffered until their callers had read them, without a bound on the total size.
 TEST_F(SlowReaders, UnreadResponsesUseBoundedMemory) {
   std::vector<asio::ip::tcp::socket> readers;
   for (int number = 0; number < kReaderCount; ++number) {
@@ -104,7 +104,7 @@
   }
   EXPECT_GE(timely_responses, 49);
   EXPECT_LT(fleet_.resident_bytes("e1"), kMaxResidentBytes);
-  // Who reads gets the whole of a large answer, though there is no room to hold it.
+  // A caller that reads gets a large response completely, although there is no buffer space for it.
   net::HttpRequest request;
   request.target = FormsServer::kLargePath;
   request.headers.add("Host", "forms.example");
@@ -116,8 +116,8 @@
   EXPECT_EQ(whole.response->body.size(), FormsServer::kLargeBodyBytes);
 }
 
-// A caller that stalls must not lose its answer to the bound on what is held for others: it reads again well before its
-// deadline, whether its answer still found room or not.
+// A stalled caller that resumes reading well before its deadline must get its complete response, whether or not there
+// was buffer space for it. Responses buffered for other callers must not push it out.
 TEST_F(SlowReaders, CallerThatResumesReadingBeforeDeadlineGetsWholeResponse) {
   auto first = request_without_reading(kLongDeadline);
   std::vector<asio::ip::tcp::socket> readers;
--- a/tests/integration/suspension_test.cc
+++ b/tests/integration/suspension_test.cc
@@ -10,8 +10,8 @@
 #include "server_reports.h"
 #include "settings/fleet_settings.h"
 
-// A suspended machine: its steady clock, and with it every timer, does not count the time that it slept. The entry runs
-// in the test's own process, whose clock can be moved past a suspension; the control replicas are processes.
+// The steady clock of a suspended machine, and with it every timer, does not count the suspension. The entry runs in
+// the process of the test, whose clock can simulate a suspension; the control replicas are separate processes.
 
 namespace larchlever::integration {
 namespace {
@@ -56,7 +56,8 @@
     if (entry_ == nullptr) {
       return;
     }
-    // As a process ends: its requests use it until they have ended, and a caller has its answer a moment before that.
+    // Stops the entry as its process would. Requests use the entry until they have ended, shortly after their callers
+    // got the responses.
     boost::asio::co_spawn(entry_client_.context(), entry_->drain(), boost::asio::use_future).get();
     on_entry_thread([this] { entry_.reset(); });
   }
@@ -64,7 +65,7 @@
   void on_entry_thread(const std::function<void()>& action) {
     boost::asio::post(entry_client_.context(), boost::asio::use_future(action)).get();
   }
-  /// The status that a caller gets; 0 for none.
+  /// Status of the response that a caller gets; 0 if there is none.
   int call_entry(milliseconds deadline) {
     const auto result = fleet_.call_forms(client_, "e1", "r" + std::to_string(calls_++), "", deadline);
     return result.response ? result.response->status : 0;
@@ -72,19 +73,19 @@
 
   FleetNodeProcesses fleet_{fleet_options()};
   BlockingClient client_;
-  /// Its thread runs the entry.
+  /// The entry runs on the thread of this client.
   BlockingClient entry_client_;
   std::unique_ptr<FormsServer> server_;
   std::unique_ptr<node::FleetProcess> entry_;
   int calls_ = 0;
 };
 
-// An entry woke up with a lease that by its steady clock had seconds left, though the configuration may have changed
-// and keys been revoked while it slept, and served by it.
+// By its steady clock, a resumed entry still had seconds left on its lease and served requests under it, although the
+// configuration might have changed and keys been revoked during the suspension.
 TEST_F(SuspendedEntry, RejectsRequestsUntilLeaseIsRenewed) {
   start(milliseconds(0));
   ASSERT_TRUE(wait_until([this] { return call_entry(seconds(1)) == 200; }, kWaitTimeout));
-  // Nobody answers the entry, so it cannot learn what it missed.
+  // No control replica answers the entry, so it cannot learn what changed during the suspension.
   for (const auto& node : fleet_.control_replicas()) {
     fleet_.signal(node, SIGSTOP);
   }
@@ -96,12 +97,12 @@
   EXPECT_TRUE(wait_until([this] { return call_entry(seconds(1)) == 200; }, kWaitTimeout));
 }
 
-// A request whose deadline had passed while the entry slept was held until the entry's timer had run the rest of its
+// A request whose deadline passed during the suspension was held until the timer of the entry had counted the remaining
 // time.
 TEST_F(SuspendedEntry, EndsOverdueRequestsOnResume) {
   start(seconds(4));
   const auto reaches_server = [this] { return call_entry(milliseconds(100)) != 0 && server_->served_count() > 0; };
-  ASSERT_TRUE(wait_until(reaches_server, kWaitTimeout)) << "the entry knows of no server";
+  ASSERT_TRUE(wait_until(reaches_server, kWaitTimeout)) << "the entry knows no server";
   const int served_before = server_->served_count();
   int status = 0;
   std::jthread caller([&] { status = call_entry(milliseconds(3500)); });
--- a/tests/integration/zone_evacuation_test.cc
+++ b/tests/integration/zone_evacuation_test.cc
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// An operator's change is in force everywhere within this time.
+/// An evacuation must be in force at all entries within this time.
 constexpr auto kMaxApplyTime = seconds(1);
 constexpr auto kObservationTime = seconds(2);
 constexpr int kMinServedPercent = 95;
@@ -23,7 +23,8 @@
   static constexpr const char* kEvacuatedZone = kNorth;
   static constexpr const char* kOtherZone = kSouth;
 
-  /// Sends an order to one replica after the other until it is acknowledged; the moment of the acknowledgement.
+  /// Sends an operation to one control replica after another until one acknowledges it; returns the time of the
+  /// acknowledgement.
   Clock::time_point send_zone_operation(const std::string& zone, const std::string& operation) {
     const auto control_replicas = fleet_.control_replicas();
     size_t next = 0;
@@ -41,7 +42,7 @@
     last_answer_ = answer.response ? answer.response->body : answer.error;
     return answer.response ? answer.response->status : 0;
   }
-  /// The evacuated zones as a replica reads them back, joined; "none" where it answers with none.
+  /// Comma-separated evacuated zones that a replica returns: "none" if there are none, "no answer" if the call fails.
   std::string evacuated_zones_at(const std::string& control) {
     const auto answer = fleet_.call_control(control, "GET", "/v1/zones");
     if (!answer.response || answer.response->status != http_status::kOk) {
@@ -54,7 +55,7 @@
     }
     return result.empty() ? "none" : result;
   }
-  /// From when an order is in force, nothing reaches the emptied zone, and callers are served all the same.
+  /// Once the evacuation is in force, no request reaches the evacuated zone, and callers are still served.
   void expect_zone_empty_after(Clock::time_point acknowledged) {
     std::this_thread::sleep_until(acknowledged + kMaxApplyTime);
     const int sent_before = sent_count_;
@@ -73,23 +74,22 @@
   std::string last_answer_;
 };
 
-// An operator who must empty a zone had no order for it: each call got 404, and the zone's servers went on getting
-// requests until they were switched off under them.
+// There was no operation to evacuate a zone: each call got 404, and the servers of the zone got requests until they
+// were switched off.
 TEST_F(ZoneEvacuation, EvacuatedZoneReceivesNoRequestsUntilRestored) {
   const auto evacuated_at = send_zone_operation(kEvacuatedZone, "evacuate");
   expect_zone_empty_after(evacuated_at);
   for (const auto& control : fleet_.control_replicas()) {
     EXPECT_EQ(evacuated_zones_at(control), kEvacuatedZone) << control;
   }
-  EXPECT_EQ(status_of("c2", kEvacuatedZone, "evacuate"), http_status::kOk)
-      << "an order that arrives again is acknowledged";
+  EXPECT_EQ(status_of("c2", kEvacuatedZone, "evacuate"), http_status::kOk) << "a repeated operation is acknowledged";
   send_zone_operation(kEvacuatedZone, "restore");
   EXPECT_TRUE(wait_until([this] { return receives_requests(kEvacuatedZone, Clock::now()); }, seconds(5)));
   EXPECT_EQ(status_of("c3", kEvacuatedZone, "restore"), http_status::kOk);
   EXPECT_EQ(evacuated_zones_at("c1"), "none");
 }
 
-// What was acknowledged outlasts the leader that did so, and the loss of every process at once.
+// An acknowledged evacuation survives the leader that acknowledged it, and the loss of all processes at once.
 TEST_F(ZoneEvacuation, SurvivesLeaderRestartAndLossOfAllProcesses) {
   send_zone_operation(kEvacuatedZone, "evacuate");
   for (const auto& node : fleet_.control_replicas()) {
@@ -119,8 +119,7 @@
   EXPECT_EQ(evacuated_zones_at("c1"), "none");
 }
 
-// With every zone emptied nobody can be served, and callers are told so at once, as not run; they are served again once
-// a zone is back.
+// With every zone evacuated, requests are rejected at once as not run. They are served again once a zone is restored.
 TEST_F(ZoneEvacuation, RequestsAreRejectedImmediatelyWhileAllZonesAreEvacuated) {
   send_zone_operation(kEvacuatedZone, "evacuate");
   const auto evacuated_at = send_zone_operation(kOtherZone, "evacuate");
