--- a/tests/integration/announced_rate_limits.h
+++ b/tests/integration/announced_rate_limits.h
@@ -85,15 +85,15 @@
   constexpr auto kWindow = std::chrono::seconds(4);
   /// A server may rely on its limit for this long after a response announced it.
   constexpr auto kLimitValidityTime = std::chrono::seconds(3);
-  for (size_t last = 0; last < arrivals.size(); ++last) {
-    const auto to = arrivals[last].at;
+  for (size_t last_index = 0; last_index < arrivals.size(); ++last_index) {
+    const auto to = arrivals[last_index].at;
     const auto from = to - kWindow;
     const auto limit = highest_rate_limit(phases, from - kLimitValidityTime, to);
     if (!limit) {
       continue;
     }
     std::vector<std::string> in_window;
-    for (size_t index = 0; index <= last; ++index) {
+    for (size_t index = 0; index <= last_index; ++index) {
       if (arrivals[index].at > from) {
         in_window.push_back(arrivals[index].request_id);
       }
--- a/tests/integration/bad_input_test.cc
+++ b/tests/integration/bad_input_test.cc
@@ -21,16 +21,16 @@
   if (!keep_write_side_open) {
     socket.shutdown(asio::socket_base::shutdown_send, error);
   }
-  std::string answer;
+  std::string received;
   asio::steady_timer timer(context, std::chrono::seconds(20));
   timer.async_wait([&](boost::system::error_code expired) {
     if (!expired) {
       socket.close();
     }
   });
-  asio::async_read(socket, asio::dynamic_buffer(answer), [&](boost::system::error_code, size_t) { timer.cancel(); });
+  asio::async_read(socket, asio::dynamic_buffer(received), [&](boost::system::error_code, size_t) { timer.cancel(); });
   context.run();
-  return answer;
+  return received;
 }
 
 TEST(BadInput, IsRejectedWithProblemResponseAndNodeKeepsServing) {
@@ -112,7 +112,7 @@
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   auto request = fleet.model_request("a long letter", 500, true);
   request.headers.add("Larchlever-Repeat", "safe");
-  auto answer = std::async(std::launch::async, [&] { return fleet.fetch("n2", request); });
+  auto pending_fetch = std::async(std::launch::async, [&] { return fleet.fetch("n2", request); });
   std::string machine;
   ASSERT_TRUE(wait_until([&] {
     for (const auto& execution : fleet.executions()) {
@@ -121,7 +121,7 @@
     return !machine.empty();
   }));
   ASSERT_TRUE(fleet.inject_fault(machine, "die"));
-  const auto whole = answer.get();
+  const auto whole = pending_fetch.get();
   ASSERT_TRUE(whole.response) << whole.error;
   EXPECT_TRUE(whole.response->body.ends_with("data: [DONE]\n\n"))
       << whole.response->status << " " << whole.response->body.substr(0, 400);
--- a/tests/integration/crashing_request_test.cc
+++ b/tests/integration/crashing_request_test.cc
@@ -185,10 +185,10 @@
   EXPECT_TRUE(wait_until([&] { return engines_->count_servers_in_serving_groups() >= serving_before; }, seconds(12)))
       << engines_->count_servers_in_serving_groups() << " of " << serving_before
       << " servers in serving groups after the restarts";
-  const int ended = static_cast<int>(engines_->crash_times().size());
-  EXPECT_TRUE(wait_until([&] { return engines_->count_restarted_servers() == ended; }, seconds(12)));
-  EXPECT_TRUE(wait_until([&] { return engines_->count_restarted_servers_with_weights() == ended; }, seconds(12)))
-      << engines_->count_restarted_servers_with_weights() << " of " << ended
+  const int crash_count = static_cast<int>(engines_->crash_times().size());
+  EXPECT_TRUE(wait_until([&] { return engines_->count_restarted_servers() == crash_count; }, seconds(12)));
+  EXPECT_TRUE(wait_until([&] { return engines_->count_restarted_servers_with_weights() == crash_count; }, seconds(12)))
+      << engines_->count_restarted_servers_with_weights() << " of " << crash_count
       << " restarted servers have loaded weights";
   HarmlessCallers ordinary(fleet_);
   std::this_thread::sleep_for(seconds(3));
--- a/tests/integration/fleet_node_pause_test.cc
+++ b/tests/integration/fleet_node_pause_test.cc
@@ -64,10 +64,10 @@
 enum class PausePreparation {
   kNone,
   /// All control replicas are killed at once and restarted.
-  kControlsRestart,
+  kRestartControlReplicas,
 };
 
-void restart_controls(FleetNodeProcesses& fleet) {
+void restart_control_replicas(FleetNodeProcesses& fleet) {
   for (const auto& node : fleet.control_replicas()) {
     fleet.kill(node);
   }
@@ -91,8 +91,8 @@
   const auto entries = fleet.entries();
   int64_t version = FleetNodeProcesses::kFirstDocumentVersion;
   for (int number = 0; number < kPauseCount; ++number) {
-    if (preparation == PausePreparation::kControlsRestart) {
-      restart_controls(fleet);
+    if (preparation == PausePreparation::kRestartControlReplicas) {
+      restart_control_replicas(fleet);
       ASSERT_TRUE(fleet.put_document(++version, kWaitTimeout));
       std::this_thread::sleep_for(kRecoveryTime);
     }
@@ -126,7 +126,7 @@
 // Requests kept failing after an entry had been paused while a new leader took over the groups.
 TEST(FleetNodePause, RequestsSucceedSoonAfterEntryPauseDuringLeaderChange) {
   for (const uint64_t seed : soak_seeds({1, 2})) {
-    pause_entries_repeatedly(seed, PausePreparation::kControlsRestart);
+    pause_entries_repeatedly(seed, PausePreparation::kRestartControlReplicas);
   }
 }
 
--- a/tests/integration/fleet_node_processes.cc
+++ b/tests/integration/fleet_node_processes.cc
@@ -139,9 +139,9 @@
 std::string FleetNodeProcesses::address(const std::string& node) const {
   // Each test process uses a range of loopback addresses of its own, so that tests can run in parallel.
   const int process = ::getpid();
-  const int last = node_number(node) + (is_control(node) ? 0 : kEntryAddressOffset);
+  const int last_octet = node_number(node) + (is_control(node) ? 0 : kEntryAddressOffset);
   return "127." + std::to_string(64 + process / 250 % 128) + "." + std::to_string(1 + process % 250) + "." +
-         std::to_string(last);
+         std::to_string(last_octet);
 }
 
 std::string FleetNodeProcesses::control_endpoint(const std::string& node) const {
@@ -197,8 +197,8 @@
     write_settings(node);
   }
   Process& process = processes_[node];
-  ++process.starts;
-  process.pid = spawn_program(arguments, log_path(node, process.starts), environment, output);
+  ++process.start_count;
+  process.pid = spawn_program(arguments, log_path(node, process.start_count), environment, output);
 }
 
 void FleetNodeProcesses::start(const std::string& node) { spawn(node, {"fleet-node", settings_flag(node)}, {}); }
@@ -225,12 +225,12 @@
   }
 }
 
-testing::AssertionResult FleetNodeProcesses::start_serving(std::chrono::milliseconds deadline) {
+testing::AssertionResult FleetNodeProcesses::start_serving(std::chrono::milliseconds timeout) {
   start_all();
-  if (!put_document(kFirstDocumentVersion, deadline)) {
+  if (!put_document(kFirstDocumentVersion, timeout)) {
     return testing::AssertionFailure() << "no control replica accepted the first document";
   }
-  if (!wait_until_entries_ready(deadline)) {
+  if (!wait_until_entries_ready(timeout)) {
     return testing::AssertionFailure() << "not every entry became ready with the first document";
   }
   return testing::AssertionSuccess();
@@ -274,7 +274,7 @@
 
 std::string FleetNodeProcesses::log(const std::string& node) const {
   std::string text;
-  for (int start = 1; start <= processes_.at(node).starts; ++start) {
+  for (int start = 1; start <= processes_.at(node).start_count; ++start) {
     text += read_file(log_path(node, start));
   }
   return text;
@@ -307,15 +307,15 @@
 
 net::FetchResult FleetNodeProcesses::call_forms(BlockingClient& client, const std::string& entry,
                                                 const std::string& request_id, const std::string& body,
-                                                std::chrono::milliseconds deadline) const {
+                                                std::chrono::milliseconds timeout) const {
   net::HttpRequest request;
   request.method = body.empty() ? "GET" : "POST";
   request.target = "/forms/1";
   request.body = body;
   request.headers.add("Host", "forms.example");
   request.headers.add("Larchlever-Request-Id", request_id);
-  request.headers.add("Larchlever-Deadline-Ms", std::to_string(deadline.count()));
-  return client.fetch(caller_endpoint(entry), request, deadline + kDeadlineMargin);
+  request.headers.add("Larchlever-Deadline-Ms", std::to_string(timeout.count()));
+  return client.fetch(caller_endpoint(entry), request, timeout + kDeadlineMargin);
 }
 
 std::vector<std::string> FleetNodeProcesses::engine_addresses(int count) const {
@@ -334,7 +334,7 @@
   return status_of(client_.fetch(with_port(address(node), kReadyPort), request, kCallTimeout)) == 200;
 }
 
-bool FleetNodeProcesses::put_document(int64_t version, std::chrono::milliseconds deadline) {
+bool FleetNodeProcesses::put_document(int64_t version, std::chrono::milliseconds timeout) {
   const auto targets = control_replicas();
   size_t next = 0;
   return wait_until(
@@ -343,24 +343,24 @@
         return status_of(call_control(target, "PUT", "/v1/configuration",
                                       make_document(version, options_.forms_timeout))) == 200;
       },
-      deadline);
+      timeout);
 }
 
 int64_t FleetNodeProcesses::document_version_at(const std::string& node) {
-  const auto answer = call_control(node, "GET", "/v1/configuration");
-  if (status_of(answer) != 200) {
+  const auto fetch_result = call_control(node, "GET", "/v1/configuration");
+  if (status_of(fetch_result) != 200) {
     return 0;
   }
-  return json::parse(answer.response->body).as_object().at("version").to_number<int64_t>();
+  return json::parse(fetch_result.response->body).as_object().at("version").to_number<int64_t>();
 }
 
-bool FleetNodeProcesses::wait_until_entries_ready(std::chrono::milliseconds deadline) {
+bool FleetNodeProcesses::wait_until_entries_ready(std::chrono::milliseconds timeout) {
   return wait_until(
       [this] {
         const auto list = entries();
         return std::all_of(list.begin(), list.end(), [this](const auto& entry) { return is_ready(entry); });
       },
-      deadline);
+      timeout);
 }
 
 }  // namespace larchlever::integration
--- a/tests/integration/fleet_node_processes.h
+++ b/tests/integration/fleet_node_processes.h
@@ -51,7 +51,7 @@
   void start_all();
   /// Starts all nodes, sends the first configuration document and waits until every entry is ready; fails if one of
   /// these steps takes longer than `deadline`.
-  testing::AssertionResult start_serving(std::chrono::milliseconds deadline);
+  testing::AssertionResult start_serving(std::chrono::milliseconds timeout);
   /// Writes the settings file of a node and returns its path.
   std::filesystem::path write_settings(const std::string& node, bool first_start = true);
   void signal(const std::string& node, int number);
@@ -76,16 +76,16 @@
   /// Waits for one second more than `deadline`.
   net::FetchResult call_forms(BlockingClient& client, const std::string& entry, const std::string& request_id,
                               const std::string& body = "",
-                              std::chrono::milliseconds deadline = std::chrono::seconds(2)) const;
+                              std::chrono::milliseconds timeout = std::chrono::seconds(2)) const;
   /// Loopback addresses for simulated servers of this fleet.
   std::vector<std::string> engine_addresses(int count) const;
   bool is_ready(const std::string& node);
   /// Sends a configuration document to one control replica after another until one accepts it. Returns false if none
   /// has within `deadline`.
-  bool put_document(int64_t version, std::chrono::milliseconds deadline);
+  bool put_document(int64_t version, std::chrono::milliseconds timeout);
   /// Version of the configuration document that a control replica returns; 0 if it returns none.
   int64_t document_version_at(const std::string& node);
-  bool wait_until_entries_ready(std::chrono::milliseconds deadline);
+  bool wait_until_entries_ready(std::chrono::milliseconds timeout);
 
   std::string address(const std::string& node) const;
   std::string control_endpoint(const std::string& node) const;
@@ -97,7 +97,7 @@
  private:
   struct Process {
     int pid = -1;
-    int starts = 0;
+    int start_count = 0;
   };
 
   void spawn(const std::string& node, const std::vector<std::string>& arguments,
--- a/tests/integration/fleet_node_soak_test.cc
+++ b/tests/integration/fleet_node_soak_test.cc
@@ -40,7 +40,7 @@
       case 3:
         return pause(random_node(fleet_.all_nodes()));
       case 4:
-        return kill_all_controls();
+        return kill_all_control_replicas();
       case 5:
         return restart_with_empty_disk(random_node(fleet_.control_replicas()));
       default:
@@ -66,7 +66,7 @@
     std::this_thread::sleep_for(milliseconds(300 + random_below(1500)));
     fleet_.signal(node, SIGCONT);
   }
-  void kill_all_controls() {
+  void kill_all_control_replicas() {
     for (const auto& node : fleet_.control_replicas()) {
       fleet_.kill(node);
     }
--- a/tests/integration/fleet_test.cc
+++ b/tests/integration/fleet_test.cc
@@ -10,7 +10,7 @@
 namespace larchlever::integration {
 namespace {
 
-std::string expected_answer(const std::string& prompt, int tokens) {
+std::string expected_text(const std::string& prompt, int tokens) {
   std::string text;
   for (int offset = 0; offset < tokens; ++offset) {
     text += emulator::token_text("user:" + prompt + "\n", offset);
@@ -35,11 +35,12 @@
   fleet.start();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
 
-  const auto answer = fleet.fetch("n9", fleet.model_request("hello", 5, false));
-  ASSERT_TRUE(answer.response) << answer.error;
-  EXPECT_EQ(answer.response->status, 200);
-  EXPECT_NE(answer.response->body.find(expected_answer("hello", 5)), std::string::npos) << answer.response->body;
-  EXPECT_EQ(outcome_of(answer), "ran");
+  const auto fetch_result = fleet.fetch("n9", fleet.model_request("hello", 5, false));
+  ASSERT_TRUE(fetch_result.response) << fetch_result.error;
+  EXPECT_EQ(fetch_result.response->status, 200);
+  EXPECT_NE(fetch_result.response->body.find(expected_text("hello", 5)), std::string::npos)
+      << fetch_result.response->body;
+  EXPECT_EQ(outcome_of(fetch_result), "ran");
 
   const auto stream = fleet.fetch("n7", fleet.model_request("hello again", 4, true));
   ASSERT_TRUE(stream.response);
@@ -162,8 +163,8 @@
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   const auto file = std::filesystem::temp_directory_path() / ("larchlever-change-" + std::to_string(::getpid()));
   std::ofstream(file) << "[tenant south]\ntemplate = census\nzones = koper\nshare_percent = 40\nmax_concurrent = 64\n";
-  const auto dry = fleet.run_operator_command({"apply", file.string(), "--dry_run"});
-  EXPECT_EQ(dry.exit_code, 0) << dry.output;
+  const auto dry_run = fleet.run_operator_command({"apply", file.string(), "--dry_run"});
+  EXPECT_EQ(dry_run.exit_code, 0) << dry_run.output;
   const auto applied =
       fleet.run_operator_command({"apply", file.string(), "--command_id=move", "--operator_name=test"});
   ASSERT_EQ(applied.exit_code, 0) << applied.output;
--- a/tests/integration/plain_fleet.h
+++ b/tests/integration/plain_fleet.h
@@ -27,7 +27,7 @@
   std::chrono::steady_clock::duration latency{};
 };
 
-inline bool is_served(const TimedResponse& answer) { return answer.status == http_status::kOk; }
+inline bool is_served(const TimedResponse& timed_response) { return timed_response.status == http_status::kOk; }
 
 /// Starts control replicas, entries with callers of their own, and plain servers `i1`, `i2`, ... that report themselves
 /// as ready.
@@ -68,20 +68,20 @@
   }
 
   TimedResponse call(BlockingClient& client, const std::string& entry) {
-    TimedResponse answer;
-    answer.sent_at = Clock::now();
+    TimedResponse timed_response;
+    timed_response.sent_at = Clock::now();
     const auto result = fleet_.call_forms(client, entry, entry + "-" + std::to_string(next_request_++));
-    answer.latency = Clock::now() - answer.sent_at;
+    timed_response.latency = Clock::now() - timed_response.sent_at;
     if (result.response) {
-      answer.status = result.response->status;
-      answer.retry_after_seconds = std::atof(std::string(result.response->headers.find("retry-after")).c_str());
+      timed_response.status = result.response->status;
+      timed_response.retry_after_seconds = std::atof(std::string(result.response->headers.find("retry-after")).c_str());
     }
-    return answer;
+    return timed_response;
   }
 
   /// For `time`, sends 15 requests per second to each of `entries`.
   std::vector<TimedResponse> send_load_for(Clock::duration time, const std::vector<std::string>& entries) {
-    std::vector<TimedResponse> answers;
+    std::vector<TimedResponse> responses;
     std::mutex mutex;
     std::vector<std::thread> callers;
     for (const auto& entry : entries) {
@@ -89,10 +89,10 @@
         BlockingClient client;
         const auto end = Clock::now() + time;
         while (Clock::now() < end) {
-          const TimedResponse answer = call(client, entry);
+          const TimedResponse timed_response = call(client, entry);
           {
             const std::lock_guard lock(mutex);
-            answers.push_back(answer);
+            responses.push_back(timed_response);
           }
           std::this_thread::sleep_for(kRequestInterval);
         }
@@ -101,7 +101,7 @@
     for (auto& caller : callers) {
       caller.join();
     }
-    return answers;
+    return responses;
   }
   std::vector<TimedResponse> send_load_for(Clock::duration time) { return send_load_for(time, fleet_.entries()); }
 
--- a/tests/integration/process_fleet.cc
+++ b/tests/integration/process_fleet.cc
@@ -129,9 +129,9 @@
 }
 
 CommandResult ProcessFleet::run_operator_command(const std::vector<std::string>& arguments) {
-  std::vector<std::string> words = arguments;
-  words.push_back("--node=" + admin_address_list());
-  return run_command(words);
+  std::vector<std::string> arguments_with_nodes = arguments;
+  arguments_with_nodes.push_back("--node=" + admin_address_list());
+  return run_command(arguments_with_nodes);
 }
 
 void ProcessFleet::start_emulator() {
@@ -153,7 +153,7 @@
 
 void ProcessFleet::write_settings(const std::string& node) {
   const int number = std::stoi(node.substr(1));
-  const fs::path log = folder_ / (node + "-" + std::to_string(processes_[node].starts) + ".log");
+  const fs::path log = folder_ / (node + "-" + std::to_string(processes_[node].start_count) + ".log");
   processes_[node].log = log;
   std::ostringstream text;
   text << "[node]\nname = " << node << "\nzone = " << kZones[(number - 1) % 3]
@@ -190,7 +190,7 @@
 }
 
 void ProcessFleet::start_node(const std::string& node) {
-  ++processes_[node].starts;
+  ++processes_[node].start_count;
   write_settings(node);
   processes_[node].pid =
       spawn_program({"serve", "--settings=" + (folder_ / (node + ".ini")).string()}, folder_ / (node + "-output.log"));
--- a/tests/integration/process_fleet.h
+++ b/tests/integration/process_fleet.h
@@ -77,7 +77,7 @@
   struct Process {
     int pid = -1;
     std::filesystem::path log;
-    int starts = 0;
+    int start_count = 0;
   };
 
   template <typename Result>
--- a/tests/integration/home_region_test.cc
+++ b/tests/integration/region_bound_routes_test.cc
@@ -51,8 +51,8 @@
   for (int round = 0; round < kRoundCount; ++round) {
     for (const auto& entry : fleet_.entries()) {
       const std::string model = round % 3 == 0 ? "" : round % 3 == 1 ? "small" : "large";
-      const auto answer = call_region_bound_route(client, entry, model);
-      served_count += answer.response && answer.response->status == http_status::kOk ? 1 : 0;
+      const auto fetch_result = call_region_bound_route(client, entry, model);
+      served_count += fetch_result.response && fetch_result.response->status == http_status::kOk ? 1 : 0;
     }
   }
   EXPECT_EQ(count_region_bound_arrivals(kSouth), 0);
@@ -70,9 +70,9 @@
   const int served_before = served_count_;
   for (const std::string model : {"", "small", "large"}) {
     const auto sent_at = Clock::now();
-    const auto answer = call_region_bound_route(client, "e1", model);
-    ASSERT_TRUE(answer.response);
-    EXPECT_EQ(answer.response->status, http_status::kServiceUnavailable);
+    const auto fetch_result = call_region_bound_route(client, "e1", model);
+    ASSERT_TRUE(fetch_result.response);
+    EXPECT_EQ(fetch_result.response->status, http_status::kServiceUnavailable);
     EXPECT_LT(Clock::now() - sent_at, milliseconds(200));
   }
   EXPECT_EQ(count_region_bound_arrivals(kSouth), 0);
@@ -80,16 +80,17 @@
 }
 
 TEST_F(RegionBoundRoutes, DocumentWithUnknownRegionIsRejected) {
-  const auto held = fleet_.call_control("c1", "GET", "/v1/configuration");
-  ASSERT_TRUE(held.response);
-  json::value document = json::parse(held.response->body);
+  const auto current_document = fleet_.call_control("c1", "GET", "/v1/configuration");
+  ASSERT_TRUE(current_document.response);
+  json::value document = json::parse(current_document.response->body);
   document.as_object()["version"] = 9;
   document.as_object()["routes"].as_array()[0].as_object()["allowed_regions"] = json::array{"atlantis"};
-  const auto answer = fleet_.call_control("c1", "PUT", "/v1/configuration", json::serialize(document));
-  ASSERT_TRUE(answer.response);
-  EXPECT_EQ(answer.response->status, http_status::kBadRequest);
-  EXPECT_NE(answer.response->body.find("routes[0].allowed_regions"), std::string::npos) << answer.response->body;
-  EXPECT_NE(answer.response->body.find("region-north"), std::string::npos) << answer.response->body;
+  const auto fetch_result = fleet_.call_control("c1", "PUT", "/v1/configuration", json::serialize(document));
+  ASSERT_TRUE(fetch_result.response);
+  EXPECT_EQ(fetch_result.response->status, http_status::kBadRequest);
+  EXPECT_NE(fetch_result.response->body.find("routes[0].allowed_regions"), std::string::npos)
+      << fetch_result.response->body;
+  EXPECT_NE(fetch_result.response->body.find("region-north"), std::string::npos) << fetch_result.response->body;
   EXPECT_EQ(fleet_.document_version_at("c1"), 7);
 }
 
--- a/tests/integration/registration_test.cc
+++ b/tests/integration/registration_test.cc
@@ -30,10 +30,10 @@
  protected:
   void SetUp() override {
     const auto addresses = fleet_.engine_addresses(2);
-    good_address_ = addresses[0] + ":9000";
+    healthy_address_ = addresses[0] + ":9000";
     other_address_ = addresses[1] + ":9000";
-    good_ = std::make_unique<FormsServer>(client_, good_address_);
-    other_ = std::make_unique<FormsServer>(client_, other_address_);
+    healthy_server_ = std::make_unique<FormsServer>(client_, healthy_address_);
+    other_server_ = std::make_unique<FormsServer>(client_, other_address_);
     ASSERT_TRUE(fleet_.start_serving(kWaitTimeout));
   }
 
@@ -55,10 +55,10 @@
 
   FleetNodeProcesses fleet_{fleet_options()};
   BlockingClient client_;
-  std::string good_address_;
+  std::string healthy_address_;
   std::string other_address_;
-  std::unique_ptr<FormsServer> good_;
-  std::unique_ptr<FormsServer> other_;
+  std::unique_ptr<FormsServer> healthy_server_;
+  std::unique_ptr<FormsServer> other_server_;
   int calls_ = 0;
 };
 
@@ -66,7 +66,7 @@
 // later start time and call numbers from 1. Its reports were acknowledged, but its state stayed draining, so it got no
 // more requests.
 TEST_F(ServerRegistration, DrainedServerIsUsedAgainAfterRestartUnderSameId) {
-  auto body = heartbeat_body(good_address_, 1001);
+  auto body = heartbeat_body(healthy_address_, 1001);
   body["born"] = kStartTimeMs;
   ASSERT_EQ(send_heartbeat("i1", body), 200);
   ASSERT_TRUE(wait_until([this] { return request_succeeds(); }, kWaitTimeout));
@@ -75,7 +75,7 @@
   EXPECT_TRUE(wait_until([&] { return send_heartbeat("i1", body) == 200; }, kWaitTimeout));
   EXPECT_FALSE(request_succeeds());
   std::this_thread::sleep_for(seconds(2));
-  auto restarted_body = heartbeat_body(good_address_, 1);
+  auto restarted_body = heartbeat_body(healthy_address_, 1);
   restarted_body["born"] = kStartTimeMs + 5000;
   EXPECT_TRUE(wait_until([&] { return send_heartbeat("i1", restarted_body) == 200; }, kWaitTimeout));
   EXPECT_TRUE(wait_until([this] { return request_succeeds(); }, seconds(2)));
@@ -87,7 +87,7 @@
 // Malformed reports, some under the id of a healthy server, were each answered with 200, and requests were sent to
 // their address.
 TEST_F(ServerRegistration, MalformedReportsAreRejectedWithoutSideEffects) {
-  ASSERT_EQ(send_heartbeat("i1", heartbeat_body(good_address_, 1)), 200);
+  ASSERT_EQ(send_heartbeat("i1", heartbeat_body(healthy_address_, 1)), 200);
   ASSERT_TRUE(wait_until([this] { return request_succeeds(); }, kWaitTimeout));
   std::vector<std::pair<std::string, std::string>> bodies = {{"body", "\xff\xfe{"}, {"body", "[]"}, {"body", ""}};
   const auto add_body_with = [&](const char* field, const json::value& value) {
@@ -124,18 +124,19 @@
   for (const auto& [field, body] : bodies) {
     // Under an unused id, and under the id of the healthy server.
     for (const auto* id : {"i2", "i1"}) {
-      const auto answer = fleet_.call_control("c" + std::to_string(1 + calls_++ % 3), "POST",
-                                              std::string("/v1/instances/") + id + "/heartbeat", body);
-      ASSERT_TRUE(answer.response) << body;
-      EXPECT_EQ(answer.response->status, 400) << body;
-      EXPECT_NE(answer.response->body.find(field), std::string::npos) << answer.response->body << " to " << body;
+      const auto fetch_result = fleet_.call_control("c" + std::to_string(1 + calls_++ % 3), "POST",
+                                                    std::string("/v1/instances/") + id + "/heartbeat", body);
+      ASSERT_TRUE(fetch_result.response) << body;
+      EXPECT_EQ(fetch_result.response->status, 400) << body;
+      EXPECT_NE(fetch_result.response->body.find(field), std::string::npos)
+          << fetch_result.response->body << " to " << body;
     }
   }
   std::this_thread::sleep_for(milliseconds(300));
   for (int request = 0; request < 30; ++request) {
     EXPECT_TRUE(request_succeeds());
   }
-  EXPECT_EQ(other_->served_count(), 0);
+  EXPECT_EQ(other_server_->served_count(), 0);
   for (const auto& node : fleet_.all_nodes()) {
     EXPECT_TRUE(fleet_.is_running(node)) << node << " exited";
   }
--- a/tests/integration/server_limit_soak_test.cc
+++ b/tests/integration/server_rate_limit_soak_test.cc
@@ -96,8 +96,8 @@
   }
   EXPECT_TRUE(wait_until(
       [this] {
-        const auto answers = send_load_for(seconds(1));
-        return std::all_of(answers.begin(), answers.end(), is_served);
+        const auto responses = send_load_for(seconds(1));
+        return std::all_of(responses.begin(), responses.end(), is_served);
       },
       kRecoveryTimeout))
       << "not all requests were served after all limits were withdrawn";
--- a/tests/integration/server_limits_test.cc
+++ b/tests/integration/server_rate_limits_test.cc
@@ -43,16 +43,16 @@
   FormsServer& second_server_ = *servers_[1];
 };
 
-int64_t count_served(const std::vector<TimedResponse>& answers) {
-  return std::count_if(answers.begin(), answers.end(), is_served);
+int64_t count_served(const std::vector<TimedResponse>& responses) {
+  return std::count_if(responses.begin(), responses.end(), is_served);
 }
 
 // One server announced a rate limit of ten requests per second and got 68, since entries ignored the limit.
 TEST_F(ServerRateLimits, LimitAppliesToSumOverEntriesAndOtherServerTakesExcess) {
   first_server_.announce_rate_limit("10");
-  const auto answers = send_load_for(kLoadDuration);
+  const auto responses = send_load_for(kLoadDuration);
   EXPECT_LE(max_requests_after_announcement(first_server_.arrivals()), max_requests_in_window(10));
-  EXPECT_EQ(count_served(answers), std::ssize(answers)) << "the second server had no limit";
+  EXPECT_EQ(count_served(responses), std::ssize(responses)) << "the second server had no limit";
 }
 
 // With both servers limited, their limits must be used up, and all other requests rejected at once.
@@ -62,14 +62,14 @@
   second_server_.announce_rate_limit("10");
   send_load_for(seconds(2));
   const auto served_before = first_server_.served_count() + second_server_.served_count();
-  const auto answers = send_load_for(kLoadDuration, {"e1", "e2", "e3"});
+  const auto responses = send_load_for(kLoadDuration, {"e1", "e2", "e3"});
   const double served_during_load = first_server_.served_count() + second_server_.served_count() - served_before;
   EXPECT_LE(max_requests_after_announcement(first_server_.arrivals()), max_requests_in_window(10));
   EXPECT_LE(max_requests_after_announcement(second_server_.arrivals()), max_requests_in_window(10));
   EXPECT_GE(served_during_load, 0.8 * 20 * 8) << "the requests of three entries are enough to use up both limits";
-  for (const auto& answer : answers) {
-    EXPECT_LT(answer.latency, kMaxRefusalTime);
-    EXPECT_TRUE(is_served(answer) || answer.retry_after_seconds > 0) << answer.status;
+  for (const auto& response : responses) {
+    EXPECT_LT(response.latency, kMaxRefusalTime);
+    EXPECT_TRUE(is_served(response) || response.retry_after_seconds > 0) << response.status;
   }
 }
 
@@ -77,11 +77,11 @@
 TEST_F(ServerRateLimits, LimitBelowOneRequestPerSecondIsRespected) {
   first_server_.announce_rate_limit("0.4");
   second_server_.announce_rate_limit("0.4");
-  const auto answers = send_load_for(kLoadDuration);
+  const auto responses = send_load_for(kLoadDuration);
   EXPECT_LE(max_requests_after_announcement(first_server_.arrivals()), max_requests_in_window(0.4));
   EXPECT_LE(max_requests_after_announcement(second_server_.arrivals()), max_requests_in_window(0.4));
-  for (const auto& answer : answers) {
-    EXPECT_LT(answer.latency, kMaxRefusalTime);
+  for (const auto& response : responses) {
+    EXPECT_LT(response.latency, kMaxRefusalTime);
   }
 }
 
@@ -89,10 +89,10 @@
 TEST_F(ServerRateLimits, LimitIsRespectedWhileControlReplicasAreLost) {
   first_server_.announce_rate_limit("10");
   std::thread killer = kill_two_control_replicas(fleet_, seconds(2));
-  const auto answers = send_load_for(kLoadDuration);
+  const auto responses = send_load_for(kLoadDuration);
   killer.join();
   EXPECT_LE(max_requests_after_announcement(first_server_.arrivals()), max_requests_in_window(10));
-  EXPECT_GE(count_served(answers) * 100, std::ssize(answers) * 99) << "the second server had no limit";
+  EXPECT_GE(count_served(responses) * 100, std::ssize(responses) * 99) << "the second server had no limit";
 }
 
 // A limit header that cannot be parsed neither ends the limit nor changes it.
@@ -101,8 +101,8 @@
   send_load_for(seconds(2));
   for (const auto* value : {"x", "-1", "nan", "1e999"}) {
     first_server_.announce_rate_limit(value);
-    const auto answers = send_load_for(seconds(2));
-    EXPECT_EQ(count_served(answers), std::ssize(answers)) << value;
+    const auto responses = send_load_for(seconds(2));
+    EXPECT_EQ(count_served(responses), std::ssize(responses)) << value;
   }
   EXPECT_LE(max_requests_after_announcement(first_server_.arrivals()), max_requests_in_window(2.4));
   const auto entries = fleet_.entries();
@@ -118,9 +118,9 @@
   first_server_.announce_rate_limit("");
   send_load_for(seconds(3));
   const auto served_before = first_server_.served_count();
-  const auto answers = send_load_for(seconds(4));
-  EXPECT_GE(first_server_.served_count() - served_before, 0.3 * static_cast<double>(std::ssize(answers)));
-  EXPECT_EQ(count_served(answers), std::ssize(answers));
+  const auto responses = send_load_for(seconds(4));
+  EXPECT_GE(first_server_.served_count() - served_before, 0.3 * static_cast<double>(std::ssize(responses)));
+  EXPECT_EQ(count_served(responses), std::ssize(responses));
 }
 
 // The entries that received the limit get no requests any more when it is withdrawn, so other entries must detect this.
@@ -130,8 +130,8 @@
   first_server_.announce_rate_limit("");
   send_load_for(seconds(4), {"e3"});
   const auto served_before = first_server_.served_count();
-  const auto answers = send_load_for(seconds(4), {"e3"});
-  EXPECT_GE(first_server_.served_count() - served_before, 0.3 * static_cast<double>(std::ssize(answers)));
+  const auto responses = send_load_for(seconds(4), {"e3"});
+  EXPECT_GE(first_server_.served_count() - served_before, 0.3 * static_cast<double>(std::ssize(responses)));
 }
 
 /// The same with as many entries as one machine can run next to the other tests.
@@ -145,12 +145,12 @@
   servers_[0]->announce_rate_limit("0.2");
   servers_[1]->announce_rate_limit("2.4");
   std::thread killer = kill_two_control_replicas(fleet_, seconds(3));
-  const auto answers = send_load_for(seconds(12));
+  const auto responses = send_load_for(seconds(12));
   killer.join();
   EXPECT_LE(max_requests_after_announcement(servers_[0]->arrivals()), max_requests_in_window(0.2));
   EXPECT_LE(max_requests_after_announcement(servers_[1]->arrivals()), max_requests_in_window(2.4));
-  for (const auto& answer : answers) {
-    EXPECT_TRUE(is_served(answer) || answer.retry_after_seconds > 0) << answer.status;
+  for (const auto& response : responses) {
+    EXPECT_TRUE(is_served(response) || response.retry_after_seconds > 0) << response.status;
   }
 }
 
--- a/tests/integration/server_notices_test.cc
+++ b/tests/integration/server_response_headers_test.cc
@@ -47,10 +47,10 @@
 TEST_F(ServerResponseHeaders, RetryAfterIsRespectedAndOtherServerServesAllRequests) {
   send_load_for(seconds(1));  // Gives the entries credit in their retry budget.
   first_server_->reject_with_retry_after(kRetryAfterText);
-  const auto answers = send_load_for(kLoadDuration);
+  const auto responses = send_load_for(kLoadDuration);
   EXPECT_LE(max_requests_during_backoff(first_server_->arrivals(), kBackoff), kMaxRequestsDuringBackoff);
-  const auto served_count = std::count_if(answers.begin(), answers.end(), is_served);
-  EXPECT_EQ(served_count, std::ssize(answers)) << "the second server had free slots";
+  const auto served_count = std::count_if(responses.begin(), responses.end(), is_served);
+  EXPECT_EQ(served_count, std::ssize(responses)) << "the second server had free slots";
   // After the backoff the server is tried again, and it gets requests again once it accepts them.
   const int served_before = first_server_->served_count();
   first_server_->reject_with_retry_after("");
@@ -61,33 +61,33 @@
 TEST_F(ServerResponseHeaders, CallersReceiveEarliestRetryAfterOfAllServers) {
   first_server_->reject_with_retry_after(kRetryAfterText);
   second_server_->reject_with_retry_after(kRetryAfterText);
-  const auto answers = send_load_for(kLoadDuration);
+  const auto responses = send_load_for(kLoadDuration);
   EXPECT_LE(max_requests_during_backoff(first_server_->arrivals(), kBackoff), kMaxRequestsDuringBackoff);
   EXPECT_LE(max_requests_during_backoff(second_server_->arrivals(), kBackoff), kMaxRequestsDuringBackoff);
-  for (const auto& answer : answers) {
-    EXPECT_EQ(answer.status, http_status::kServiceUnavailable);
-    EXPECT_LT(answer.latency, milliseconds(500)) << "the entry already knew that no server accepts requests";
-    EXPECT_GT(answer.retry_after_seconds, 0);
-    EXPECT_LE(answer.retry_after_seconds, 3.0);
+  for (const auto& response : responses) {
+    EXPECT_EQ(response.status, http_status::kServiceUnavailable);
+    EXPECT_LT(response.latency, milliseconds(500)) << "the entry already knew that no server accepts requests";
+    EXPECT_GT(response.retry_after_seconds, 0);
+    EXPECT_LE(response.retry_after_seconds, 3.0);
   }
   // Most requests are rejected long before the backoff ends, and their Retry-After says so.
   const auto long_retry_after_count = std::count_if(
-      answers.begin(), answers.end(), [](const auto& answer) { return answer.retry_after_seconds > 1.0; });
-  EXPECT_GT(long_retry_after_count * 2, std::ssize(answers));
+      responses.begin(), responses.end(), [](const auto& response) { return response.retry_after_seconds > 1.0; });
+  EXPECT_GT(long_retry_after_count * 2, std::ssize(responses));
   first_server_->reject_with_retry_after("");
   second_server_->reject_with_retry_after("");
   std::this_thread::sleep_for(kBackoff);
-  const auto later = send_load_for(seconds(2));
-  EXPECT_EQ(std::count_if(later.begin(), later.end(), is_served), std::ssize(later));
+  const auto later_responses = send_load_for(seconds(2));
+  EXPECT_EQ(std::count_if(later_responses.begin(), later_responses.end(), is_served), std::ssize(later_responses));
 }
 
 // Requests rejected in the last milliseconds of a backoff got a Retry-After of "0.00". Short backoffs make this common.
 TEST_F(ServerResponseHeaders, RetryAfterForCallersIsAlwaysPositive) {
   first_server_->reject_with_retry_after("0.008");
   second_server_->reject_with_retry_after("0.008");
-  const auto answers = send_load_for(seconds(4));
-  for (const auto& answer : answers) {
-    EXPECT_TRUE(is_served(answer) || answer.retry_after_seconds > 0) << answer.status;
+  const auto responses = send_load_for(seconds(4));
+  for (const auto& response : responses) {
+    EXPECT_TRUE(is_served(response) || response.retry_after_seconds > 0) << response.status;
   }
 }
 
@@ -96,12 +96,13 @@
 TEST_F(ServerResponseHeaders, LeavingServerReceivesNoMoreRequests) {
   first_server_->announce_leaving();
   const auto begin = Clock::now();
-  const auto answers = send_load_for(kLoadDuration);
+  const auto responses = send_load_for(kLoadDuration);
   const auto arrivals = first_server_->arrivals();
-  const auto late = std::count_if(arrivals.begin(), arrivals.end(),
-                                  [begin](const auto& arrival) { return arrival.at > begin + kLeavingGracePeriod; });
-  EXPECT_EQ(late, 0);
-  EXPECT_EQ(std::count_if(answers.begin(), answers.end(), is_served), std::ssize(answers));
+  const auto late_arrivals = std::count_if(arrivals.begin(), arrivals.end(), [begin](const auto& arrival) {
+    return arrival.at > begin + kLeavingGracePeriod;
+  });
+  EXPECT_EQ(late_arrivals, 0);
+  EXPECT_EQ(std::count_if(responses.begin(), responses.end(), is_served), std::ssize(responses));
 }
 
 FleetNodeOptions engine_fleet_options() {
--- a/tests/integration/slow_reader_test.cc
+++ b/tests/integration/slow_reader_test.cc
@@ -129,12 +129,12 @@
       << server_->served_count();
   std::this_thread::sleep_for(seconds(2));
   for (auto* stalled : {&first, &last}) {
-    std::string answer;
+    std::string received;
     boost::system::error_code error;
     const auto whole = asio::transfer_at_least(FormsServer::kLargeBodyBytes);
-    asio::read(*stalled, asio::dynamic_buffer(answer), whole, error);
-    EXPECT_FALSE(error) << error.message() << " after " << answer.size() << " bytes";
-    EXPECT_NE(answer.find(" 200 "), std::string::npos);
+    asio::read(*stalled, asio::dynamic_buffer(received), whole, error);
+    EXPECT_FALSE(error) << error.message() << " after " << received.size() << " bytes";
+    EXPECT_NE(received.find(" 200 "), std::string::npos);
   }
 }
 
--- a/tests/integration/zone_evacuation_test.cc
+++ b/tests/integration/zone_evacuation_test.cc
@@ -38,17 +38,17 @@
     return Clock::now();
   }
   int status_of(const std::string& control, const std::string& zone, const std::string& operation) {
-    const auto answer = fleet_.call_control(control, "POST", "/v1/zones/" + zone + "/" + operation);
-    last_answer_ = answer.response ? answer.response->body : answer.error;
-    return answer.response ? answer.response->status : 0;
+    const auto fetch_result = fleet_.call_control(control, "POST", "/v1/zones/" + zone + "/" + operation);
+    last_response_body_ = fetch_result.response ? fetch_result.response->body : fetch_result.error;
+    return fetch_result.response ? fetch_result.response->status : 0;
   }
   /// Comma-separated evacuated zones that a replica returns: "none" if there are none, "no answer" if the call fails.
   std::string evacuated_zones_at(const std::string& control) {
-    const auto answer = fleet_.call_control(control, "GET", "/v1/zones");
-    if (!answer.response || answer.response->status != http_status::kOk) {
+    const auto fetch_result = fleet_.call_control(control, "GET", "/v1/zones");
+    if (!fetch_result.response || fetch_result.response->status != http_status::kOk) {
       return "no answer";
     }
-    const json::value body = json::parse(answer.response->body);
+    const json::value body = json::parse(fetch_result.response->body);
     std::string result;
     for (const auto& zone : body.as_object().at("evacuated").as_array()) {
       result += (result.empty() ? "" : ",") + json::value_to<std::string>(zone);
@@ -71,7 +71,7 @@
     EXPECT_GE(served_count * 100, sent * kMinServedPercent) << served_count << " of " << sent << " served";
   }
 
-  std::string last_answer_;
+  std::string last_response_body_;
 };
 
 // There was no operation to evacuate a zone: each call got 404, and the servers of the zone got requests until they
@@ -114,8 +114,8 @@
 
 TEST_F(ZoneEvacuation, UnknownZoneIsRejectedWithListOfZones) {
   EXPECT_EQ(status_of("c1", "nowhere", "evacuate"), http_status::kNotFound);
-  EXPECT_NE(last_answer_.find(kEvacuatedZone), std::string::npos) << last_answer_;
-  EXPECT_NE(last_answer_.find(kOtherZone), std::string::npos) << last_answer_;
+  EXPECT_NE(last_response_body_.find(kEvacuatedZone), std::string::npos) << last_response_body_;
+  EXPECT_NE(last_response_body_.find(kOtherZone), std::string::npos) << last_response_body_;
   EXPECT_EQ(evacuated_zones_at("c1"), "none");
 }
 
@@ -126,10 +126,10 @@
   std::this_thread::sleep_until(evacuated_at + kMaxApplyTime);
   BlockingClient client;
   const auto sent = Clock::now();
-  const auto answer = fleet_.call_model(client, "e1", "small", "e1-all-emptied");
-  ASSERT_TRUE(answer.response);
-  EXPECT_EQ(answer.response->status, http_status::kServiceUnavailable);
-  EXPECT_FALSE(answer.response->headers.find("retry-after").empty());
+  const auto fetch_result = fleet_.call_model(client, "e1", "small", "e1-all-emptied");
+  ASSERT_TRUE(fetch_result.response);
+  EXPECT_EQ(fetch_result.response->status, http_status::kServiceUnavailable);
+  EXPECT_FALSE(fetch_result.response->headers.find("retry-after").empty());
   EXPECT_LT(Clock::now() - sent, milliseconds(200));
   send_zone_operation(kOtherZone, "restore");
   EXPECT_TRUE(wait_until([this] { return receives_requests(kOtherZone, Clock::now()); }, seconds(5)));
--- a/tests/integration/zoned_fleet.h
+++ b/tests/integration/zoned_fleet.h
@@ -106,8 +106,8 @@
     auto all = engines_->arrivals_in(zone);
     for (const auto& server : plain_servers_) {
       if (server.zone == zone) {
-        const auto plain = server.server->arrivals();
-        all.insert(all.end(), plain.begin(), plain.end());
+        const auto plain_arrivals = server.server->arrivals();
+        all.insert(all.end(), plain_arrivals.begin(), plain_arrivals.end());
       }
     }
     return all;
@@ -122,11 +122,12 @@
   bool receives_requests(const std::string& zone, Clock::time_point at) {
     const auto is_recent = [at](const Arrival& arrival) { return arrival.at > at - std::chrono::seconds(1); };
     const auto engines = engines_->arrivals_in(zone);
-    const bool plain = std::any_of(plain_servers_.begin(), plain_servers_.end(), [&](const auto& server) {
-      const auto list = server.server->arrivals();
-      return server.zone == zone && std::any_of(list.begin(), list.end(), is_recent);
-    });
-    return plain && std::any_of(engines.begin(), engines.end(), is_recent);
+    const bool reached_plain_server =
+        std::any_of(plain_servers_.begin(), plain_servers_.end(), [&](const auto& server) {
+          const auto list = server.server->arrivals();
+          return server.zone == zone && std::any_of(list.begin(), list.end(), is_recent);
+        });
+    return reached_plain_server && std::any_of(engines.begin(), engines.end(), is_recent);
   }
 
   struct PlainServer {
