--- a/src/cli/load_command.cc
+++ b/src/cli/load_command.cc
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr size_t kFaultsShown = 20;
+constexpr size_t kMaxViolationsShown = 20;
 
 void print_report(const load::LoadReport& report) {
-  std::cout << "requests " << report.requests << "  sendings " << report.sendings << "  answered " << report.answered
-            << "  without answer " << report.lost << "  told not-run " << report.not_run << "  told unknown "
+  std::cout << "requests " << report.requests << "  attempts " << report.attempts << "  answered " << report.answered
+            << "  unanswered " << report.gave_up << "  reported not-run " << report.not_run << "  reported unknown "
             << report.unknown << "\nrate " << static_cast<double>(report.answered) / report.seconds
             << " /s  latency ms p50 " << load::percentile(report.latency_ms, 50) << " p95 "
             << load::percentile(report.latency_ms, 95) << " p99 " << load::percentile(report.latency_ms, 99)
@@ -33,11 +33,11 @@
   options.tenants = settings::split_list(FLAGS_tenants);
   options.model = FLAGS_model;
   options.service_path = FLAGS_service_path;
-  options.callers = FLAGS_callers;
-  options.requests = static_cast<uint64_t>(FLAGS_requests);
+  options.caller_count = FLAGS_callers;
+  options.request_count = static_cast<uint64_t>(FLAGS_requests);
   options.seed = static_cast<uint64_t>(FLAGS_first_seed);
   if (options.nodes.empty() || options.tenants.empty()) {
-    std::cerr << "larchlever: name the nodes with --targets and the tenants with --tenants\n";
+    std::cerr << "larchlever: set the nodes with --targets and the tenants with --tenants\n";
     return kExitUsage;
   }
   for (const auto& node : options.nodes) {
@@ -63,19 +63,19 @@
   context.run();
   print_report(generator.report());
   if (FLAGS_execution_log.empty()) {
-    return kExitDone;
+    return kExitSuccess;
   }
   if (!error.empty()) {
     std::cerr << "larchlever: " << error << "\n";
     return kExitUnreachable;
   }
-  const auto faults = load::check_history(generator.history(), executions);
-  std::cout << "history " << generator.history().size() << " sendings against " << executions.size()
-            << " executions: " << faults.size() << " faults\n";
-  for (size_t shown = 0; shown < faults.size() && shown < kFaultsShown; ++shown) {
-    std::cout << "  " << faults[shown] << "\n";
+  const auto violations = load::find_history_faults(generator.history(), executions);
+  std::cout << "history " << generator.history().size() << " attempts checked against " << executions.size()
+            << " executions: " << violations.size() << " violations\n";
+  for (size_t shown = 0; shown < violations.size() && shown < kMaxViolationsShown; ++shown) {
+    std::cout << "  " << violations[shown] << "\n";
   }
-  return faults.empty() ? kExitDone : kExitFailed;
+  return violations.empty() ? kExitSuccess : kExitFailed;
 }
 
 }  // namespace larchlever::cli
--- a/src/cli/operator_commands.cc
+++ b/src/cli/operator_commands.cc
@@ -25,9 +25,10 @@
 
 constexpr auto kCallTimeout = std::chrono::milliseconds(20'000);
 
-/// Sends a request to the first node that answers; nothing when none does, with the reason on standard error.
-std::optional<wire::OperatorReply> operate(const wire::OperatorRequest& request) {
-  std::string reason = "no node named; use --node IP:PORT";
+/// Sends a request to one node after the other until a leader has answered it. If none has, prints the reason and
+/// returns nothing.
+std::optional<wire::OperatorReply> send_operator_request(const wire::OperatorRequest& request) {
+  std::string reason = "no node given; use --node IP:PORT";
   for (const auto& node : settings::split_list(FLAGS_node)) {
     asio::io_context context(1);
     net::HttpClient client(context.get_executor());
@@ -48,13 +49,13 @@
     if (reply && !reply->leader.empty()) {
       return reply;
     }
-    reason = node + ": no leader answered in time; check that a majority of the control replicas is up";
+    reason = node + ": no leader responded in time; check that a majority of the control replicas is running";
   }
   std::cerr << "larchlever: " << reason << "\n";
   return std::nullopt;
 }
 
-std::string operator_name() {
+std::string effective_operator_name() {
   if (!FLAGS_operator_name.empty()) {
     return FLAGS_operator_name;
   }
@@ -62,7 +63,7 @@
   return user == nullptr ? "unnamed" : user;
 }
 
-std::string command_id() {
+std::string effective_command_id() {
   if (!FLAGS_command_id.empty()) {
     return FLAGS_command_id;
   }
@@ -96,12 +97,12 @@
   return machine.leaving && machine.state == wire::MachineState::FREE ? "leaving" : names[machine.state];
 }
 
-/// Prints rows under headings, or as a JSON list of objects.
-class Table {
+/// Prints rows as an aligned text table or as a JSON array of objects.
+class OutputTable {
  public:
-  explicit Table(std::vector<std::string> headings) : headings_(std::move(headings)) {}
-  void add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
-  json::array as_json() const {
+  explicit OutputTable(std::vector<std::string> headings) : headings_(std::move(headings)) {}
+  void add_row(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
+  json::array to_json() const {
     json::array list;
     for (const auto& row : rows_) {
       json::object object;
@@ -114,7 +115,7 @@
   }
   void print() const {
     if (FLAGS_output == "json") {
-      std::cout << json::serialize(as_json()) << "\n";
+      std::cout << json::serialize(to_json()) << "\n";
       return;
     }
     std::vector<size_t> widths;
@@ -144,7 +145,7 @@
   std::vector<std::vector<std::string>> rows_;
 };
 
-std::string join(const std::vector<std::string>& items) {
+std::string join_with_commas(const std::vector<std::string>& items) {
   std::string result;
   for (const auto& item : items) {
     result += (result.empty() ? "" : ",") + item;
@@ -155,7 +156,7 @@
 std::optional<wire::StatusReport> fetch_status() {
   wire::OperatorRequest request;
   request.action = wire::OperatorAction::STATUS;
-  const auto reply = operate(request);
+  const auto reply = send_operator_request(request);
   return reply ? std::optional(reply->status) : std::nullopt;
 }
 
@@ -163,7 +164,7 @@
   wire::OperatorRequest request;
   request.action = wire::OperatorAction::GET;
   request.prefix = prefix;
-  const auto reply = operate(request);
+  const auto reply = send_operator_request(request);
   if (!reply) {
     return std::nullopt;
   }
@@ -174,32 +175,32 @@
   return records;
 }
 
-void print_lines(const std::string& text, const char* mark) {
+void print_prefixed_lines(const std::string& text, const char* line_prefix) {
   std::istringstream lines(text);
   std::string line;
   while (std::getline(lines, line)) {
-    std::cout << mark << line << "\n";
+    std::cout << line_prefix << line << "\n";
   }
 }
 
-void print_difference(const std::map<std::string, wire::Record>& present, const std::vector<wire::KeyWrite>& writes) {
+void print_difference(const std::map<std::string, wire::Record>& current, const std::vector<wire::KeyWrite>& writes) {
   for (const auto& write : writes) {
-    const auto found = present.find(write.key);
-    const std::string before = found == present.end() ? "" : settings::format_record(found->second);
+    const auto found = current.find(write.key);
+    const std::string old_text = found == current.end() ? "" : settings::format_record(found->second);
     wire::Record after;
     after.key = write.key;
     after.value = write.value;
     const std::string text = write.remove ? "" : settings::format_record(after);
-    if (text == before) {
+    if (text == old_text) {
       std::cout << "  " << write.key << ": unchanged\n";
       continue;
     }
-    print_lines(before, "- ");
-    print_lines(text, "+ ");
+    print_prefixed_lines(old_text, "- ");
+    print_prefixed_lines(text, "+ ");
   }
 }
 
-int report_answer(const wire::OperatorReply& reply, bool dry_run) {
+int print_change_answer(const wire::OperatorReply& reply, bool dry_run) {
   if (FLAGS_output == "json") {
     json::array missing(reply.missing_nodes.begin(), reply.missing_nodes.end());
     std::cout << json::serialize(json::object{{"verdict", verdict_name(reply.answer.verdict)},
@@ -224,9 +225,9 @@
     if (!dry_run && FLAGS_output == "table") {
       std::cout << "in force on every node\n";
     }
-    return kExitDone;
+    return kExitSuccess;
   }
-  std::cerr << "not yet confirmed by: " << join(reply.missing_nodes) << "\n";
+  std::cerr << "not yet confirmed by: " << join_with_commas(reply.missing_nodes) << "\n";
   return kExitNotInForce;
 }
 
@@ -237,42 +238,43 @@
     std::cerr << "usage: larchlever apply FILE [--dry_run]\n";
     return kExitUsage;
   }
-  std::vector<std::string> faults;
-  const auto text = settings::read_text_file(arguments.front(), faults);
-  const auto writes = text ? settings::parse_change_file(*text, faults) : std::nullopt;
-  for (const auto& fault : faults) {
-    std::cerr << arguments.front() << ": " << fault << "\n";
+  std::vector<std::string> errors;
+  const auto text = settings::read_text_file(arguments.front(), errors);
+  const auto writes = text ? settings::parse_change_file(*text, errors) : std::nullopt;
+  for (const auto& error_text : errors) {
+    std::cerr << arguments.front() << ": " << error_text << "\n";
   }
   if (!writes) {
     return kExitInvalid;
   }
-  const auto present = fetch_records("");
-  if (!present) {
+  const auto current = fetch_records("");
+  if (!current) {
     return kExitUnreachable;
   }
   if (FLAGS_output == "table") {
-    print_difference(*present, *writes);
+    print_difference(*current, *writes);
   }
   wire::OperatorRequest request;
   request.action = wire::OperatorAction::APPLY;
   request.dry_run = FLAGS_dry_run;
-  request.change.operator_name = operator_name();
-  request.change.command_id = command_id();
+  request.change.operator_name = effective_operator_name();
+  request.change.command_id = effective_command_id();
   request.change.writes = *writes;
   for (const auto& write : *writes) {
-    // A key that was removed earlier reads as absent here; the answer names its revision if that matters.
-    wire::KeyRevision read;
-    read.key = write.key;
-    const auto found = present->find(write.key);
-    read.revision = found == present->end() ? 0 : found->second.revision;
-    request.change.reads.push_back(std::move(read));
+    // A removed key counts as absent, revision 0, although it has a later revision. If that leads to a conflict, the
+    // response contains the actual revision.
+    wire::KeyRevision read_revision;
+    read_revision.key = write.key;
+    const auto found = current->find(write.key);
+    read_revision.revision = found == current->end() ? 0 : found->second.revision;
+    request.change.reads.push_back(std::move(read_revision));
   }
   request.__isset.change = true;
   if (!FLAGS_dry_run && FLAGS_output == "table") {
     std::cout << "command id " << request.change.command_id << "\n";
   }
-  const auto reply = operate(request);
-  return reply ? report_answer(*reply, FLAGS_dry_run) : static_cast<int>(kExitUnreachable);
+  const auto reply = send_operator_request(request);
+  return reply ? print_change_answer(*reply, FLAGS_dry_run) : static_cast<int>(kExitUnreachable);
 }
 
 int run_get(const std::vector<std::string>& arguments) {
@@ -295,7 +297,7 @@
   if (FLAGS_output == "json") {
     std::cout << json::serialize(list) << "\n";
   }
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_status() {
@@ -320,15 +322,15 @@
     }
     std::cout << "\n\n";
   }
-  Table table({"node", "zone", "state", "revision", "replica", "identity", "service"});
+  OutputTable table({"node", "zone", "state", "revision", "replica", "identity", "service"});
   for (const auto& node : status->nodes) {
     const std::string replica = node.replica_id == 0 ? "-" : voters.contains(node.replica_id) ? "voter" : "standby";
-    table.add({node.node, node.zone,
-               node.leaving ? "leaving"
-               : node.live  ? "live"
-                            : "silent",
-               std::to_string(node.revision), replica, node.replica_id == 0 ? "-" : std::to_string(node.replica_id),
-               node.service_address});
+    table.add_row({node.node, node.zone,
+                   node.leaving ? "leaving"
+                   : node.live  ? "live"
+                                : "silent",
+                   std::to_string(node.revision), replica, node.replica_id == 0 ? "-" : std::to_string(node.replica_id),
+                   node.service_address});
   }
   if (FLAGS_output == "json") {
     std::cout << json::serialize(json::object{{"leader", status->leader},
@@ -336,12 +338,12 @@
                                               {"committed", status->commit_index},
                                               {"voters", status->replicas.voters.size()},
                                               {"stranded_accelerators", status->stranded_accelerators},
-                                              {"nodes", table.as_json()}})
+                                              {"nodes", table.to_json()}})
               << "\n";
-    return kExitDone;
+    return kExitSuccess;
   }
   table.print();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_groups() {
@@ -349,13 +351,14 @@
   if (!status) {
     return kExitUnreachable;
   }
-  Table table({"group", "epoch", "state", "template", "model", "version", "zone", "domain", "machines"});
+  OutputTable table({"group", "epoch", "state", "template", "model", "version", "zone", "domain", "machines"});
   for (const auto& group : status->groups) {
-    table.add({std::to_string(group.id), std::to_string(group.epoch), group_state_name(group.state),
-               group.template_name, group.model, group.version, group.zone, group.domain, join(group.machines)});
+    table.add_row({std::to_string(group.id), std::to_string(group.epoch), group_state_name(group.state),
+                   group.template_name, group.model, group.version, group.zone, group.domain,
+                   join_with_commas(group.machines)});
   }
   table.print();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_machines() {
@@ -363,14 +366,14 @@
   if (!status) {
     return kExitUnreachable;
   }
-  Table table({"machine", "zone", "domain", "accelerators", "state", "group", "weights", "endpoint"});
+  OutputTable table({"machine", "zone", "domain", "accelerators", "state", "group", "weights", "endpoint"});
   for (const auto& machine : status->machines) {
-    table.add({machine.id, machine.zone, machine.domain, std::to_string(machine.accelerators),
-               machine_state_name(machine), machine.group_id == 0 ? "-" : std::to_string(machine.group_id),
-               machine.weights.empty() ? "-" : machine.weights, machine.endpoint});
+    table.add_row({machine.id, machine.zone, machine.domain, std::to_string(machine.accelerators),
+                   machine_state_name(machine), machine.group_id == 0 ? "-" : std::to_string(machine.group_id),
+                   machine.weights.empty() ? "-" : machine.weights, machine.endpoint});
   }
   table.print();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 int run_drain(const std::vector<std::string>& arguments) {
@@ -382,36 +385,36 @@
   request.action = wire::OperatorAction::DRAIN;
   request.drain.machine = arguments.front();
   request.drain.leaving = !FLAGS_undo;
-  request.drain.operator_name = operator_name();
-  request.drain.command_id = command_id();
+  request.drain.operator_name = effective_operator_name();
+  request.drain.command_id = effective_command_id();
   request.__isset.drain = true;
-  const auto reply = operate(request);
-  return reply ? report_answer(*reply, false) : static_cast<int>(kExitUnreachable);
+  const auto reply = send_operator_request(request);
+  return reply ? print_change_answer(*reply, false) : static_cast<int>(kExitUnreachable);
 }
 
 int run_audit() {
   wire::OperatorRequest request;
   request.action = wire::OperatorAction::AUDIT;
-  const auto reply = operate(request);
+  const auto reply = send_operator_request(request);
   if (!reply) {
     return kExitUnreachable;
   }
-  Table table({"time", "operator", "command", "verdict", "revision", "changed", "message"});
+  OutputTable table({"time", "operator", "command", "verdict", "revision", "changed", "message"});
   for (const auto& record : reply->audit) {
     const std::time_t time = record.at_ms / 1000;
-    std::ostringstream when;
-    when << std::put_time(std::gmtime(&time), "%Y-%m-%dT%H:%M:%SZ");
+    std::ostringstream timestamp;
+    timestamp << std::put_time(std::gmtime(&time), "%Y-%m-%dT%H:%M:%SZ");
     std::vector<std::string> changed;
     for (const auto& key : record.changed_from) {
       changed.push_back(key.key + "@" + std::to_string(key.revision));
     }
     std::string message = record.message;
     std::replace(message.begin(), message.end(), '\n', ' ');
-    table.add({when.str(), record.operator_name, record.command_id, verdict_name(record.verdict),
-               std::to_string(record.revision), join(changed), message});
+    table.add_row({timestamp.str(), record.operator_name, record.command_id, verdict_name(record.verdict),
+                   std::to_string(record.revision), join_with_commas(changed), message});
   }
   table.print();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 }  // namespace larchlever::cli
--- a/src/cli/serve_commands.cc
+++ b/src/cli/serve_commands.cc
@@ -6,7 +6,7 @@
 
 #include "cli/command_line.h"
 #include "cli/flags.h"
-#include "cli/region_start.h"
+#include "cli/region_bootstrap.h"
 #include "emulator/emulated_fleet.h"
 #include "node/dialect.h"
 #include "node/fleet_process.h"
@@ -21,86 +21,87 @@
 
 namespace {
 
-/// Names the settings file where no flag does: platforms that run several nodes on a machine set it for each.
-constexpr const char* kSettingsVariable = "LARCHLEVER_CONFIG";
+/// Environment variable with the path of the settings file, used without --settings. Platforms that run several nodes
+/// on one machine set it per process.
+constexpr const char* kSettingsPathVariable = "LARCHLEVER_CONFIG";
 
-/// The settings file that the flag names, else the environment; empty when neither does.
+/// Path of the settings file from the flag or the environment variable; empty if neither is set.
 std::string settings_path() {
   if (!FLAGS_settings.empty()) {
     return FLAGS_settings;
   }
-  const char* path = std::getenv(kSettingsVariable);
+  const char* path = std::getenv(kSettingsPathVariable);
   return path == nullptr ? std::string() : path;
 }
 
-void print_faults(const std::vector<std::string>& faults) {
-  for (const auto& fault : faults) {
-    std::cerr << settings_path() << ": " << fault << "\n";
+void print_errors(const std::vector<std::string>& errors) {
+  for (const auto& error_text : errors) {
+    std::cerr << settings_path() << ": " << error_text << "\n";
   }
 }
 
-void print_no_settings() {
-  std::cerr << "larchlever: name the settings file with --settings FILE or in the variable " << kSettingsVariable
-            << "\n";
+void print_missing_settings_path() {
+  std::cerr << "larchlever: no settings file; use --settings FILE or set the environment variable "
+            << kSettingsPathVariable << "\n";
 }
 
-/// The text of the settings file. Nothing, with the reason printed, when none is named or it cannot be read.
-std::optional<std::string> read_settings() {
+/// Reads the settings file. Prints the reason and returns nothing if no path is set or the file cannot be read.
+std::optional<std::string> read_settings_file() {
   const std::string path = settings_path();
   if (path.empty()) {
-    print_no_settings();
+    print_missing_settings_path();
     return std::nullopt;
   }
-  std::vector<std::string> faults;
-  auto text = settings::read_text_file(path, faults);
-  print_faults(faults);
+  std::vector<std::string> errors;
+  auto text = settings::read_text_file(path, errors);
+  print_errors(errors);
   return text;
 }
 
-std::optional<settings::NodeSettings> load_settings() {
-  std::vector<std::string> faults;
-  const auto text = read_settings();
-  auto parsed = text ? settings::parse_node_settings(*text, faults) : std::nullopt;
-  print_faults(faults);
-  return parsed;
+std::optional<settings::NodeSettings> load_node_settings() {
+  std::vector<std::string> errors;
+  const auto text = read_settings_file();
+  auto loaded_settings = text ? settings::parse_node_settings(*text, errors) : std::nullopt;
+  print_errors(errors);
+  return loaded_settings;
 }
 
 }  // namespace
 
 int run_check_settings() {
-  if (!load_settings()) {
+  if (!load_node_settings()) {
     return kExitInvalid;
   }
-  std::cout << settings_path() << ": no faults\n";
-  return kExitDone;
+  std::cout << settings_path() << ": valid\n";
+  return kExitSuccess;
 }
 
 int run_bootstrap() {
-  const auto parsed = load_settings();
-  if (!parsed) {
+  const auto loaded_settings = load_node_settings();
+  if (!loaded_settings) {
     return kExitInvalid;
   }
-  if (parsed->data_folder.empty()) {
+  if (loaded_settings->data_folder.empty()) {
     std::cerr << "larchlever: this node has no data folder; bootstrap a node that has one\n";
     return kExitInvalid;
   }
   std::string error;
-  if (!begin_region(*parsed, error, false)) {
+  if (!bootstrap_region(*loaded_settings, error, false)) {
     std::cerr << "larchlever: " << error << "\n";
     return kExitFailed;
   }
-  std::cout << "region begun in " << parsed->data_folder << "; start this node, then the others\n";
-  return kExitDone;
+  std::cout << "region initialized in " << loaded_settings->data_folder << "; start this node, then the others\n";
+  return kExitSuccess;
 }
 
 int run_serve() {
-  const auto parsed = load_settings();
-  if (!parsed) {
+  const auto loaded_settings = load_node_settings();
+  if (!loaded_settings) {
     return kExitInvalid;
   }
-  node::configure_logging(parsed->log_level, parsed->log_file);
+  node::configure_logging(loaded_settings->log_level, loaded_settings->log_file);
   asio::io_context context(1);
-  node::NodeProcess process(context.get_executor(), *parsed);
+  node::NodeProcess process(context.get_executor(), *loaded_settings);
   std::string error;
   if (!process.start(error)) {
     std::cerr << "larchlever: " << error << "\n";
@@ -120,55 +121,58 @@
     }
   });
   context.run();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 namespace {
 
 constexpr auto kSettingsCheckInterval = std::chrono::seconds(1);
-/// Pause before a start that failed is tried again. What stood in its way, most likely a predecessor that still holds a
-/// port, is gone within its grace.
-constexpr auto kStartRetryPause = std::chrono::milliseconds(200);
-/// Longest time for which a start is tried again: well over the time in which platforms end a predecessor by force.
-constexpr auto kStartPatience = std::chrono::seconds(30);
+/// Delay before a failed start is retried. Most start failures come from a previous process that still holds a port and
+/// exits within its grace period.
+constexpr auto kStartRetryInterval = std::chrono::milliseconds(200);
+/// Time after which a failing start is no longer retried. Must be well above the time after which platforms kill the
+/// previous process.
+constexpr auto kStartRetryTimeout = std::chrono::seconds(30);
 
-/// The checked settings of a fleet node. Nothing, with every fault in `faults`, when the file is no good.
-std::optional<settings::FleetSettings> load_fleet_settings(std::vector<std::string>& faults) {
-  const auto text = settings::read_text_file(settings_path(), faults);
-  auto parsed = text ? settings::parse_fleet_settings(*text, faults) : std::nullopt;
-  if (parsed && node::find_dialect(parsed->dialect) == nullptr) {
-    faults.push_back("[node] dialect = '" + parsed->dialect + "': unknown; use larchlever, or the name of an adapter");
-    parsed.reset();
+/// Reads and validates the settings of a fleet node. If the file is invalid, returns nothing and adds all problems to
+/// `errors`.
+std::optional<settings::FleetSettings> load_fleet_settings(std::vector<std::string>& errors) {
+  const auto text = settings::read_text_file(settings_path(), errors);
+  auto loaded_settings = text ? settings::parse_fleet_settings(*text, errors) : std::nullopt;
+  if (loaded_settings && node::find_dialect(loaded_settings->dialect) == nullptr) {
+    errors.push_back("[node] dialect = '" + loaded_settings->dialect +
+                     "': unknown; use larchlever, or the name of an adapter");
+    loaded_settings.reset();
   }
-  return parsed;
+  return loaded_settings;
 }
 
-/// Runs one node of a registered fleet until it is told to stop, and hands it its settings whenever they change.
+/// Runs one node of a registered fleet until SIGTERM or SIGINT, and reloads its settings file when it changes.
 class FleetNodeRunner {
  public:
   explicit FleetNodeRunner(const settings::FleetSettings& settings)
       : context_(1),
         signals_(context_, SIGTERM, SIGINT, SIGHUP),
-        check_timer_(context_),
-        start_timer_(context_),
+        settings_check_timer_(context_),
+        start_retry_timer_(context_),
         settings_(settings) {}
 
   int run() {
-    written_at_ = settings_time();
-    start_deadline_ = std::chrono::steady_clock::now() + kStartPatience;
-    await_signal();
+    settings_modified_at_ = settings_modification_time();
+    start_deadline_ = std::chrono::steady_clock::now() + kStartRetryTimeout;
+    wait_for_signal();
     try_start();
     context_.run();
     return exit_code_;
   }
 
  private:
-  static std::filesystem::file_time_type settings_time() {
+  static std::filesystem::file_time_type settings_modification_time() {
     std::error_code ignored;
     return std::filesystem::last_write_time(settings_path(), ignored);
   }
 
-  /// Starts the node; where that fails, tries again until the patience is over.
+  /// Starts the node. Retries after a failure until `start_deadline_`.
   void try_start() {
     auto process = settings_.role == settings::FleetRole::kEntry
                        ? node::make_entry_process(context_.get_executor(), settings_)
@@ -176,19 +180,20 @@
     std::string error;
     if (process->start(error)) {
       process_ = std::move(process);
-      await_check();
+      schedule_settings_check();
       return;
     }
     process->stop();
-    const bool gives_up = std::chrono::steady_clock::now() >= start_deadline_;
-    node::log_warning(settings_.name, "start_failed", {{"reason", error}, {"tried_again", gives_up ? "no" : "yes"}});
-    if (gives_up) {
+    const bool is_retry_timeout_over = std::chrono::steady_clock::now() >= start_deadline_;
+    node::log_warning(settings_.name, "start_failed",
+                      {{"reason", error}, {"tried_again", is_retry_timeout_over ? "no" : "yes"}});
+    if (is_retry_timeout_over) {
       exit_code_ = kExitFailed;
       context_.stop();
       return;
     }
-    start_timer_.expires_after(kStartRetryPause);
-    start_timer_.async_wait([this](boost::system::error_code code) {
+    start_retry_timer_.expires_after(kStartRetryInterval);
+    start_retry_timer_.async_wait([this](boost::system::error_code code) {
       if (!code) {
         try_start();
       }
@@ -196,50 +201,51 @@
   }
 
   void reload() {
-    const auto written_at = settings_time();
-    std::vector<std::string> faults;
-    const auto settings = load_fleet_settings(faults);
+    const auto modified_at = settings_modification_time();
+    std::vector<std::string> errors;
+    const auto settings = load_fleet_settings(errors);
     if (!settings) {
-      // The file may be in the middle of being written, within one tick of its time stamp: it is read again.
-      written_at_ = std::filesystem::file_time_type::min();
-      for (const auto& fault : faults) {
-        node::log_warning(settings_.name, "settings_refused", {{"reason", fault}});
+      // The file may be partly written, and the rest may arrive within the same tick of its modification time.
+      // Resetting the stored time forces another read.
+      settings_modified_at_ = std::filesystem::file_time_type::min();
+      for (const auto& error_text : errors) {
+        node::log_warning(settings_.name, "settings_refused", {{"reason", error_text}});
       }
       return;
     }
-    written_at_ = written_at;
+    settings_modified_at_ = modified_at;
     settings_ = *settings;
     if (process_ != nullptr) {
       process_->reload(*settings);
     }
   }
 
-  void await_signal() {
+  void wait_for_signal() {
     signals_.async_wait([this](boost::system::error_code code, int signal) {
       if (code) {
         return;
       }
       if (signal == SIGHUP) {
         reload();
-        await_signal();
+        wait_for_signal();
         return;
       }
       asio::co_spawn(context_, stop(), asio::detached);
     });
   }
 
-  /// The file may also change without a signal.
-  void await_check() {
-    check_timer_.expires_after(kSettingsCheckInterval);
-    check_timer_.async_wait([this](boost::system::error_code code) {
+  /// Polls the modification time, because the file may change without a SIGHUP.
+  void schedule_settings_check() {
+    settings_check_timer_.expires_after(kSettingsCheckInterval);
+    settings_check_timer_.async_wait([this](boost::system::error_code code) {
       if (code) {
         return;
       }
       node::flush_log();
-      if (settings_time() != written_at_) {
+      if (settings_modification_time() != settings_modified_at_) {
         reload();
       }
-      await_check();
+      schedule_settings_check();
     });
   }
 
@@ -253,12 +259,12 @@
 
   asio::io_context context_;
   asio::signal_set signals_;
-  asio::steady_timer check_timer_;
-  asio::steady_timer start_timer_;
+  asio::steady_timer settings_check_timer_;
+  asio::steady_timer start_retry_timer_;
   settings::FleetSettings settings_;
   std::chrono::steady_clock::time_point start_deadline_;
-  int exit_code_ = kExitDone;
-  std::filesystem::file_time_type written_at_;
+  int exit_code_ = kExitSuccess;
+  std::filesystem::file_time_type settings_modified_at_;
   std::unique_ptr<node::FleetProcess> process_;
 };
 
@@ -266,13 +272,13 @@
 
 int run_fleet_node() {
   if (settings_path().empty()) {
-    print_no_settings();
+    print_missing_settings_path();
     return kExitInvalid;
   }
-  std::vector<std::string> faults;
-  const auto settings = load_fleet_settings(faults);
+  std::vector<std::string> errors;
+  const auto settings = load_fleet_settings(errors);
   if (!settings) {
-    print_faults(faults);
+    print_errors(errors);
     return kExitInvalid;
   }
   std::signal(SIGPIPE, SIG_IGN);
@@ -282,27 +288,27 @@
   const int exit_code = runner.run();
   node::log_event(settings->name, "stopped", {{"exit_code", std::to_string(exit_code)}});
   node::flush_log();
-  // Sockets and data folder are closed. Returning would run the destructors of libraries, some of which wait for
-  // threads of theirs: a stopped process must not stay until it is killed.
+  // Sockets and the data folder are closed. Exit without running library destructors, some of which wait for their
+  // threads and could keep the stopped process alive until the platform kills it.
   std::_Exit(exit_code);
 }
 
 int run_emulate() {
-  std::vector<std::string> faults;
-  const auto text = read_settings();
-  const auto parsed = text ? emulator::parse_fleet_settings(*text, faults) : std::nullopt;
-  print_faults(faults);
-  if (!parsed) {
+  std::vector<std::string> errors;
+  const auto text = read_settings_file();
+  const auto loaded_settings = text ? emulator::parse_emulated_fleet_settings(*text, errors) : std::nullopt;
+  print_errors(errors);
+  if (!loaded_settings) {
     return kExitInvalid;
   }
   asio::io_context context(1);
-  emulator::EmulatedFleet fleet(context.get_executor(), *parsed);
+  emulator::EmulatedFleet fleet(context.get_executor(), *loaded_settings);
   std::string error;
   if (!fleet.start(error)) {
     std::cerr << "larchlever: " << error << "\n";
     return kExitFailed;
   }
-  for (const auto& service : parsed->services) {
+  for (const auto& service : loaded_settings->services) {
     std::cout << "service " << service.name << " at ";
     for (const auto& endpoint : fleet.service_endpoints(service.name)) {
       std::cout << endpoint << ", ";
@@ -313,7 +319,7 @@
   asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&](boost::system::error_code, int) { context.stop(); });
   context.run();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 }  // namespace larchlever::cli
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -13,8 +13,8 @@
   return std::any_of(list.begin(), list.end(), [id](const auto& item) { return item.replica_id == id; });
 }
 
-/// Number of voters that stand in exactly one of the two sets.
-size_t voters_changed(const wire::ReplicaSet& before, const wire::ReplicaSet& after) {
+/// Returns the number of voters that are in exactly one of the two sets.
+size_t count_changed_voters(const wire::ReplicaSet& before, const wire::ReplicaSet& after) {
   size_t changed = 0;
   for (const auto& voter : before.voters) {
     changed += contains(after.voters, voter.replica_id) ? 0 : 1;
@@ -37,21 +37,22 @@
       snapshot_{persisted.snapshot, std::move(persisted.snapshot_state), false},
       hard_state_(persisted.hard_state),
       commit_index_(persisted.snapshot.index),
-      taken_index_(persisted.snapshot.index),
+      delivered_index_(persisted.snapshot.index),
       synced_index_(log_.last_index()) {
   if (persisted.snapshot.index > 0) {
-    installed_ = snapshot_;
+    installed_snapshot_ = snapshot_;
   }
-  // A restarted replica has forgotten which leader it heard last, so it grants no vote for one election timeout:
-  // a leader that counted its answer may still hold the lease.
+  // A restarted replica does not remember its last contact with a leader. A leader that counted its last reply may
+  // still hold the lease, so the replica acts as if the contact had been now and grants no vote for one election
+  // timeout.
   last_leader_contact_ = now;
-  started_ = now;
+  started_at_ = now;
   const bool has_peers = is_voter() && log_.replicas().voters.size() > 1;
   restart_check_pending_ = has_peers;
-  restart_check_deadline_ = now + options_.restart_check;
+  restart_check_deadline_ = now + options_.restart_check_timeout;
   reset_election_timer(now);
   if (is_voter() && !has_peers) {
-    election_deadline_ = now;  // The only voter: nobody else can lead, so there is nothing to wait for.
+    election_deadline_ = now;  // A single voter need not wait: no other replica can be the leader.
   }
 }
 
@@ -81,16 +82,16 @@
 bool RaftNode::is_voter() const { return contains(log_.replicas().voters, id_.value()); }
 
 void RaftNode::reset_election_timer(TimePoint now) {
-  const bool restarting = restarts_with_others(now);
-  const Duration least = restarting ? options_.restart_campaign_min : options_.election_timeout_min;
-  const Duration most = restarting ? options_.restart_campaign_max : options_.election_timeout_max;
-  std::uniform_int_distribution<int64_t> jitter(0, std::max<int64_t>((most - least).count(), 1));
-  election_deadline_ = now + least + Duration(jitter(random_));
+  const bool restarting = may_be_cluster_restart(now);
+  const Duration timeout_min = restarting ? options_.restart_election_timeout_min : options_.election_timeout_min;
+  const Duration timeout_max = restarting ? options_.restart_election_timeout_max : options_.election_timeout_max;
+  std::uniform_int_distribution<int64_t> jitter(0, std::max<int64_t>((timeout_max - timeout_min).count(), 1));
+  election_deadline_ = now + timeout_min + Duration(jitter(random_));
 }
 
 void RaftNode::persist_hard_state() { output_.hard_state = hard_state_; }
 
-wire::RaftMessage& RaftNode::outgoing(int64_t to, bool after_sync) {
+wire::RaftMessage& RaftNode::add_message(int64_t to, bool after_sync) {
   auto& list = after_sync ? output_.messages_after_sync : output_.messages;
   auto& message = list.emplace_back();
   message.from_replica = id_.value();
@@ -114,7 +115,7 @@
 
 // -------------------------------------------------------------- replication
 
-void RaftNode::append_local(wire::EntryKind::type kind, std::string payload) {
+void RaftNode::append_own_entry(wire::EntryKind::type kind, std::string payload) {
   wire::LogEntry entry;
   entry.term = hard_state_.term;
   entry.index = log_.last_index() + 1;
@@ -125,39 +126,40 @@
 }
 
 std::optional<int64_t> RaftNode::propose(TimePoint now, std::string payload) {
-  if (role_ != Role::kLeader || lease_given_up_) {
+  if (role_ != Role::kLeader || lease_released_) {
     return std::nullopt;
   }
-  append_local(wire::EntryKind::COMMAND, std::move(payload));
+  append_own_entry(wire::EntryKind::COMMAND, std::move(payload));
   replicate(now);
   return log_.last_index();
 }
 
 std::optional<int64_t> RaftNode::propose_replicas(TimePoint now, const wire::ReplicaSet& replicas) {
-  // Two safeguards: no second change while one is open, and none before this term's first entry is committed,
-  // else a deposed leader's change and ours could each find a majority that the other does not see.
-  const bool settled = !replica_change_pending() && commit_index_ >= term_start_index_;
-  if (role_ != Role::kLeader || lease_given_up_ || !settled || voters_changed(log_.replicas(), replicas) > 1) {
+  // Reject a change while another is uncommitted, and before this term's first entry is committed. Otherwise the change
+  // of a deposed leader and this one could each be committed by disjoint majorities.
+  const bool change_allowed = !replica_change_pending() && commit_index_ >= term_start_index_;
+  if (role_ != Role::kLeader || lease_released_ || !change_allowed ||
+      count_changed_voters(log_.replicas(), replicas) > 1) {
     return std::nullopt;
   }
-  append_local(wire::EntryKind::REPLICA_SET, wire::encode(replicas));
-  sync_progress_table();
+  append_own_entry(wire::EntryKind::REPLICA_SET, wire::encode(replicas));
+  update_progress_table();
   replicate(now);
   return log_.last_index();
 }
 
-void RaftNode::sync_progress_table() {
+void RaftNode::update_progress_table() {
   const auto& replicas = log_.replicas();
-  std::set<int64_t> wanted;
+  std::set<int64_t> peer_ids;
   for (const auto* list : {&replicas.voters, &replicas.learners}) {
     for (const auto& replica : *list) {
       if (replica.replica_id != id_.value()) {
-        wanted.insert(replica.replica_id);
+        peer_ids.insert(replica.replica_id);
       }
     }
   }
-  std::erase_if(progress_, [&wanted](const auto& item) { return !wanted.contains(item.first); });
-  for (const int64_t replica : wanted) {
+  std::erase_if(progress_, [&peer_ids](const auto& item) { return !peer_ids.contains(item.first); });
+  for (const int64_t replica : peer_ids) {
     if (!progress_.contains(replica)) {
       progress_[replica].next_index = log_.last_index() + 1;
     }
@@ -172,40 +174,41 @@
 
 void RaftNode::send_append(TimePoint now, int64_t to, bool heartbeat) {
   Progress& progress = progress_[to];
-  if (rolled_back_.contains(to)) {
+  if (rolled_back_replicas_.contains(to)) {
     if (heartbeat) {
       wire::IdentityRejection rejection;
       rejection.term = hard_state_.term;
-      outgoing(to, false).__set_identity_rejection(rejection);
+      add_message(to, false).__set_identity_rejection(rejection);
     }
     return;
   }
   if (heartbeat) {
-    // Nothing came back since the last beat: what was in flight counts as lost and is sent again.
-    const bool stalled = progress.appends_in_flight > 0 && now - progress.last_reply > 2 * options_.heartbeat_interval;
+    // No reply for two heartbeat intervals: treat appends in flight as lost and send them again.
+    const bool stalled =
+        progress.appends_in_flight > 0 && now - progress.last_reply_time > 2 * options_.heartbeat_interval;
     if (stalled) {
       progress.appends_in_flight = 0;
       progress.next_index = progress.match_index > 0 ? progress.match_index + 1 : progress.next_index;
     }
-  } else if (progress.next_index > log_.last_index() || progress.appends_in_flight >= options_.appends_in_flight) {
+  } else if (progress.next_index > log_.last_index() || progress.appends_in_flight >= options_.max_appends_in_flight) {
     return;
   }
   if (progress.next_index < log_.first_index()) {
     send_snapshot(now, to, progress);
     return;
   }
-  auto& message = outgoing(to, false);
+  auto& message = add_message(to, false);
   wire::AppendRequest request;
   request.term = hard_state_.term;
   request.previous_index = progress.next_index - 1;
   request.previous_term = log_.term_at(progress.next_index - 1);
   request.commit_index = commit_index_;
   request.sent_at_us = to_microseconds(now);
-  if (progress.appends_in_flight < options_.appends_in_flight) {
-    request.entries = log_.slice(progress.next_index, options_.entries_per_append, options_.bytes_per_append);
+  if (progress.appends_in_flight < options_.max_appends_in_flight) {
+    request.entries = log_.slice(progress.next_index, options_.max_entries_per_append, options_.max_bytes_per_append);
   }
   if (!request.entries.empty()) {
-    // Optimistic: the next append continues from here, a refusal takes it back.
+    // Pipelining: the next append continues after these entries. A rejection moves next_index back.
     progress.next_index += static_cast<int64_t>(request.entries.size());
     ++progress.appends_in_flight;
   }
@@ -214,13 +217,13 @@
 }
 
 void RaftNode::send_snapshot(TimePoint now, int64_t to, Progress& progress) {
-  if (progress.snapshot_in_flight && now - progress.snapshot_sent < 10 * options_.heartbeat_interval) {
+  if (progress.snapshot_in_flight && now - progress.snapshot_sent_at < 10 * options_.heartbeat_interval) {
     return;
   }
   progress.snapshot_in_flight = true;
-  progress.snapshot_sent = now;
+  progress.snapshot_sent_at = now;
   ++stats_.snapshots_sent;
-  auto& message = outgoing(to, false);
+  auto& message = add_message(to, false);
   wire::SnapshotRequest request;
   request.term = hard_state_.term;
   request.header = snapshot_.header;
@@ -230,9 +233,9 @@
   message.__isset.snapshot_request = true;
 }
 
-wire::AppendReply& RaftNode::append_reply_to(int64_t to, bool success, int64_t match, int64_t sent_at_us) {
-  // After the sync, always: a success promises that the entries survive a restart.
-  auto& message = outgoing(to, true);
+wire::AppendReply& RaftNode::add_append_reply(int64_t to, bool success, int64_t match, int64_t sent_at_us) {
+  // Always sent after the sync, because a success guarantees that the entries survive a restart.
+  auto& message = add_message(to, true);
   wire::AppendReply reply;
   reply.term = hard_state_.term;
   reply.success = success;
@@ -240,33 +243,33 @@
   reply.sent_at_us = sent_at_us;
   reply.last_index = log_.last_index();
   reply.boot = boot_.value();
-  reply.order = next_reply_++;
+  reply.order = next_reply_number_++;
   message.__set_append_reply(reply);
   return message.append_reply;
 }
 
-void RaftNode::note_leader_contact(TimePoint now) {
+void RaftNode::record_leader_contact(TimePoint now) {
   last_leader_contact_ = now;
-  heard_leader_since_start_ = true;
-  // The leader will say whether our disk lost anything: give it time to.
-  restart_check_deadline_ = now + options_.restart_check;
+  leader_contacted_since_start_ = true;
+  // Give the leader time to report whether this replica's disk lost entries.
+  restart_check_deadline_ = now + options_.restart_check_timeout;
 }
 
 void RaftNode::handle_append_request(TimePoint now, int64_t from, const wire::AppendRequest& request) {
   if (request.term < hard_state_.term) {
-    append_reply_to(from, false, log_.last_index(), request.sent_at_us);
+    add_append_reply(from, false, log_.last_index(), request.sent_at_us);
     return;
   }
-  note_leader_contact(now);
+  record_leader_contact(now);
   become_follower(now, request.term, from);
   if (request.previous_index < log_.snapshot().index) {
-    // Everything up to our snapshot is committed, so it matches by definition.
-    append_reply_to(from, true, log_.snapshot().index, request.sent_at_us);
+    // All entries up to the snapshot are committed, so they match.
+    add_append_reply(from, true, log_.snapshot().index, request.sent_at_us);
     return;
   }
   if (log_.term_at(request.previous_index) != request.previous_term) {
-    const int64_t hint = std::min(log_.last_index(), request.previous_index - 1);
-    append_reply_to(from, false, std::max(hint, commit_index_), request.sent_at_us);
+    const int64_t next_index_hint = std::min(log_.last_index(), request.previous_index - 1);
+    add_append_reply(from, false, std::max(next_index_hint, commit_index_), request.sent_at_us);
     return;
   }
   for (const auto& entry : request.entries) {
@@ -277,7 +280,7 @@
     if (known_term != -1) {
       log_.truncate_from(entry.index);
       synced_index_ = std::min(synced_index_, entry.index - 1);
-      for (auto& [ticket, last] : unsynced_) {
+      for (auto& [ticket, last] : unsynced_batches_) {
         last = std::min(last, entry.index - 1);
       }
       std::erase_if(output_.entries, [&entry](const auto& pending) { return pending.index >= entry.index; });
@@ -288,10 +291,11 @@
   const int64_t match = request.previous_index + static_cast<int64_t>(request.entries.size());
   commit_index_ = std::max(commit_index_, std::min(request.commit_index, match));
   if (match >= request.commit_index) {
-    // The leader has seen us hold all that was committed when it sent this: nothing acknowledged is missing.
+    // This replica holds everything that was committed when the leader sent the request, so no acknowledged entry is
+    // missing.
     restart_check_pending_ = false;
   }
-  append_reply_to(from, true, match, request.sent_at_us);
+  add_append_reply(from, true, match, request.sent_at_us);
 }
 
 void RaftNode::handle_append_reply(TimePoint now, int64_t from, const wire::AppendReply& reply) {
@@ -305,18 +309,18 @@
   }
   Progress& progress = found->second;
   const std::pair<int64_t, int64_t> reply_number(reply.boot, reply.order);
-  progress.last_reply = now;
-  progress.replied = true;
-  if (!reply.success && reply_number > progress.match_reply && reply.last_index < progress.match_index) {
-    // It acknowledged more, on disk, than it held when it gave this later reply: the disk was rolled back. Its
-    // acknowledgements and votes are worth nothing any more; only a new identity may come back. The replies' numbers
-    // matter: a refusal given before the acknowledgement may arrive after it.
+  progress.last_reply_time = now;
+  progress.has_replied = true;
+  if (!reply.success && reply_number > progress.last_match_reply && reply.last_index < progress.match_index) {
+    // The replica had acknowledged more entries than it held when it sent this later reply, so its disk was rolled
+    // back. Its acknowledgements and votes no longer count, and it may rejoin only under a new identity. Replies are
+    // compared by number because a rejection sent before the acknowledgement may arrive after it.
     ++stats_.rollbacks_detected;
-    rolled_back_.insert(from);
+    rolled_back_replicas_.insert(from);
     progress.match_index = 0;
     return;
   }
-  progress.lease_contact_us = std::max(progress.lease_contact_us, reply.sent_at_us);
+  progress.answered_send_time_us = std::max(progress.answered_send_time_us, reply.sent_at_us);
   if (progress.appends_in_flight > 0) {
     --progress.appends_in_flight;
   }
@@ -326,7 +330,7 @@
     send_append(now, from, true);
     return;
   }
-  progress.match_reply = std::max(progress.match_reply, reply_number);
+  progress.last_match_reply = std::max(progress.last_match_reply, reply_number);
   if (reply.match_index > progress.match_index) {
     progress.match_index = reply.match_index;
     progress.snapshot_in_flight = false;
@@ -337,30 +341,30 @@
 }
 
 void RaftNode::advance_commit() {
-  std::vector<int64_t> matches;
+  std::vector<int64_t> match_indexes;
   for (const auto& voter : log_.replicas().voters) {
-    matches.push_back(voter.replica_id == id_.value() ? synced_index_ : match_index(ReplicaId(voter.replica_id)));
+    match_indexes.push_back(voter.replica_id == id_.value() ? synced_index_ : match_index(ReplicaId(voter.replica_id)));
   }
-  if (matches.empty()) {
+  if (match_indexes.empty()) {
     return;
   }
-  std::sort(matches.begin(), matches.end(), std::greater<>());
-  const int64_t candidate = matches[majority(matches.size()) - 1];
-  // Only an entry of our own term commits by counting; older ones commit with it.
-  if (candidate > commit_index_ && log_.term_at(candidate) == hard_state_.term) {
-    commit_index_ = candidate;
+  std::sort(match_indexes.begin(), match_indexes.end(), std::greater<>());
+  const int64_t majority_match_index = match_indexes[majority(match_indexes.size()) - 1];
+  // Only entries of the current term are committed by counting replicas; earlier entries are committed with them.
+  if (majority_match_index > commit_index_ && log_.term_at(majority_match_index) == hard_state_.term) {
+    commit_index_ = majority_match_index;
   }
 }
 
 void RaftNode::handle_snapshot_request(TimePoint now, int64_t from, const wire::SnapshotRequest& request) {
   if (request.term < hard_state_.term) {
-    append_reply_to(from, false, log_.last_index(), request.sent_at_us);
+    add_append_reply(from, false, log_.last_index(), request.sent_at_us);
     return;
   }
-  note_leader_contact(now);
+  record_leader_contact(now);
   become_follower(now, request.term, from);
   if (log_.term_at(request.header.index) == request.header.term) {
-    // Our log already contains what the snapshot covers, and perhaps acknowledged entries after it: keep them.
+    // The log already contains what the snapshot covers, and possibly acknowledged entries after it: keep it.
     commit_index_ = std::max(commit_index_, request.header.index);
   } else if (request.header.index > commit_index_) {
     ++stats_.snapshots_installed;
@@ -369,19 +373,19 @@
     output_.entries.clear();
     output_.snapshot = snapshot_;
     output_.hard_state = hard_state_;
-    installed_ = snapshot_;
+    installed_snapshot_ = snapshot_;
     commit_index_ = request.header.index;
-    taken_index_ = request.header.index;
+    delivered_index_ = request.header.index;
     synced_index_ = 0;
-    for (auto& [ticket, last] : unsynced_) {
+    for (auto& [ticket, last] : unsynced_batches_) {
       last = 0;
     }
     restart_check_pending_ = false;
   }
-  append_reply_to(from, true, std::max(commit_index_, request.header.index), request.sent_at_us);
+  add_append_reply(from, true, std::max(commit_index_, request.header.index), request.sent_at_us);
 }
 
-void RaftNode::handle_hand_over(TimePoint now, const wire::HandOverRequest& request) {
+void RaftNode::handle_hand_over_request(TimePoint now, const wire::HandOverRequest& request) {
   if (request.term == hard_state_.term && role_ == Role::kFollower && is_voter() && may_vote()) {
     campaign(now, false, true);
   }
@@ -389,8 +393,8 @@
 
 void RaftNode::step(TimePoint now, const wire::RaftMessage& message) {
   if (message.to_replica != id_.value()) {
-    ++stats_.messages_for_other_identity;
-    disown_identity(message);
+    ++stats_.messages_to_other_identity;
+    reply_voter_gone(message);
     return;
   }
   if (identity_rejected_) {
@@ -413,14 +417,14 @@
   } else if (message.__isset.snapshot_request) {
     handle_snapshot_request(now, from, message.snapshot_request);
   } else if (message.__isset.hand_over_request) {
-    handle_hand_over(now, message.hand_over_request);
+    handle_hand_over_request(now, message.hand_over_request);
   }
 }
 
-void RaftNode::synced(TimePoint now, int64_t ticket) {
-  while (!unsynced_.empty() && unsynced_.front().first <= ticket) {
-    synced_index_ = std::max(synced_index_, std::min(unsynced_.front().second, log_.last_index()));
-    unsynced_.pop_front();
+void RaftNode::mark_synced(TimePoint now, int64_t ticket) {
+  while (!unsynced_batches_.empty() && unsynced_batches_.front().first <= ticket) {
+    synced_index_ = std::max(synced_index_, std::min(unsynced_batches_.front().second, log_.last_index()));
+    unsynced_batches_.pop_front();
   }
   if (role_ == Role::kCandidate) {
     tally_votes(now);
@@ -434,27 +438,27 @@
   output_ = RaftOutput();
   result.ticket = next_ticket_++;
   if (result.needs_sync()) {
-    unsynced_.emplace_back(result.ticket, log_.last_index());
+    unsynced_batches_.emplace_back(result.ticket, log_.last_index());
   }
   return result;
 }
 
 std::vector<wire::LogEntry> RaftNode::take_committed() {
   std::vector<wire::LogEntry> result;
-  for (; taken_index_ < commit_index_; ++taken_index_) {
-    result.push_back(log_.at(taken_index_ + 1));
+  for (; delivered_index_ < commit_index_; ++delivered_index_) {
+    result.push_back(log_.at(delivered_index_ + 1));
   }
   return result;
 }
 
 std::optional<Snapshot> RaftNode::take_installed_snapshot() {
-  auto result = std::move(installed_);
-  installed_.reset();
+  auto result = std::move(installed_snapshot_);
+  installed_snapshot_.reset();
   return result;
 }
 
 void RaftNode::compact(int64_t index, std::string state, int64_t trailing) {
-  if (index <= snapshot_.header.index || index > taken_index_) {
+  if (index <= snapshot_.header.index || index > delivered_index_) {
     return;
   }
   Snapshot snapshot;
@@ -470,76 +474,78 @@
 
 // --------------------------------------------------------- leases and quorum
 
-TimePoint RaftNode::quorum_contact(TimePoint now) const {
-  std::vector<int64_t> contacts;
+TimePoint RaftNode::quorum_contact_time(TimePoint now) const {
+  std::vector<int64_t> contact_times_us;
   for (const auto& voter : log_.replicas().voters) {
     if (voter.replica_id == id_.value()) {
-      contacts.push_back(to_microseconds(now));
+      contact_times_us.push_back(to_microseconds(now));
       continue;
     }
     const auto found = progress_.find(voter.replica_id);
-    contacts.push_back(found == progress_.end() ? -1 : found->second.lease_contact_us);
+    contact_times_us.push_back(found == progress_.end() ? -1 : found->second.answered_send_time_us);
   }
-  std::sort(contacts.begin(), contacts.end(), std::greater<>());
-  const int64_t contact = contacts.empty() ? -1 : contacts[majority(contacts.size()) - 1];
-  return contact < 0 ? TimePoint::min() : from_microseconds(contact);
+  std::sort(contact_times_us.begin(), contact_times_us.end(), std::greater<>());
+  const int64_t contact_time = contact_times_us.empty() ? -1 : contact_times_us[majority(contact_times_us.size()) - 1];
+  return contact_time < 0 ? TimePoint::min() : from_microseconds(contact_time);
 }
 
 bool RaftNode::has_lease(TimePoint now) const {
-  if (role_ != Role::kLeader || lease_given_up_) {
+  if (role_ != Role::kLeader || lease_released_) {
     return false;
   }
-  const TimePoint contact = quorum_contact(now);
-  if (contact == TimePoint::min()) {
+  const TimePoint contact_time = quorum_contact_time(now);
+  if (contact_time == TimePoint::min()) {
     return false;
   }
-  // Counted from the send time of what a quorum answered, and shorter than the voters' silence by the drift bound.
-  const auto lease =
-      static_cast<int64_t>(static_cast<double>(options_.election_timeout_min.count()) * (1.0 - 2 * kMaximumClockDrift));
-  return now < contact + Duration(lease);
+  // The lease starts at the send time of the append that a quorum answered. It is shorter than the time for which
+  // voters grant no vote, to allow for clock drift.
+  const auto lease = static_cast<int64_t>(static_cast<double>(options_.election_timeout_min.count()) *
+                                          (1.0 - 2 * kMaxClockDriftRatio));
+  return now < contact_time + Duration(lease);
 }
 
 bool RaftNode::is_ready_leader(TimePoint now) const {
-  return has_lease(now) && commit_index_ >= term_start_index_ && taken_index_ >= term_start_index_;
+  return has_lease(now) && commit_index_ >= term_start_index_ && delivered_index_ >= term_start_index_;
 }
 
 void RaftNode::check_quorum(TimePoint now) {
-  const TimePoint contact = quorum_contact(now);
-  // A leader that gave its lease up and was not succeeded in time steps down, and an ordinary election follows.
-  if (contact != TimePoint::min() && !lease_given_up_) {
-    quorum_deadline_ = std::max(quorum_deadline_, contact + options_.election_timeout_max);
-  }
-  const bool removed = !is_voter() && commit_index_ >= log_.replicas_index();
-  if (now >= quorum_deadline_ || removed) {
-    ++stats_.stepped_down_without_quorum;
+  const TimePoint contact_time = quorum_contact_time(now);
+  // A leader that transferred its leadership, but whose successor was not elected in time, steps down, and a regular
+  // election follows.
+  if (contact_time != TimePoint::min() && !lease_released_) {
+    quorum_deadline_ = std::max(quorum_deadline_, contact_time + options_.election_timeout_max);
+  }
+  const bool removed_from_voters = !is_voter() && commit_index_ >= log_.replica_set_index();
+  if (now >= quorum_deadline_ || removed_from_voters) {
+    ++stats_.quorum_losses;
     become_follower(now, hard_state_.term, 0);
   }
 }
 
-bool RaftNode::hand_over(TimePoint now) {
+bool RaftNode::transfer_leadership(TimePoint now) {
   if (role_ != Role::kLeader) {
     return false;
   }
-  int64_t best = 0;
-  int64_t best_match = -1;
+  int64_t best_voter = 0;
+  int64_t best_match_index = -1;
   for (const auto& voter : log_.replicas().voters) {
     const auto found = progress_.find(voter.replica_id);
-    if (found == progress_.end() || !found->second.replied || rolled_back_.contains(voter.replica_id)) {
+    if (found == progress_.end() || !found->second.has_replied || rolled_back_replicas_.contains(voter.replica_id)) {
       continue;
     }
-    const bool fresh = now - found->second.last_reply < options_.election_timeout_min;
-    if (fresh && found->second.match_index > best_match) {
-      best = voter.replica_id;
-      best_match = found->second.match_index;
+    const bool replied_recently = now - found->second.last_reply_time < options_.election_timeout_min;
+    if (replied_recently && found->second.match_index > best_match_index) {
+      best_voter = voter.replica_id;
+      best_match_index = found->second.match_index;
     }
   }
-  if (best_match < commit_index_) {
+  if (best_match_index < commit_index_) {
     return false;
   }
-  lease_given_up_ = true;
+  lease_released_ = true;
   wire::HandOverRequest request;
   request.term = hard_state_.term;
-  outgoing(best, false).__set_hand_over_request(request);
+  add_message(best_voter, false).__set_hand_over_request(request);
   return true;
 }
 
@@ -550,10 +556,10 @@
 
 std::optional<TimePoint> RaftNode::last_contact(ReplicaId replica) const {
   const auto found = progress_.find(replica.value());
-  if (found == progress_.end() || !found->second.replied) {
+  if (found == progress_.end() || !found->second.has_replied) {
     return std::nullopt;
   }
-  return found->second.last_reply;
+  return found->second.last_reply_time;
 }
 
 }  // namespace larchlever::consensus
--- a/src/consensus/replica_routes.h
+++ b/src/consensus/replica_routes.h
@@ -9,16 +9,16 @@
 
 namespace larchlever::consensus {
 
-/// Peer addresses of the log's replicas, learned from replica sets and from whoever wrote last.
-/// Single-threaded, deterministic.
+/// Maps replicas to their peer addresses, learned from replica sets and from the senders of messages. Single-threaded,
+/// deterministic.
 class ReplicaRoutes {
  public:
-  void note(int64_t replica, const std::string& node) { nodes_[replica] = node; }
-  /// Learns the addresses of all voters and learners.
-  void note_all(const wire::ReplicaSet& replicas);
-  /// One envelope a message, addressed to the recipient's node. Messages to unknown replicas are dropped: what matters
-  /// is sent again.
-  std::vector<wire::Envelope> address(std::vector<wire::RaftMessage> messages) const;
+  void set_node(int64_t replica, const std::string& node) { nodes_[replica] = node; }
+  /// Records the addresses of all voters and learners.
+  void set_nodes(const wire::ReplicaSet& replicas);
+  /// Wraps each message in an envelope addressed to the recipient's node. Messages to unknown replicas are dropped; the
+  /// sender repeats those that matter.
+  std::vector<wire::Envelope> make_envelopes(std::vector<wire::RaftMessage> messages) const;
 
  private:
   std::map<int64_t, std::string> nodes_;
--- a/src/core/requests/latency_estimate.cc
+++ b/src/core/requests/latency_estimate.cc
@@ -4,22 +4,22 @@
 
 namespace {
 
-/// Weights of one sample, as in RFC 6298.
-constexpr int kMeanPart = 8;
-constexpr int kDeviationPart = 4;
+/// A new sample has a weight of 1/8 in the mean and 1/4 in the deviation, as in RFC 6298.
+constexpr int kMeanWeightDivisor = 8;
+constexpr int kDeviationWeightDivisor = 4;
 
 }  // namespace
 
-void LatencyEstimate::note(Duration measured) {
-  if (!is_measured_) {
-    is_measured_ = true;
+void LatencyEstimate::add_sample(Duration measured) {
+  if (!has_samples_) {
+    has_samples_ = true;
     mean_ = measured;
     deviation_ = measured / 2;
     return;
   }
   const Duration difference = measured - mean_;
-  mean_ += difference / kMeanPart;
-  deviation_ += (std::chrono::abs(difference) - deviation_) / kDeviationPart;
+  mean_ += difference / kMeanWeightDivisor;
+  deviation_ += (std::chrono::abs(difference) - deviation_) / kDeviationWeightDivisor;
 }
 
 }  // namespace larchlever::requests
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -20,19 +20,19 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kIdlePerEndpoint = 64;
-constexpr size_t kPieceSize = 16 * 1024;
-constexpr uint64_t kLargestHead = 64 * 1024;
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
+constexpr size_t kMaxIdleConnectionsPerEndpoint = 64;
+constexpr size_t kReadBufferBytes = 16 * 1024;
+constexpr uint64_t kMaxResponseHeadBytes = 64 * 1024;
 
 using Parser = http::response_parser<http::buffer_body>;
 
-/// A kept connection is given up this long before its server says that it closes it.
+/// Idle connections are discarded this long before the server's announced keep-alive timeout.
 constexpr auto kKeepAliveMargin = std::chrono::milliseconds(300);
-/// Kept connections are not used after this long when the server names no time.
+/// How long an idle connection may be reused if the server announces no keep-alive timeout.
 constexpr auto kDefaultKeepAlive = std::chrono::seconds(20);
-/// A peer that acknowledges nothing for this long is taken for gone.
-constexpr unsigned int kUserTimeoutMs = 4000;
+/// The kernel closes a connection whose peer acknowledges no sent data for this long.
+constexpr unsigned int kTcpUserTimeoutMs = 4000;
 
 struct Connection {
   explicit Connection(const asio::any_io_executor& executor) : stream(executor) {}
@@ -41,7 +41,7 @@
   TimePoint usable_until = TimePoint::max();
 };
 
-/// Until when a connection may be used again, by the answer's `Keep-Alive: timeout=N`.
+/// Returns the time until which a connection may be reused, from the response's `Keep-Alive: timeout=N`.
 TimePoint usable_until(std::string_view keep_alive) {
   const TimePoint now = monotonic_now();
   const size_t position = keep_alive.find("timeout=");
@@ -52,10 +52,10 @@
   return now + std::chrono::seconds(timeout_seconds) - kKeepAliveMargin;
 }
 
-/// While the request is under way, a cancellation drops its connection.
-void watch_cancellation(const OpenOptions& options, Connection& connection) {
+/// Makes a cancellation of the request cancel the pending operation of `connection`.
+void drop_connection_on_cancel(const OpenOptions& options, Connection& connection) {
   if (options.cancellation) {
-    options.cancellation->set_action([&connection] { connection.stream.cancel(); });
+    options.cancellation->set_cancel_callback([&connection] { connection.stream.cancel(); });
   }
 }
 
@@ -78,8 +78,8 @@
   return message;
 }
 
-/// True when the peer closed an idle connection, or sent something nobody asked for.
-bool is_stale(asio::ip::tcp::socket& socket) {
+/// Returns true if the peer closed the idle connection or sent unsolicited data.
+bool is_unusable(asio::ip::tcp::socket& socket) {
   char byte = 0;
   socket.non_blocking(true);
   beast::error_code error;
@@ -90,44 +90,44 @@
 }  // namespace
 
 struct HttpClient::Implementation : std::enable_shared_from_this<HttpClient::Implementation> {
-  explicit Implementation(asio::any_io_executor given) : executor(std::move(given)) {}
+  explicit Implementation(asio::any_io_executor given_executor) : executor(std::move(given_executor)) {}
 
-  std::unique_ptr<Connection> take_idle(const std::string& endpoint) {
-    auto& list = idle[endpoint];
+  std::unique_ptr<Connection> take_idle_connection(const std::string& endpoint) {
+    auto& list = idle_connections[endpoint];
     while (!list.empty()) {
       auto connection = std::move(list.back());
       list.pop_back();
       const bool expired = monotonic_now() >= connection->usable_until;
-      if (!expired && !is_stale(connection->stream.socket())) {
-        ++stats.reused;
+      if (!expired && !is_unusable(connection->stream.socket())) {
+        ++stats.connections_reused;
         return connection;
       }
     }
     return nullptr;
   }
 
-  void keep(const std::string& endpoint, std::unique_ptr<Connection> connection) {
-    auto& list = idle[endpoint];
-    if (list.size() < kIdlePerEndpoint) {
+  void keep_idle(const std::string& endpoint, std::unique_ptr<Connection> connection) {
+    auto& list = idle_connections[endpoint];
+    if (list.size() < kMaxIdleConnectionsPerEndpoint) {
       connection->stream.expires_never();
       list.push_back(std::move(connection));
     }
   }
 
   asio::any_io_executor executor;
-  std::map<std::string, std::deque<std::unique_ptr<Connection>>> idle;
+  std::map<std::string, std::deque<std::unique_ptr<Connection>>> idle_connections;
   HttpClientStats stats;
 };
 
 namespace {
 
-/// Calls back with the connection when a whole answer was read and the connection may be kept.
+/// Receives the connection after a complete response was read, if the connection can be reused.
 using KeepConnection = std::function<void(std::unique_ptr<Connection>)>;
 
 class BeastClientStream : public ClientStream {
  public:
-  BeastClientStream(std::unique_ptr<Connection> connection, std::unique_ptr<Parser> parser, KeepConnection keep)
-      : connection_(std::move(connection)), parser_(std::move(parser)), keep_(std::move(keep)) {
+  BeastClientStream(std::unique_ptr<Connection> connection, std::unique_ptr<Parser> parser, KeepConnection keep_idle)
+      : connection_(std::move(connection)), parser_(std::move(parser)), keep_idle_(std::move(keep_idle)) {
     const auto& message = parser_->get();
     head_.status = static_cast<int>(message.result_int());
     head_.reason = std::string(message.reason());
@@ -143,12 +143,13 @@
   asio::awaitable<std::string> read_some(std::chrono::milliseconds timeout) override {
     std::string piece;
     while (piece.empty() && connection_ != nullptr && !parser_->is_done()) {
-      piece.resize(kPieceSize);
+      piece.resize(kReadBufferBytes);
       auto& body = parser_->get().body();
       body.data = piece.data();
       body.size = piece.size();
       connection_->stream.expires_after(timeout);
-      auto [error, count] = co_await http::async_read_some(connection_->stream, connection_->buffer, *parser_, kAwait);
+      auto [error, count] =
+          co_await http::async_read_some(connection_->stream, connection_->buffer, *parser_, kAwaitWithError);
       piece.resize(piece.size() - body.size);
       if (error && error != http::error::need_buffer) {
         error_ = error.message();
@@ -167,32 +168,32 @@
   void close() override {
     if (connection_ != nullptr) {
       connection_->stream.close();
-      reading_done_ = true;
+      reading_finished_ = true;
     }
   }
 
  private:
   void finish_if_done() {
     delimited_by_close_ = delimited_by_close_ || parser_->need_eof();
-    if (!parser_->is_done() || complete_ || reading_done_) {
+    if (!parser_->is_done() || complete_ || reading_finished_) {
       return;
     }
     complete_ = true;
-    reading_done_ = true;
-    // Bytes behind a whole answer belong to no request: such a connection is not used again.
-    if (parser_->keep_alive() && keep_ && connection_->buffer.size() == 0) {
+    reading_finished_ = true;
+    // Surplus bytes after a complete response belong to no request. Such a connection is not reused.
+    if (parser_->keep_alive() && keep_idle_ && connection_->buffer.size() == 0) {
       connection_->usable_until = usable_until(head_.headers.find("keep-alive"));
-      keep_(std::move(connection_));
+      keep_idle_(std::move(connection_));
     }
   }
 
   std::unique_ptr<Connection> connection_;
   std::unique_ptr<Parser> parser_;
-  KeepConnection keep_;
+  KeepConnection keep_idle_;
   HttpResponse head_;
   std::string error_;
   bool complete_ = false;
-  bool reading_done_ = false;
+  bool reading_finished_ = false;
   bool delimited_by_close_ = false;
 };
 
@@ -211,69 +212,72 @@
   auto self = implementation_;
   OpenResult result;
   std::unique_ptr<Connection> connection;
-  const ScopeExit forget([&options] {
+  const ScopeExit clear_cancel_callback([&options] {
     if (options.cancellation) {
-      options.cancellation->set_action(nullptr);
+      options.cancellation->set_cancel_callback(nullptr);
     }
   });
-  if (!options.fresh_connection) {
-    connection = self->take_idle(endpoint);
+  if (!options.require_new_connection) {
+    connection = self->take_idle_connection(endpoint);
   }
   if (connection == nullptr) {
     const auto [host, port] = split_endpoint(endpoint);
-    beast::error_code invalid;
-    const auto address = asio::ip::make_address(host, invalid);
-    if (host.empty() || invalid) {
+    beast::error_code address_error;
+    const auto address = asio::ip::make_address(host, address_error);
+    if (host.empty() || address_error) {
       result.error = "bad endpoint '" + endpoint + "'; endpoints are IP:PORT";
       co_return result;
     }
     connection = std::make_unique<Connection>(self->executor);
     connection->stream.expires_after(std::min(timeout, options.connect_timeout));
-    watch_cancellation(options, *connection);
+    drop_connection_on_cancel(options, *connection);
     const asio::ip::tcp::endpoint target(address, static_cast<uint16_t>(std::stoi(port)));
-    auto [error] = co_await connection->stream.async_connect(target, kAwait);
+    auto [error] = co_await connection->stream.async_connect(target, kAwaitWithError);
     if (error) {
-      ++self->stats.failures;
+      ++self->stats.failed_requests;
       result.error = "cannot connect to " + endpoint + ": " + error.message();
       co_return result;
     }
     ++self->stats.connections;
     beast::error_code ignored;
     connection->stream.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
-    ::setsockopt(connection->stream.socket().native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs,
-                 sizeof(kUserTimeoutMs));
+    ::setsockopt(connection->stream.socket().native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kTcpUserTimeoutMs,
+                 sizeof(kTcpUserTimeoutMs));
   }
-  watch_cancellation(options, *connection);
+  drop_connection_on_cancel(options, *connection);
   if (options.cancellation && options.cancellation->cancelled()) {
     result.error = "cancelled before anything was sent to " + endpoint;
     co_return result;
   }
   if (options.may_send && !options.may_send()) {
-    result.error = "the right to send to " + endpoint + " ended while connecting";
+    result.error = "permission to send to " + endpoint + " ended while connecting";
     co_return result;
   }
   connection->stream.expires_after(timeout);
   auto message = to_beast(endpoint, request);
   result.state = SendState::kMaybeSent;
-  auto [write_error, written] = co_await http::async_write(connection->stream, message, kAwait);
+  auto [write_error, written] = co_await http::async_write(connection->stream, message, kAwaitWithError);
   if (write_error) {
-    ++self->stats.failures;
+    ++self->stats.failed_requests;
     result.error = "sending to " + endpoint + " failed: " + write_error.message();
     co_return result;
   }
   auto parser = std::make_unique<Parser>();
   parser->body_limit(boost::none);
-  parser->header_limit(kLargestHead);
+  parser->header_limit(kMaxResponseHeadBytes);
   parser->skip(request.method == "HEAD");
-  auto [read_error, count] = co_await http::async_read_header(connection->stream, connection->buffer, *parser, kAwait);
+  auto [read_error, count] =
+      co_await http::async_read_header(connection->stream, connection->buffer, *parser, kAwaitWithError);
   if (read_error) {
-    ++self->stats.failures;
-    result.error = "no answer from " + endpoint + ": " + read_error.message();
+    ++self->stats.failed_requests;
+    result.error = "no response from " + endpoint + ": " + read_error.message();
     co_return result;
   }
-  result.state = SendState::kAnswered;
-  KeepConnection keep = [self, endpoint](std::unique_ptr<Connection> kept) { self->keep(endpoint, std::move(kept)); };
-  result.stream = std::make_unique<BeastClientStream>(std::move(connection), std::move(parser), std::move(keep));
+  result.state = SendState::kResponseStarted;
+  KeepConnection keep_idle = [self, endpoint](std::unique_ptr<Connection> idle_connection) {
+    self->keep_idle(endpoint, std::move(idle_connection));
+  };
+  result.stream = std::make_unique<BeastClientStream>(std::move(connection), std::move(parser), std::move(keep_idle));
   co_return result;
 }
 
@@ -297,7 +301,7 @@
     response.body += piece;
   }
   if (!opened.stream->complete()) {
-    result.error = "answer from " + endpoint + " broke off: " + opened.stream->error();
+    result.error = "incomplete response from " + endpoint + ": " + opened.stream->error();
     co_return result;
   }
   result.response = std::move(response);
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -19,47 +19,50 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
 using RequestParser = http::request_parser<http::string_body>;
 
-std::string problem_body(int status, std::string_view title, std::string_view remedy) {
+std::string make_problem_body(int status, std::string_view title, std::string_view remedy) {
   return "{\"type\":\"about:blank\",\"status\":" + std::to_string(status) + ",\"title\":\"" + std::string(title) +
          "\",\"remedy\":\"" + std::string(remedy) + "\",\"outcome\":\"not-run\"}";
 }
 
-constexpr size_t kHeadReadSize = 4096;
-/// How long the rest of a refused request is read and dropped, so that closing does not reset the answer away.
-constexpr auto kDiscardTime = std::chrono::milliseconds(300);
+constexpr size_t kHeadReadBytes = 4096;
+/// How long the rest of a rejected request is read and discarded. Closing with unread data would reset the connection,
+/// and the client could lose the response.
+constexpr auto kDiscardTimeout = std::chrono::milliseconds(300);
 
-std::string_view bytes_of(const beast::flat_buffer& buffer) {
+std::string_view buffered_bytes(const beast::flat_buffer& buffer) {
   return {static_cast<const char*>(buffer.data().data()), buffer.size()};
 }
 
-/// Position of the empty line that ends a head; npos while it is incomplete.
-size_t head_end(const beast::flat_buffer& buffer) { return bytes_of(buffer).find("\r\n\r\n"); }
+/// Returns the position of the empty line that ends the head, or npos while the head is incomplete.
+size_t find_head_end(const beast::flat_buffer& buffer) { return buffered_bytes(buffer).find("\r\n\r\n"); }
 
-std::string_view head_of(const beast::flat_buffer& buffer) { return bytes_of(buffer).substr(0, head_end(buffer)); }
+std::string_view buffered_head(const beast::flat_buffer& buffer) {
+  return buffered_bytes(buffer).substr(0, find_head_end(buffer));
+}
 
-HttpResponse problem(int status, std::string_view title, std::string_view remedy) {
+HttpResponse make_problem_response(int status, std::string_view title, std::string_view remedy) {
   HttpResponse response;
   response.status = status;
   response.headers.add("Content-Type", "application/problem+json");
   response.headers.add("Larchlever-Outcome", "not-run");
-  response.body = problem_body(status, title, remedy);
+  response.body = make_problem_body(status, title, remedy);
   return response;
 }
 
 }  // namespace
 
 struct HttpServer::Implementation : std::enable_shared_from_this<HttpServer::Implementation> {
-  Implementation(asio::any_io_executor given, HttpServerOptions given_options, HttpHandler& given_handler)
-      : executor(std::move(given)), options(given_options), handler(&given_handler), acceptor(executor) {}
+  Implementation(asio::any_io_executor given_executor, HttpServerOptions given_options, HttpHandler& given_handler)
+      : executor(std::move(given_executor)), options(given_options), handler(&given_handler), acceptor(executor) {}
 
-  /// Holds the server from the call on: the coroutine begins when the executor gets to it.
+  /// `self` keeps the server alive from the call on, because the coroutine starts only when the executor runs it.
   asio::awaitable<void> accept_loop(std::shared_ptr<Implementation> self);
   asio::awaitable<void> serve(std::shared_ptr<TimedStream> stream);
   asio::awaitable<beast::error_code> read_head_bytes(TimedStream& stream, beast::flat_buffer& buffer, bool is_first);
-  asio::awaitable<void> refuse(std::shared_ptr<TimedStream> stream, int status, std::string title);
+  asio::awaitable<void> reject_request(std::shared_ptr<TimedStream> stream, int status, std::string title);
 
   asio::any_io_executor executor;
   HttpServerOptions options;
@@ -68,8 +71,8 @@
   bool draining = false;
   bool closed = false;
   std::set<std::shared_ptr<TimedStream>> streams;
-  /// Connections on which no request is being read or served, and since when.
-  std::map<std::shared_ptr<TimedStream>, std::chrono::steady_clock::time_point> idle;
+  /// Connections on which no request is being read or served, with the time at which they became idle.
+  std::map<std::shared_ptr<TimedStream>, std::chrono::steady_clock::time_point> idle_since;
   HttpServerStats stats;
 };
 
@@ -77,7 +80,7 @@
 
 class BeastExchange : public HttpExchange, public std::enable_shared_from_this<BeastExchange> {
  public:
-  /// `draining` is the server's own flag, which may change while the request is served.
+  /// `draining` refers to the server's flag, which may change while the request is served.
   BeastExchange(std::shared_ptr<TimedStream> stream, const HttpServerOptions& options, const bool& draining,
                 http::request<http::string_body> message)
       : stream_(std::move(stream)),
@@ -109,19 +112,19 @@
     stream_->expires_after(options_.write_timeout);
     beast::error_code error;
     if (request_.method == "HEAD") {
-      std::tie(error, std::ignore) = co_await http::async_write_header(*stream_, serializer, kAwait);
+      std::tie(error, std::ignore) = co_await http::async_write_header(*stream_, serializer, kAwaitWithError);
     } else {
-      std::tie(error, std::ignore) = co_await http::async_write(*stream_, serializer, kAwait);
+      std::tie(error, std::ignore) = co_await http::async_write(*stream_, serializer, kAwaitWithError);
     }
-    finished_ = !error;
-    gone_ = gone_ || static_cast<bool>(error);
+    response_sent_ = !error;
+    disconnected_ = disconnected_ || static_cast<bool>(error);
   }
 
   asio::awaitable<bool> begin_stream(const HttpResponse& head) override {
     const bool has_length = head.headers.contains("content-length");
     if (version_ < 11 && !has_length) {
-      gathered_ = head;
-      co_return !gone_;
+      buffered_response_ = head;
+      co_return !disconnected_;
     }
     http::response<http::empty_body> message;
     fill_head(head, message);
@@ -133,85 +136,89 @@
     }
     http::response_serializer<http::empty_body> serializer(message);
     stream_->expires_after(options_.write_timeout);
-    auto [error, count] = co_await http::async_write_header(*stream_, serializer, kAwait);
-    gone_ = gone_ || static_cast<bool>(error);
-    co_return !gone_;
+    auto [error, count] = co_await http::async_write_header(*stream_, serializer, kAwaitWithError);
+    disconnected_ = disconnected_ || static_cast<bool>(error);
+    co_return !disconnected_;
   }
 
   asio::awaitable<bool> write_piece(std::string_view piece) override {
-    if (gathered_) {
-      gathered_->body.append(piece);
-      co_return !gone_;
+    if (buffered_response_) {
+      buffered_response_->body.append(piece);
+      co_return !disconnected_;
     }
-    if (!gone_ && !piece.empty()) {
+    if (!disconnected_ && !piece.empty()) {
       stream_->expires_after(options_.write_timeout);
       const asio::const_buffer data(piece.data(), piece.size());
       beast::error_code error;
       if (chunked_) {
-        std::tie(error, std::ignore) = co_await asio::async_write(*stream_, http::make_chunk(data), kAwait);
+        std::tie(error, std::ignore) = co_await asio::async_write(*stream_, http::make_chunk(data), kAwaitWithError);
       } else {
-        std::tie(error, std::ignore) = co_await asio::async_write(*stream_, data, kAwait);
+        std::tie(error, std::ignore) = co_await asio::async_write(*stream_, data, kAwaitWithError);
       }
-      gone_ = gone_ || static_cast<bool>(error);
+      disconnected_ = disconnected_ || static_cast<bool>(error);
     }
-    co_return !gone_;
+    co_return !disconnected_;
   }
 
   asio::awaitable<void> end_stream() override {
-    if (gathered_) {
-      HttpResponse whole = std::move(*gathered_);
-      gathered_.reset();
-      co_await respond(std::move(whole));
+    if (buffered_response_) {
+      HttpResponse complete_response = std::move(*buffered_response_);
+      buffered_response_.reset();
+      co_await respond(std::move(complete_response));
       co_return;
     }
-    if (gone_) {
+    if (disconnected_) {
       co_return;
     }
-    finished_ = true;
+    response_sent_ = true;
     if (chunked_) {
       stream_->expires_after(options_.write_timeout);
-      auto [error, count] = co_await asio::async_write(*stream_, http::make_chunk_last(), kAwait);
-      finished_ = !error;
+      auto [error, count] = co_await asio::async_write(*stream_, http::make_chunk_last(), kAwaitWithError);
+      response_sent_ = !error;
     }
   }
 
-  void watch_caller(std::function<void()> on_gone) override {
-    asio::co_spawn(stream_->get_executor(), watch(shared_from_this(), std::move(on_gone)), asio::detached);
+  void notify_on_disconnect(std::function<void()> on_disconnect) override {
+    asio::co_spawn(stream_->get_executor(), watch_for_disconnect(shared_from_this(), std::move(on_disconnect)),
+                   asio::detached);
   }
 
-  bool caller_gone() const override { return gone_; }
-  /// A whole answer was sent, so the connection can carry another request.
-  bool finished() const { return finished_; }
+  bool caller_disconnected() const override { return disconnected_; }
+  /// True if a complete response was sent, so that the connection can be reused.
+  bool response_sent() const { return response_sent_; }
   bool keep_alive() const { return keep_alive_; }
-  void close_after() { keep_alive_ = false; }
-  void end_watch() {
-    watching_ended_ = true;
+  void close_after_response() { keep_alive_ = false; }
+  void stop_disconnect_watch() {
+    disconnect_watch_stopped_ = true;
     beast::error_code ignored;
-    if (watch_pending_) {
-      watch_signal_->cancel(ignored);
+    if (disconnect_watch_pending_) {
+      disconnect_watch_descriptor_->cancel(ignored);
     }
   }
 
  private:
-  static asio::awaitable<void> watch(std::shared_ptr<BeastExchange> self, std::function<void()> on_gone) {
-    // A second descriptor for the same socket, so that waiting here never disturbs the stream's own operations.
-    const int copy = ::dup(self->stream_->socket().native_handle());
-    if (copy < 0) {
+  static asio::awaitable<void> watch_for_disconnect(std::shared_ptr<BeastExchange> self,
+                                                    std::function<void()> on_disconnect) {
+    // A second descriptor for the same socket, so that this wait does not interfere with the stream's operations.
+    const int duplicate_descriptor = ::dup(self->stream_->socket().native_handle());
+    if (duplicate_descriptor < 0) {
       co_return;
     }
-    self->watch_signal_ = std::make_unique<asio::posix::stream_descriptor>(self->stream_->get_executor(), copy);
-    self->watch_pending_ = true;
-    auto [error] = co_await self->watch_signal_->async_wait(asio::posix::stream_descriptor::wait_read, kAwait);
-    self->watch_pending_ = false;
-    if (error || self->watching_ended_) {
+    self->disconnect_watch_descriptor_ =
+        std::make_unique<asio::posix::stream_descriptor>(self->stream_->get_executor(), duplicate_descriptor);
+    self->disconnect_watch_pending_ = true;
+    auto [error] = co_await self->disconnect_watch_descriptor_->async_wait(asio::posix::stream_descriptor::wait_read,
+                                                                           kAwaitWithError);
+    self->disconnect_watch_pending_ = false;
+    if (error || self->disconnect_watch_stopped_) {
       co_return;
     }
     char byte = 0;
-    const ssize_t count = ::recv(copy, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    const ssize_t count = ::recv(duplicate_descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     const bool closed = count == 0 || (count < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
     if (closed) {
-      self->gone_ = true;
-      on_gone();
+      self->disconnected_ = true;
+      on_disconnect();
     }
   }
 
@@ -227,26 +234,26 @@
         message.insert(name, value);
       }
     }
-    // Decided now and not when the request was read: a connection is closed only after an answer that said so, since
-    // the caller's next request may be under way otherwise.
+    // Decided when the head is written, not when the request is read: a connection may only be closed after a response
+    // that announced it, because the client's next request may already be on its way.
     keep_alive_ = keep_alive_ && !draining_;
     message.keep_alive(keep_alive_);
   }
 
   std::shared_ptr<TimedStream> stream_;
-  /// A copy: the server's options may change while the request is served.
+  /// A copy, because the server's options may change while the request is served.
   HttpServerOptions options_;
   const bool& draining_;
   HttpRequest request_;
   bool keep_alive_ = false;
   unsigned version_ = 11;
-  bool gone_ = false;
+  bool disconnected_ = false;
   bool chunked_ = true;
-  std::optional<HttpResponse> gathered_;
-  bool finished_ = false;
-  bool watching_ended_ = false;
-  bool watch_pending_ = false;
-  std::unique_ptr<asio::posix::stream_descriptor> watch_signal_;
+  std::optional<HttpResponse> buffered_response_;
+  bool response_sent_ = false;
+  bool disconnect_watch_stopped_ = false;
+  bool disconnect_watch_pending_ = false;
+  std::unique_ptr<asio::posix::stream_descriptor> disconnect_watch_descriptor_;
 };
 
 }  // namespace
@@ -254,17 +261,18 @@
 asio::awaitable<void> HttpServer::Implementation::accept_loop(std::shared_ptr<Implementation> self) {
   while (acceptor.is_open()) {
     asio::ip::tcp::socket socket(executor);
-    auto [error] = co_await acceptor.async_accept(socket, kAwait);
+    auto [error] = co_await acceptor.async_accept(socket, kAwaitWithError);
     if (error == asio::error::operation_aborted || !acceptor.is_open()) {
       co_return;
     }
     if (error) {
-      // Out of descriptors, most likely: breathe instead of spinning.
-      asio::steady_timer pause(executor, std::chrono::milliseconds(50));
-      co_await pause.async_wait(kAwait);
+      // Most likely the process is out of file descriptors. Wait before the next attempt instead of retrying in a busy
+      // loop.
+      asio::steady_timer retry_timer(executor, std::chrono::milliseconds(50));
+      co_await retry_timer.async_wait(kAwaitWithError);
       continue;
     }
-    if (stats.open_connections >= static_cast<int64_t>(options.most_connections)) {
+    if (stats.open_connections >= static_cast<int64_t>(options.max_connections)) {
       ++stats.refused_connections;
       continue;
     }
@@ -290,16 +298,16 @@
                                                                                bool is_first) {
   stream.expires_after(is_first ? options.head_timeout : options.idle_timeout);
   bool started = buffer.size() > 0;
-  while (head_end(buffer) == std::string_view::npos) {
-    if (buffer.size() > options.largest_head) {
+  while (find_head_end(buffer) == std::string_view::npos) {
+    if (buffer.size() > options.head_limit_bytes) {
       co_return http::error::header_limit;
     }
     if (!started && buffer.size() > 0) {
       started = true;
       stream.expires_after(options.head_timeout);
     }
-    const auto space = buffer.prepare(kHeadReadSize);
-    auto [error, count] = co_await stream.async_read_some(space, kAwait);
+    const auto read_buffer = buffer.prepare(kHeadReadBytes);
+    auto [error, count] = co_await stream.async_read_some(read_buffer, kAwaitWithError);
     buffer.commit(count);
     if (error) {
       co_return buffer.size() == 0 && error == asio::error::eof ? beast::error_code(http::error::end_of_stream) : error;
@@ -308,62 +316,62 @@
   co_return beast::error_code();
 }
 
-asio::awaitable<void> HttpServer::Implementation::refuse(std::shared_ptr<TimedStream> stream, int status,
-                                                         std::string title) {
+asio::awaitable<void> HttpServer::Implementation::reject_request(std::shared_ptr<TimedStream> stream, int status,
+                                                                 std::string title) {
   http::request<http::string_body> empty;
   auto exchange = std::make_shared<BeastExchange>(stream, options, draining, std::move(empty));
-  exchange->close_after();
-  auto answer = problem(status, title, "send a valid HTTP/1.1 request within the limits");
+  exchange->close_after_response();
+  auto answer = make_problem_response(status, title, "send a valid HTTP/1.1 request within the limits");
   co_await exchange->respond(std::move(answer));
   beast::error_code error;
   stream->socket().shutdown(asio::ip::tcp::socket::shutdown_send, error);
-  stream->expires_after(kDiscardTime);
-  std::array<char, kHeadReadSize> dropped{};
+  stream->expires_after(kDiscardTimeout);
+  std::array<char, kHeadReadBytes> discarded_bytes{};
   while (!error) {
-    const asio::mutable_buffer space(dropped.data(), dropped.size());
-    std::tie(error, std::ignore) = co_await stream->async_read_some(space, kAwait);
+    const asio::mutable_buffer read_buffer(discarded_bytes.data(), discarded_bytes.size());
+    std::tie(error, std::ignore) = co_await stream->async_read_some(read_buffer, kAwaitWithError);
   }
 }
 
 asio::awaitable<void> HttpServer::Implementation::serve(std::shared_ptr<TimedStream> stream) {
   beast::flat_buffer buffer;
-  bool first = true;
+  bool is_first_request = true;
   while (!closed) {
     RequestParser parser;
-    parser.header_limit(static_cast<uint32_t>(options.largest_head));
-    parser.body_limit(options.largest_body);
-    idle.emplace(stream, std::chrono::steady_clock::now());
-    beast::error_code error = co_await read_head_bytes(*stream, buffer, first);
-    idle.erase(stream);
-    first = false;
+    parser.header_limit(static_cast<uint32_t>(options.head_limit_bytes));
+    parser.body_limit(options.body_limit_bytes);
+    idle_since.emplace(stream, std::chrono::steady_clock::now());
+    beast::error_code error = co_await read_head_bytes(*stream, buffer, is_first_request);
+    idle_since.erase(stream);
+    is_first_request = false;
     if (!error) {
-      if (const auto fault = find_head_fault(head_of(buffer))) {
-        ++stats.malformed;
-        co_await refuse(stream, http_status::kBadRequest, *fault);
+      if (const auto head_error = find_head_error(buffered_head(buffer))) {
+        ++stats.malformed_requests;
+        co_await reject_request(stream, http_status::kBadRequest, *head_error);
         break;
       }
       stream->expires_after(options.body_timeout);
-      auto [read_error, read_size] = co_await http::async_read(*stream, buffer, parser, kAwait);
+      auto [read_error, read_size] = co_await http::async_read(*stream, buffer, parser, kAwaitWithError);
       error = read_error;
     }
     if (error == http::error::end_of_stream || closed) {
       break;
     }
     if (error) {
-      const bool large_body = error == http::error::body_limit;
-      const bool large_head = error == http::error::header_limit || error == http::error::buffer_overflow;
-      const bool late = error == beast::error::timeout;
-      const bool malformed =
-          !large_body && !large_head && error.category() == http::make_error_code(http::error::bad_target).category();
-      stats.too_large += large_body || large_head ? 1 : 0;
-      stats.timeouts += late ? 1 : 0;
-      stats.malformed += malformed ? 1 : 0;
-      if (large_body) {
-        co_await refuse(stream, http_status::kPayloadTooLarge, "request body too large");
-      } else if (large_head) {
-        co_await refuse(stream, http_status::kPayloadTooLarge, "request head too large");
+      const bool body_too_large = error == http::error::body_limit;
+      const bool head_too_large = error == http::error::header_limit || error == http::error::buffer_overflow;
+      const bool timed_out = error == beast::error::timeout;
+      const bool malformed = !body_too_large && !head_too_large &&
+                             error.category() == http::make_error_code(http::error::bad_target).category();
+      stats.oversized_requests += body_too_large || head_too_large ? 1 : 0;
+      stats.timed_out_requests += timed_out ? 1 : 0;
+      stats.malformed_requests += malformed ? 1 : 0;
+      if (body_too_large) {
+        co_await reject_request(stream, http_status::kPayloadTooLarge, "request body too large");
+      } else if (head_too_large) {
+        co_await reject_request(stream, http_status::kPayloadTooLarge, "request head too large");
       } else if (malformed) {
-        co_await refuse(stream, http_status::kBadRequest, "malformed HTTP request");
+        co_await reject_request(stream, http_status::kBadRequest, "malformed HTTP request");
       }
       break;
     }
@@ -377,9 +385,9 @@
     } catch (const std::exception&) {
       failed = true;
     }
-    exchange->end_watch();
+    exchange->stop_disconnect_watch();
     --stats.active_requests;
-    if (failed || !exchange->finished() || !exchange->keep_alive()) {
+    if (failed || !exchange->response_sent() || !exchange->keep_alive()) {
       break;
     }
   }
@@ -424,11 +432,11 @@
 
 void HttpServer::begin_draining() { implementation_->draining = true; }
 
-void HttpServer::close_idle(std::chrono::milliseconds idle_for) {
-  const auto resting_since = std::chrono::steady_clock::now() - idle_for;
-  const auto idle = implementation_->idle;
-  for (const auto& [stream, since] : idle) {
-    if (since <= resting_since) {
+void HttpServer::close_idle_connections(std::chrono::milliseconds min_idle_time) {
+  const auto latest_idle_start = std::chrono::steady_clock::now() - min_idle_time;
+  const auto idle_since = implementation_->idle_since;
+  for (const auto& [stream, idle_start] : idle_since) {
+    if (idle_start <= latest_idle_start) {
       stream->cancel();
     }
   }
--- a/src/net/listener_probe.cc
+++ b/src/net/listener_probe.cc
@@ -13,8 +13,9 @@
 
 namespace {
 
-/// Who does not serve closes within a round trip or two.
-constexpr auto kCloseTime = std::chrono::milliseconds(15);
+/// How long to wait for the peer to close the connection. A peer that does not serve closes it within one or two round
+/// trips.
+constexpr auto kCloseWait = std::chrono::milliseconds(15);
 
 }  // namespace
 
@@ -35,13 +36,13 @@
   if (error) {
     co_return ListenerState::kUnknown;
   }
-  // A server that takes the connection says nothing before it was asked.
-  stream.expires_after(kCloseTime);
+  // A server that accepts the connection sends nothing before it receives a request.
+  stream.expires_after(kCloseWait);
   char byte = 0;
-  const auto space = asio::buffer(&byte, 1);
-  std::tie(error, std::ignore) = co_await stream.async_read_some(space, asio::as_tuple(asio::use_awaitable));
-  const bool was_kept = !error || error == beast::error::timeout;
-  co_return was_kept ? ListenerState::kListening : ListenerState::kClosed;
+  const auto read_buffer = asio::buffer(&byte, 1);
+  std::tie(error, std::ignore) = co_await stream.async_read_some(read_buffer, asio::as_tuple(asio::use_awaitable));
+  const bool stayed_open = !error || error == beast::error::timeout;
+  co_return stayed_open ? ListenerState::kListening : ListenerState::kAcceptedThenClosed;
 }
 
 }  // namespace larchlever::net
--- a/src/net/peer_transport.cc
+++ b/src/net/peer_transport.cc
@@ -19,16 +19,16 @@
 
 namespace {
 
-constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kLargestQueue = 96U << 20U;
-constexpr size_t kReadSize = 64 * 1024;
-constexpr auto kRedialPause = std::chrono::milliseconds(60);
-/// A connection that takes longer is begun anew: the opening packet was lost, perhaps since the machine was just
-/// starting, and the kernel sends it again only after a second.
+constexpr auto kAwaitWithError = asio::as_tuple(asio::use_awaitable);
+constexpr size_t kMaxQueuedBytes = 96U << 20U;
+constexpr size_t kReadBufferBytes = 64 * 1024;
+constexpr auto kReconnectDelay = std::chrono::milliseconds(60);
+/// Connection attempts are abandoned and repeated after this time. The SYN may be lost, for instance while the peer's
+/// machine starts, and the kernel retransmits it only after a second.
 constexpr auto kConnectTimeout = std::chrono::milliseconds(300);
-/// Peers answer within milliseconds. A link that carries our messages but brings nothing back is dead in one direction,
-/// which TCP does not notice when a box in between swallows the bytes: it is dropped and dialled anew.
-constexpr auto kSilenceLimit = std::chrono::milliseconds(2000);
+/// A link on which nothing is received for this long after a message was sent is closed and reopened, since peers
+/// answer within milliseconds. A middlebox can silently drop packets in one direction, which TCP does not detect.
+constexpr auto kReplyTimeout = std::chrono::milliseconds(2000);
 
 struct Link {
   explicit Link(const asio::any_io_executor& executor) : socket(executor) {}
@@ -39,14 +39,15 @@
   bool connected = false;
   bool writing = false;
   bool closed = false;
-  /// When the first message left since something last came back; nothing while the peer answers.
+  /// Send time of the first message since data was last received on this link; empty if the peer has answered.
   std::optional<TimePoint> unanswered_since;
 };
 
 using LinkPointer = std::shared_ptr<Link>;
 
-/// No delay for small messages; and a peer that vanished without a word is noticed by its missing acknowledgements.
-void configure(tcp::socket& socket) {
+/// Disables Nagle's algorithm for small messages, and sets a timeout for unacknowledged data that detects a peer that
+/// vanished without closing the connection.
+void set_socket_options(tcp::socket& socket) {
   boost::system::error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   const unsigned int timeout_ms = 5000;
@@ -56,18 +57,18 @@
 }  // namespace
 
 struct PeerTransport::Implementation : std::enable_shared_from_this<PeerTransport::Implementation> {
-  Implementation(asio::any_io_executor given, Receiver given_receiver)
-      : executor(std::move(given)), receiver(std::move(given_receiver)), acceptor(executor) {}
+  Implementation(asio::any_io_executor given_executor, Receiver given_receiver)
+      : executor(std::move(given_executor)), receiver(std::move(given_receiver)), acceptor(executor) {}
 
-  // Coroutines begin when the executor gets to them, by when the transport may be gone: each holds what it works on
-  // from the call on, as `self`.
-  using Self = std::shared_ptr<Implementation>;
-  asio::awaitable<void> accept_loop(Self self);
-  asio::awaitable<void> read_loop(Self self, LinkPointer link);
-  asio::awaitable<void> write_loop(Self self, LinkPointer link);
-  asio::awaitable<void> dial(Self self, LinkPointer link, std::string endpoint);
-  /// False when the link sent something that is no frame of ours.
-  bool consume(const LinkPointer& link, std::string& buffer);
+  // Coroutines start only when the executor runs them, and the transport may be destroyed before that. `self` and the
+  // other shared pointers keep what a coroutine uses alive from the call on.
+  using ImplementationPointer = std::shared_ptr<Implementation>;
+  asio::awaitable<void> accept_loop(ImplementationPointer self);
+  asio::awaitable<void> read_loop(ImplementationPointer self, LinkPointer link);
+  asio::awaitable<void> write_loop(ImplementationPointer self, LinkPointer link);
+  asio::awaitable<void> connect_to_peer(ImplementationPointer self, LinkPointer link, std::string endpoint);
+  /// Passes complete frames of `buffer` to the receiver. Returns false if the link sent an invalid frame.
+  bool process_frames(const LinkPointer& link, std::string& buffer);
   void close(const LinkPointer& link);
   void enqueue(const LinkPointer& link, std::string frame);
 
@@ -75,33 +76,33 @@
   Receiver receiver;
   tcp::acceptor acceptor;
   std::map<std::string, std::string> addresses;
-  std::map<std::string, LinkPointer> by_node;
-  std::map<std::string, TimePoint> redial_after;
+  std::map<std::string, LinkPointer> links_by_node;
+  std::map<std::string, TimePoint> reconnect_not_before;
   std::set<LinkPointer> links;
   bool stopped = false;
   PeerStats stats;
 };
 
-asio::awaitable<void> PeerTransport::Implementation::accept_loop(Self self) {
+asio::awaitable<void> PeerTransport::Implementation::accept_loop(ImplementationPointer self) {
   while (acceptor.is_open()) {
     auto link = std::make_shared<Link>(executor);
-    auto [error] = co_await acceptor.async_accept(link->socket, kAwait);
+    auto [error] = co_await acceptor.async_accept(link->socket, kAwaitWithError);
     if (error == asio::error::operation_aborted || stopped) {
       co_return;
     }
     if (error) {
-      asio::steady_timer pause(executor, std::chrono::milliseconds(50));
-      co_await pause.async_wait(kAwait);
+      asio::steady_timer retry_timer(executor, std::chrono::milliseconds(50));
+      co_await retry_timer.async_wait(kAwaitWithError);
       continue;
     }
-    configure(link->socket);
+    set_socket_options(link->socket);
     link->connected = true;
     links.insert(link);
     asio::co_spawn(executor, read_loop(self, link), asio::detached);
   }
 }
 
-bool PeerTransport::Implementation::consume(const LinkPointer& link, std::string& buffer) {
+bool PeerTransport::Implementation::process_frames(const LinkPointer& link, std::string& buffer) {
   size_t consumed = 0;
   while (true) {
     std::string_view payload;
@@ -119,7 +120,7 @@
     consumed += size;
     if (link->node != envelope->from_node) {
       link->node = envelope->from_node;
-      by_node[link->node] = link;
+      links_by_node[link->node] = link;
     }
     receiver(std::move(*envelope));
   }
@@ -127,27 +128,27 @@
   return true;
 }
 
-asio::awaitable<void> PeerTransport::Implementation::read_loop(Self self, LinkPointer link) {
+asio::awaitable<void> PeerTransport::Implementation::read_loop(ImplementationPointer self, LinkPointer link) {
   std::string buffer;
-  std::string piece(kReadSize, '\0');
+  std::string read_buffer(kReadBufferBytes, '\0');
   while (!link->closed) {
-    auto [error, count] = co_await link->socket.async_read_some(asio::buffer(piece), kAwait);
+    auto [error, count] = co_await link->socket.async_read_some(asio::buffer(read_buffer), kAwaitWithError);
     if (error) {
       break;
     }
     self->stats.bytes_received += count;
     link->unanswered_since.reset();
-    buffer.append(piece.data(), count);
-    if (!consume(link, buffer)) {
+    buffer.append(read_buffer.data(), count);
+    if (!process_frames(link, buffer)) {
       break;
     }
   }
   close(link);
 }
 
-asio::awaitable<void> PeerTransport::Implementation::write_loop(Self self, LinkPointer link) {
+asio::awaitable<void> PeerTransport::Implementation::write_loop(ImplementationPointer self, LinkPointer link) {
   while (!link->queue.empty() && !link->closed) {
-    // One write for everything that waits: fewer system calls when messages come in bursts.
+    // Write all queued messages at once, which needs fewer system calls when messages come in bursts.
     std::vector<std::string> batch(std::make_move_iterator(link->queue.begin()),
                                    std::make_move_iterator(link->queue.end()));
     link->queue.clear();
@@ -157,7 +158,7 @@
     for (const auto& frame : batch) {
       buffers.push_back(asio::buffer(frame));
     }
-    auto [error, count] = co_await asio::async_write(link->socket, buffers, kAwait);
+    auto [error, count] = co_await asio::async_write(link->socket, buffers, kAwaitWithError);
     if (error) {
       close(link);
       break;
@@ -173,19 +174,19 @@
     return;
   }
   link->closed = true;
-  stats.dropped += link->queue.size();
+  stats.messages_dropped += link->queue.size();
   boost::system::error_code ignored;
   link->socket.close(ignored);
-  const auto found = by_node.find(link->node);
-  if (found != by_node.end() && found->second == link) {
-    by_node.erase(found);
+  const auto found = links_by_node.find(link->node);
+  if (found != links_by_node.end() && found->second == link) {
+    links_by_node.erase(found);
   }
   links.erase(link);
 }
 
 void PeerTransport::Implementation::enqueue(const LinkPointer& link, std::string frame) {
-  if (link->queued_bytes + frame.size() > kLargestQueue) {
-    ++stats.dropped;
+  if (link->queued_bytes + frame.size() > kMaxQueuedBytes) {
+    ++stats.messages_dropped;
     return;
   }
   link->queued_bytes += frame.size();
@@ -196,11 +197,12 @@
   }
 }
 
-asio::awaitable<void> PeerTransport::Implementation::dial(Self self, LinkPointer link, std::string endpoint) {
+asio::awaitable<void> PeerTransport::Implementation::connect_to_peer(ImplementationPointer self, LinkPointer link,
+                                                                     std::string endpoint) {
   const auto [host, port] = split_endpoint(endpoint);
-  boost::system::error_code invalid;
-  const auto address = asio::ip::make_address(host, invalid);
-  if (invalid) {
+  boost::system::error_code address_error;
+  const auto address = asio::ip::make_address(host, address_error);
+  if (address_error) {
     close(link);
     co_return;
   }
@@ -212,16 +214,16 @@
     }
   });
   const tcp::endpoint target(address, static_cast<uint16_t>(std::stoi(port)));
-  auto [error] = co_await link->socket.async_connect(target, kAwait);
+  auto [error] = co_await link->socket.async_connect(target, kAwaitWithError);
   timer.cancel();
   if (error || link->closed) {
     ++stats.connect_failures;
-    redial_after[link->node] = monotonic_now() + kRedialPause;
+    reconnect_not_before[link->node] = monotonic_now() + kReconnectDelay;
     close(link);
     co_return;
   }
-  ++stats.connects;
-  configure(link->socket);
+  ++stats.connections_opened;
+  set_socket_options(link->socket);
   link->connected = true;
   if (!link->queue.empty() && !link->writing) {
     link->writing = true;
@@ -256,30 +258,30 @@
   }
   const std::string& node = envelope.to_node;
   const auto now = monotonic_now();
-  auto found = self.by_node.find(node);
-  if (found != self.by_node.end() && found->second->unanswered_since &&
-      now - *found->second->unanswered_since > kSilenceLimit) {
+  auto found = self.links_by_node.find(node);
+  if (found != self.links_by_node.end() && found->second->unanswered_since &&
+      now - *found->second->unanswered_since > kReplyTimeout) {
     ++self.stats.silent_links;
     self.close(LinkPointer(found->second));
-    found = self.by_node.end();
+    found = self.links_by_node.end();
   }
-  if (found == self.by_node.end()) {
-    const auto named = self.addresses.find(node);
-    // Where no address was set, the node may be named by its endpoint.
-    const std::string endpoint = named != self.addresses.end()        ? named->second
-                                 : split_endpoint(node).first.empty() ? std::string()
-                                                                      : node;
-    const auto pause = self.redial_after.find(node);
-    const bool too_soon = pause != self.redial_after.end() && now < pause->second;
-    if (endpoint.empty() || too_soon) {
-      ++self.stats.dropped;
+  if (found == self.links_by_node.end()) {
+    const auto known_address = self.addresses.find(node);
+    // If no address was set, the node name itself may be an endpoint.
+    const std::string endpoint = known_address != self.addresses.end() ? known_address->second
+                                 : split_endpoint(node).first.empty()  ? std::string()
+                                                                       : node;
+    const auto next_reconnect = self.reconnect_not_before.find(node);
+    const bool reconnect_delayed = next_reconnect != self.reconnect_not_before.end() && now < next_reconnect->second;
+    if (endpoint.empty() || reconnect_delayed) {
+      ++self.stats.messages_dropped;
       return;
     }
     auto link = std::make_shared<Link>(self.executor);
     link->node = node;
     self.links.insert(link);
-    found = self.by_node.emplace(node, link).first;
-    asio::co_spawn(self.executor, self.dial(implementation_, link, endpoint), asio::detached);
+    found = self.links_by_node.emplace(node, link).first;
+    asio::co_spawn(self.executor, self.connect_to_peer(implementation_, link, endpoint), asio::detached);
   }
   if (!found->second->unanswered_since) {
     found->second->unanswered_since = now;
--- a/src/net/timed_stream.h
+++ b/src/net/timed_stream.h
@@ -13,11 +13,10 @@
 
 namespace larchlever::net {
 
-/// A TCP stream whose operations end with `boost::beast::error::timeout`, and a closed socket, when they take too long.
-///
-/// An operation times out only if the socket has nothing for it: a process that stood still finds its timers overdue
-/// before it has looked at its sockets, and what arrived meanwhile is to be read first. One executor and one operation
-/// at a time; not thread-safe. Models Asio's AsyncReadStream and AsyncWriteStream.
+/// A TCP stream whose operations fail with `boost::beast::error::timeout` and close the socket when their deadline
+/// passes. An operation times out only if the socket is not ready for it: after a pause of the process its timers fire
+/// before its sockets are polled, and data that arrived during the pause must be read first. Runs on one executor, with
+/// one operation at a time; not thread-safe. Models Asio's AsyncReadStream and AsyncWriteStream.
 class TimedStream {
  public:
   using executor_type = boost::asio::any_io_executor;
@@ -33,61 +32,61 @@
   executor_type get_executor() { return state_->socket.get_executor(); }
   boost::asio::ip::tcp::socket& socket() { return state_->socket; }
 
-  /// Bounds the operations that follow, all together, until the next call.
+  /// Sets one deadline for all operations that follow, until the next call.
   void expires_after(std::chrono::milliseconds timeout);
   void expires_never();
-  /// The operation under way ends with `operation_aborted`.
+  /// Makes the pending operation fail with `operation_aborted`.
   void cancel();
   void close();
 
   template <typename MutableBuffers, typename CompletionToken>
   auto async_read_some(const MutableBuffers& buffers, CompletionToken&& token) {
     return boost::asio::async_compose<CompletionToken, void(ErrorCode, size_t)>(
-        Transfer<Direction::kRead, MutableBuffers>{state_, buffers}, token, state_->socket);
+        TransferOperation<Direction::kRead, MutableBuffers>{state_, buffers}, token, state_->socket);
   }
 
   template <typename ConstBuffers, typename CompletionToken>
   auto async_write_some(const ConstBuffers& buffers, CompletionToken&& token) {
     return boost::asio::async_compose<CompletionToken, void(ErrorCode, size_t)>(
-        Transfer<Direction::kWrite, ConstBuffers>{state_, buffers}, token, state_->socket);
+        TransferOperation<Direction::kWrite, ConstBuffers>{state_, buffers}, token, state_->socket);
   }
 
   template <typename CompletionToken>
   auto async_connect(const boost::asio::ip::tcp::endpoint& endpoint, CompletionToken&& token) {
-    return boost::asio::async_compose<CompletionToken, void(ErrorCode)>(Connect{state_, endpoint}, token,
+    return boost::asio::async_compose<CompletionToken, void(ErrorCode)>(ConnectOperation{state_, endpoint}, token,
                                                                         state_->socket);
   }
 
  private:
   enum class Direction { kRead, kWrite };
 
-  /// Outlives the stream while an operation or its timer is pending.
+  /// Shared with pending operations and timers, which may outlive the stream.
   struct State : std::enable_shared_from_this<State> {
-    explicit State(boost::asio::ip::tcp::socket given);
+    explicit State(boost::asio::ip::tcp::socket given_socket);
 
-    void begin(Direction direction);
-    /// What the operation ended with: a timeout if its deadline closed the socket.
-    ErrorCode end(ErrorCode error);
+    void begin_operation(Direction direction);
+    /// Returns the result of the operation: a timeout if its deadline closed the socket, otherwise `error`.
+    ErrorCode end_operation(ErrorCode error);
     void close();
 
     boost::asio::ip::tcp::socket socket;
     std::optional<std::chrono::steady_clock::time_point> deadline;
-    /// Set once the deadline passed while the socket was ready: until when what is there may be taken.
+    /// Set when the deadline passes while the socket is ready. The operation may still complete until this time.
     std::optional<std::chrono::steady_clock::time_point> grace_end;
 
    private:
-    void arm(Direction direction, std::chrono::steady_clock::time_point at);
-    void expire(Direction direction);
+    void start_timer(Direction direction, std::chrono::steady_clock::time_point expiry);
+    void on_timer(Direction direction);
     bool is_ready(Direction direction);
 
     boost::asio::steady_timer timer_;
-    /// Tells a timer of an earlier operation from the present one's.
-    uint64_t operation_ = 0;
+    /// Identifies the current operation, so that timers of earlier operations are ignored.
+    uint64_t operation_number_ = 0;
     bool timed_out_ = false;
   };
 
   template <Direction direction, typename Buffers>
-  struct Transfer {
+  struct TransferOperation {
     std::shared_ptr<State> state;
     Buffers buffers;
     bool started = false;
@@ -95,11 +94,11 @@
     template <typename Self>
     void operator()(Self& self, ErrorCode error = {}, size_t count = 0) {
       if (started) {
-        self.complete(state->end(error), count);
+        self.complete(state->end_operation(error), count);
         return;
       }
       started = true;
-      state->begin(direction);
+      state->begin_operation(direction);
       auto& socket = state->socket;
       if constexpr (direction == Direction::kRead) {
         socket.async_read_some(buffers, std::move(self));
@@ -109,7 +108,7 @@
     }
   };
 
-  struct Connect {
+  struct ConnectOperation {
     std::shared_ptr<State> state;
     boost::asio::ip::tcp::endpoint endpoint;
     bool started = false;
@@ -117,11 +116,11 @@
     template <typename Self>
     void operator()(Self& self, ErrorCode error = {}) {
       if (started) {
-        self.complete(state->end(error));
+        self.complete(state->end_operation(error));
         return;
       }
       started = true;
-      state->begin(Direction::kWrite);
+      state->begin_operation(Direction::kWrite);
       auto& socket = state->socket;
       const auto target = endpoint;
       socket.async_connect(target, std::move(self));
--- a/src/node/blocked_request_guard.cc
+++ b/src/node/blocked_request_guard.cc
@@ -31,7 +31,7 @@
   switch (state) {
     case net::ListenerState::kRefused:
       return fleet::ProbeResult::kRefused;
-    case net::ListenerState::kClosed:
+    case net::ListenerState::kAcceptedThenClosed:
       return fleet::ProbeResult::kClosed;
     case net::ListenerState::kListening:
       return fleet::ProbeResult::kOpen;
@@ -68,7 +68,7 @@
     timer.expires_after(kProbeWaitInterval);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
   }
-  if (!lost_responses_.is_doubtful(incarnation)) {
+  if (!lost_responses_.is_suspected(incarnation)) {
     co_return true;
   }
   co_return co_await slot_requester_.request_retry_permission(request.fingerprint);
--- a/src/node/model_request_handler.cc
+++ b/src/node/model_request_handler.cc
@@ -100,9 +100,9 @@
   context->queue_deadline = context->started + limits.queue_timeout;
   context->request_id = runtime_.settings().name + "-" + std::to_string(entry.identity().incarnation.value()) + "-" +
                         std::to_string(next_request_number_++);
-  retry_budget_.request_started(context->model_request.tenant);
+  retry_budget_.record_request(context->model_request.tenant);
   const std::weak_ptr<RequestContext> weak_context = context;
-  exchange.watch_caller([weak_context] {
+  exchange.notify_on_disconnect([weak_context] {
     if (const auto locked_context = weak_context.lock()) {
       locked_context->caller_disconnected = true;
       if (locked_context->upstream_stream != nullptr) {
@@ -155,7 +155,7 @@
 
 asio::awaitable<void> ModelRequestHandler::run_attempts(RequestContext& context) {
   auto& router = runtime_.controller().entry().router();
-  requests::RetryState retries(context.model_request.is_repeatable, runtime_.settings().requests.most_attempts,
+  requests::RetryState retries(context.model_request.is_repeatable, runtime_.settings().requests.max_attempts,
                                context.deadline);
   routing::RouteQuery query;
   query.tenant = context.model_request.tenant;
@@ -167,9 +167,9 @@
   while (!context.caller_disconnected) {
     const TimePoint now = NodeRuntime::now();
     std::erase_if(failed_until, [now](const auto& item) { return item.second <= now; });
-    query.excluded.clear();
+    query.excluded_group_ids.clear();
     for (const auto& [id, until] : failed_until) {
-      query.excluded.insert(id);
+      query.excluded_group_ids.insert(id);
     }
     const auto decision = router.route(now, query);
     if (decision.verdict == routing::RouteVerdict::kDispatch) {
@@ -181,7 +181,8 @@
       }
       log_failed_attempt(runtime_.settings().name,
                          {context.request_id, group.endpoint, last_attempt.result, last_attempt.reason});
-      if (!retries.may_retry(NodeRuntime::now(), last_attempt.result, context.model_request.tenant, retry_budget_)) {
+      if (!retries.try_start_retry(NodeRuntime::now(), last_attempt.result, context.model_request.tenant,
+                                   retry_budget_)) {
         break;
       }
       ++stats_.retries;
@@ -239,17 +240,17 @@
   // zones may have changed.
   net::OpenOptions options;
   options.timeout = limits.first_byte_timeout;
-  options.fresh_connection = true;
+  options.require_new_connection = true;
   options.may_send = [&router, &context, id = group.id, epoch = group.epoch, zone = group.zone] {
     const auto* tenant = router.table().find_tenant(context.model_request.tenant);
     return router.may_dispatch(NodeRuntime::now(), id, epoch) && tenant != nullptr && tenant->permits_zone(zone) &&
            !context.caller_disconnected;
   };
-  router.dispatched(group.id);
+  router.record_dispatch(group.id);
   auto opened = co_await runtime_.client().open(group.endpoint, request, options);
   AttemptStatus result;
   if (opened.stream == nullptr) {
-    router.finished(group.id);
+    router.record_completion(group.id);
     result.result = opened.state == net::SendState::kNotSent ? AttemptResult::kNotSent : AttemptResult::kLostAfterSend;
     result.reason = opened.error;
     co_return result;
@@ -257,7 +258,7 @@
   const auto& head = opened.stream->head();
   const bool is_same_request = head.headers.find("x-request-id") == context.request_id;
   if (head.status != 200 || !is_same_request) {
-    router.finished(group.id);
+    router.record_completion(group.id);
     const bool was_not_started = head.status != 200 && head.headers.find("x-engine-started") == "no";
     stats_.wrong_or_misordered_responses += head.status == 200 ? 1 : 0;
     result.result = was_not_started ? AttemptResult::kRefusedUnstarted : AttemptResult::kLostAfterSend;
@@ -269,7 +270,7 @@
   context.upstream_stream = opened.stream.get();
   result = co_await relay_stream(context, *opened.stream);
   context.upstream_stream = nullptr;
-  router.finished(group.id);
+  router.record_completion(group.id);
   co_return result;
 }
 
@@ -281,7 +282,7 @@
   AttemptStatus result;
   result.result = AttemptResult::kCutInStream;
   while (true) {
-    std::string piece = co_await stream.read_some(limits.between_bytes_timeout);
+    std::string piece = co_await stream.read_some(limits.inter_byte_timeout);
     std::string events = verifier.feed(piece);
     context.next_offset = verifier.next_offset();
     if (!events.empty()) {
--- a/src/node/node_runtime.cc
+++ b/src/node/node_runtime.cc
@@ -92,7 +92,7 @@
     log_event(settings_.name, "replica_identity_assigned", {{"replica", std::to_string(folder->replica_id().value())}});
   }
   const ReplicaId id = folder->replica_id();
-  controller_->start_replica(now(), id, folder->take_recovered());
+  controller_->start_replica(now(), id, folder->take_recovered_state());
   start_worker(std::move(folder));
   return true;
 }
@@ -268,8 +268,8 @@
   const auto listed = listed_machines_.find(target.machine);
   const bool location_mismatch =
       listed != listed_machines_.end() &&
-      (text_field(state, "zone") != listed->second.zone || text_field(state, "domain") != listed->second.domain);
-  if (text_field(state, "machine") != target.machine || location_mismatch) {
+      (string_field(state, "zone") != listed->second.zone || string_field(state, "domain") != listed->second.domain);
+  if (string_field(state, "machine") != target.machine || location_mismatch) {
     // Another machine answers at this address, or the machine is not where the platform lists it. It does not count as
     // seen.
     ++stats_.poll_mismatches;
@@ -306,13 +306,13 @@
         }
         const auto& member = item.as_object();
         wire::Machine machine;
-        machine.id = text_field(member, "id");
-        machine.endpoint = text_field(member, "address");
-        machine.zone = text_field(member, "zone");
-        machine.domain = text_field(member, "domain");
+        machine.id = string_field(member, "id");
+        machine.endpoint = string_field(member, "address");
+        machine.zone = string_field(member, "zone");
+        machine.domain = string_field(member, "domain");
         machine.accelerators = static_cast<int32_t>(integer_field(member, "accelerators"));
-        machine.checks_fences = !settings_.kinds_without_fences.contains(text_field(member, "kind"));
-        machine.leaving = text_field(member, "state") == "leaving";
+        machine.checks_fences = !settings_.kinds_without_fences.contains(string_field(member, "kind"));
+        machine.leaving = string_field(member, "state") == "leaving";
         if (machine.leaving) {
           leaving.insert(machine.endpoint);
         }
@@ -350,7 +350,7 @@
   // Send only while this node leads with a valid lease; engines that do not check fencing tokens depend on this.
   net::OpenOptions options;
   options.timeout = kOrderTimeout;
-  options.fresh_connection = true;
+  options.require_new_connection = true;
   options.may_send = [this, alive] { return *alive && controller_->acts_as_leader(now()); };
   auto opened = co_await client_.open(order.endpoint, request, options);
   if (!*alive) {
--- a/src/node/service_request_handler.cc
+++ b/src/node/service_request_handler.cc
@@ -76,7 +76,7 @@
   context.is_repeatable = parse_repeat_header(request).value_or(is_read_only(request.method));
   context.forwarded = without_hop_by_hop(request);
   context.options.timeout = runtime_.settings().requests.first_byte_timeout;
-  context.options.fresh_connection = !context.is_repeatable;
+  context.options.require_new_connection = !context.is_repeatable;
   context.options.may_send = [&entry] { return entry.has_configuration_lease(NodeRuntime::now()); };
   context.key_claim.tenant = "service/" + context.service.name;
   context.key_claim.key = std::string(request.headers.find("idempotency-key"));
@@ -87,7 +87,7 @@
       co_return;
     }
   }
-  retry_budget_.request_started(context.key_claim.tenant);
+  retry_budget_.record_request(context.key_claim.tenant);
   co_await run_attempts(context);
   stats_.count_outcome(context.outcome);
   if (context.has_claim) {
@@ -108,8 +108,7 @@
 
 asio::awaitable<void> ServiceRequestHandler::run_attempts(RequestContext& context) {
   const auto& limits = runtime_.settings().requests;
-  requests::RetryState retries(context.is_repeatable, limits.most_attempts,
-                               NodeRuntime::now() + limits.request_timeout);
+  requests::RetryState retries(context.is_repeatable, limits.max_attempts, NodeRuntime::now() + limits.request_timeout);
   std::set<std::string> tried;
   while (true) {
     const std::string endpoint =
@@ -124,10 +123,10 @@
       context.outcome = Outcome::kRan;
       co_return;
     }
-    runtime_.endpoints().report(NodeRuntime::now(), endpoint, false);
+    runtime_.endpoints().report_result(NodeRuntime::now(), endpoint, false);
     log_failed_attempt(runtime_.settings().name, {"", endpoint, result, context.reason});
     const bool may_retry_request =
-        retries.may_retry(NodeRuntime::now(), result, context.key_claim.tenant, retry_budget_);
+        retries.try_start_retry(NodeRuntime::now(), result, context.key_claim.tenant, retry_budget_);
     context.outcome = retries.outcome();
     if (context.response_started || !may_retry_request) {
       stats_.truncated_streams += context.response_started ? 1 : 0;
@@ -146,7 +145,7 @@
   }
   const bool is_complete = co_await relay_response(context, *opened.stream);
   if (is_complete) {
-    runtime_.endpoints().report(NodeRuntime::now(), endpoint, opened.stream->head().status < 500);
+    runtime_.endpoints().report_result(NodeRuntime::now(), endpoint, opened.stream->head().status < 500);
     context.is_finished = true;
   } else {
     context.reason = "the response was truncated";
@@ -155,7 +154,7 @@
 }
 
 asio::awaitable<bool> ServiceRequestHandler::relay_response(RequestContext& context, net::ClientStream& stream) {
-  const auto timeout = runtime_.settings().requests.between_bytes_timeout;
+  const auto timeout = runtime_.settings().requests.inter_byte_timeout;
   net::HttpResponse response = stream.head();
   response.headers.set("Larchlever-Outcome", "ran");
   const bool is_buffered = is_small(response);
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -11,32 +11,32 @@
 
 namespace larchlever::simulation {
 
-struct RunOptions {
+struct SimulationOptions {
   uint64_t seed = 1;
-  FleetOptions fleet;
+  SimulatedFleetOptions fleet;
   WorkloadOptions workload;
   FaultOptions faults;
   std::vector<wire::KeyWrite> configuration;
-  Duration faulty_time = seconds(30);
-  Duration healing_time = seconds(40);
+  Duration fault_duration = seconds(30);
+  Duration recovery_duration = seconds(40);
 };
 
-struct RunResult {
+struct SimulationResult {
   uint64_t seed = 0;
   std::vector<std::string> violations;
   WorkloadStats workload;
   std::map<std::string, uint64_t> faults;
   uint64_t checks = 0;
   uint64_t events = 0;
-  /// Equal for equal seeds: a hash over what happened.
+  /// Hash of the run's counters; equal for runs with equal options and seed.
   uint64_t digest = 0;
 };
 
-/// The small fleet on which fault runs are made: six nodes, four of them with disks, three zones, eighteen machines.
-RunOptions fault_run_options(uint64_t seed);
+/// Options of a fault run on a small fleet: six nodes, four of them with disks, three zones and eighteen machines.
+SimulationOptions fault_run_options(uint64_t seed);
 
-/// One run: templates applied, faults and load, everything healed, then liveness: a leader, a change in force, every
-/// wanted group serving.
-RunResult run_simulation(const RunOptions& options);
+/// Runs one simulation: applies the configuration, runs the workload under faults, repairs all faults, and then checks
+/// liveness: there is a leader, a change comes into force, and every demanded group that fits is serving.
+SimulationResult run_simulation(const SimulationOptions& options);
 
 }  // namespace larchlever::simulation
--- a/src/wire/gen-cpp/larchlever_types.cpp
+++ b/src/wire/gen-cpp/larchlever_types.cpp
@@ -351,11 +351,11 @@
 
 int _kSlotVerdictValues[] = {
   /**
-   * The request is to be sent to `group`.
+   * The request must be sent to `group`.
    */
   SlotVerdict::GRANTED,
   /**
-   * No slot is free yet; another answer follows within the request's patience.
+   * No slot is free yet. Another answer follows within the request's patience.
    */
   SlotVerdict::QUEUED,
   /**
@@ -363,17 +363,17 @@
    */
   SlotVerdict::BUSY,
   /**
-   * The leader cannot tell: the entry decides by what it knows itself.
+   * The leader cannot decide. The entry decides by its own data.
    */
   SlotVerdict::UNDECIDED
 };
 const char* _kSlotVerdictNames[] = {
   /**
-   * The request is to be sent to `group`.
+   * The request must be sent to `group`.
    */
   "GRANTED",
   /**
-   * No slot is free yet; another answer follows within the request's patience.
+   * No slot is free yet. Another answer follows within the request's patience.
    */
   "QUEUED",
   /**
@@ -381,7 +381,7 @@
    */
   "BUSY",
   /**
-   * The leader cannot tell: the entry decides by what it knows itself.
+   * The leader cannot decide. The entry decides by its own data.
    */
   "UNDECIDED"
 };
--- a/src/wire/gen-cpp/larchlever_types.h
+++ b/src/wire/gen-cpp/larchlever_types.h
@@ -177,11 +177,11 @@
 struct SlotVerdict {
   enum type {
     /**
-     * The request is to be sent to `group`.
+     * The request must be sent to `group`.
      */
     GRANTED = 0,
     /**
-     * No slot is free yet; another answer follows within the request's patience.
+     * No slot is free yet. Another answer follows within the request's patience.
      */
     QUEUED = 1,
     /**
@@ -189,7 +189,7 @@
      */
     BUSY = 2,
     /**
-     * The leader cannot tell: the entry decides by what it knows itself.
+     * The leader cannot decide. The entry decides by its own data.
      */
     UNDECIDED = 3
   };
@@ -387,7 +387,7 @@
 } _ReplicaAddress__isset;
 
 /**
- * One durable identity of a control replica: a node plus the identity of its data folder.
+ * One durable identity of a control replica: its node and the identity of its data folder.
  */
 class ReplicaAddress : public virtual ::apache::thrift::TBase {
  public:
@@ -701,7 +701,7 @@
   int64_t last_term;
   bool pre_vote;
   /**
-   * Set by a planned hand-over: the voter need not wait for its leader to fall silent.
+   * Set by a leadership transfer: the voter need not wait for its contact with the old leader to time out.
    */
   bool transfer;
 
@@ -776,11 +776,12 @@
   bool granted;
   bool pre_vote;
   /**
-   * The voter restarted so recently that a leader may still count on its word: its vote counts only where all vote.
+   * The voter restarted recently, and a leader may still rely on an acknowledgement from before the restart. The vote
+   * counts only if all voters grant theirs.
    */
   bool granted_if_unanimous;
   /**
-   * The voter's disk was lost: another identity runs at its address, so it holds no lease and will never vote.
+   * The voter's disk was lost. Another identity runs at its address, so it holds no lease and will never vote.
    */
   bool voter_gone;
 
@@ -858,7 +859,7 @@
   int64_t commit_index;
   std::vector<LogEntry>  entries;
   /**
-   * Leader's send time in its own clock, echoed by the reply for its lease.
+   * Send time on the leader's clock. The reply returns it, and the leader computes its lease from it.
    */
   int64_t sent_at_us;
 
@@ -940,20 +941,21 @@
   int64_t term;
   bool success;
   /**
-   * On success the last index known to match; otherwise where to continue from.
+   * On success the last index known to match; otherwise the index after which to continue.
    */
   int64_t match_index;
   int64_t sent_at_us;
   /**
-   * Last entry that the sender holds; with `boot` and `order` it shows a disk that lost acknowledged entries.
+   * Index of the last entry that the sender holds. Together with `boot` and `order` it reveals a disk that lost
+   * acknowledged entries.
    */
   int64_t last_index;
   /**
-   * Start of the sender's process; rises with every start.
+   * Boot number of the sender's process; increases with every start.
    */
   int64_t boot;
   /**
-   * Counts the sender's replies since that start: tells a late reply from a newer one.
+   * Sequence number of the reply since that start; distinguishes a late reply from a newer one.
    */
   int64_t order;
 
@@ -1123,7 +1125,8 @@
 } _IdentityRejection__isset;
 
 /**
- * The leader found that the receiver's disk lost acknowledged entries: this identity must not take part again.
+ * The leader found that the receiver's disk lost acknowledged entries. The receiver must not take part under this
+ * identity again.
  */
 class IdentityRejection : public virtual ::apache::thrift::TBase {
  public:
@@ -1284,7 +1287,7 @@
 } _Template__isset;
 
 /**
- * Shape of the groups that serve one model version.
+ * Layout of the groups that serve one model version.
  */
 class Template : public virtual ::apache::thrift::TBase {
  public:
@@ -1555,7 +1558,7 @@
   virtual ~FleetParameters() noexcept;
   std::string placement_policy;
   /**
-   * 0..100: weight of group downtime against stranded accelerators.
+   * 0..100: weight of group downtime relative to stranded accelerators.
    */
   int32_t downtime_weight;
   int32_t max_concurrent_loads;
@@ -1652,11 +1655,11 @@
   std::string domain;
   std::vector<std::string>  machines;
   /**
-   * Incarnation of each machine, in the order of `machines`, that this epoch was formed with.
+   * Incarnation of each machine, in the order of `machines`, with which this epoch was formed.
    */
   std::vector<int64_t>  incarnations;
   /**
-   * host:port of the first machine, which takes the requests.
+   * host:port of the first machine, which receives the requests.
    */
   std::string endpoint;
   int64_t changed_at_ms;
@@ -1744,7 +1747,7 @@
 } _Record__isset;
 
 /**
- * One versioned value: the unit of configuration change and of distribution to entries.
+ * One versioned value: the unit of configuration changes and of their distribution to entries.
  */
 class Record : public virtual ::apache::thrift::TBase {
  public:
@@ -1939,7 +1942,7 @@
   std::string operator_name;
   std::string command_id;
   /**
-   * Revision of every key the operator read; zero means "absent".
+   * Revision of every key that the operator read; zero means "absent".
    */
   std::vector<KeyRevision>  reads;
   std::vector<KeyWrite>  writes;
@@ -2189,11 +2192,11 @@
   int64_t group_id;
   int32_t epoch;
   /**
-   * "model@version" whose weights the machine last loaded.
+   * "model@version" of the weights that the machine loaded last.
    */
   std::string weights;
   /**
-   * The membership list or an operator says that this machine is leaving.
+   * The membership list or an operator has marked this machine as leaving.
    */
   bool leaving;
 
@@ -2273,7 +2276,7 @@
 } _MachineObservation__isset;
 
 /**
- * What was seen of a machine; registers it or moves it to a new incarnation.
+ * Observation of a machine. Registers the machine or updates its incarnation.
  */
 class MachineObservation : public virtual ::apache::thrift::TBase {
  public:
@@ -2450,7 +2453,7 @@
 } _MachineRelease__isset;
 
 /**
- * A machine confirmed that it holds nothing of (group, epoch), or its incarnation is dead.
+ * A machine confirmed that it no longer holds anything of (group, epoch), or its incarnation has ended.
  */
 class MachineRelease : public virtual ::apache::thrift::TBase {
  public:
@@ -2556,7 +2559,7 @@
   std::string answer_body;
   std::string answer_content_type;
   /**
-   * Tells one request of an entry from another, so that a repeated claim message is answered alike.
+   * Distinguishes requests of the same entry, so that a repeated claim message gets the same answer.
    */
   int64_t nonce;
 
@@ -2789,7 +2792,7 @@
 } _EntryLoss__isset;
 
 /**
- * The incarnation of an entry ended: what it had in progress has an unknown outcome.
+ * An incarnation of an entry ended. The requests that it had in progress have an unknown outcome.
  */
 class EntryLoss : public virtual ::apache::thrift::TBase {
  public:
@@ -2912,7 +2915,7 @@
 } _DocumentChange__isset;
 
 /**
- * A whole configuration document, as the operator sent it, under the version that it carries.
+ * A complete configuration document as sent by the operator, under its own version.
  */
 class DocumentChange : public virtual ::apache::thrift::TBase {
  public:
@@ -2985,7 +2988,7 @@
 } _ZoneEvacuationChange__isset;
 
 /**
- * An operator's order to empty a zone, or to take that back.
+ * An operator's request to evacuate a zone or to restore it.
  */
 class ZoneEvacuationChange : public virtual ::apache::thrift::TBase {
  public:
@@ -3040,7 +3043,7 @@
 } _ZoneEvacuations__isset;
 
 /**
- * The zones whose servers get no requests, by operators' orders.
+ * The zones that operators have evacuated. Their servers receive no requests.
  */
 class ZoneEvacuations : public virtual ::apache::thrift::TBase {
  public:
@@ -3055,7 +3058,7 @@
 
   virtual ~ZoneEvacuations() noexcept;
   /**
-   * Rises with each change of `zones`.
+   * Increases with each change of `zones`.
    */
   int64_t revision;
   /**
@@ -3103,8 +3106,8 @@
 } _FleetLogSnapshot__isset;
 
 /**
- * The replicated state of a registered fleet, as stored in snapshots. Fields 1 to 4 are those of DocumentChange, which
- * earlier versions stored alone.
+ * The replicated state of a fleet with registered instances, as stored in snapshots. Fields 1 to 4 are those of
+ * DocumentChange, which earlier versions stored alone.
  */
 class FleetLogSnapshot : public virtual ::apache::thrift::TBase {
  public:
@@ -3198,7 +3201,7 @@
 
   virtual ~Command() noexcept;
   /**
-   * Leader's wall clock, carried for expiry and audit; never decreases along the log.
+   * Leader's wall clock, used for expiry and audit. Never decreases along the log.
    */
   int64_t at_ms;
   ConfigurationChange change;
@@ -3371,7 +3374,7 @@
 } _ControlSnapshot__isset;
 
 /**
- * The whole replicated state, as stored in snapshots.
+ * The complete replicated state, as stored in snapshots.
  */
 class ControlSnapshot : public virtual ::apache::thrift::TBase {
  public:
@@ -3399,7 +3402,7 @@
   int64_t clock_ms;
   int64_t oldest_delta_revision;
   /**
-   * Chained hash of every command applied: equal on all replicas at the same index.
+   * Chained hash of every applied command; equal on all replicas at the same index.
    */
   int64_t history_digest;
 
@@ -3500,11 +3503,11 @@
   int64_t group_id;
   int32_t epoch;
   /**
-   * The machine holds the weights of (group_id, epoch).
+   * The machine has loaded the weights of (group_id, epoch).
    */
   bool loaded;
   /**
-   * Requests running or waiting in the engine; counted on the group's first machine.
+   * Requests that are running or queued in the engine; counted on the group's first machine.
    */
   int32_t load;
 
@@ -3585,7 +3588,7 @@
   int32_t running;
   int32_t waiting;
   /**
-   * Concurrency that the node still holds under an earlier grant.
+   * Concurrency that the node still uses under an earlier grant.
    */
   int32_t held;
 
@@ -3670,12 +3673,12 @@
   std::vector<TenantDemand>  demand;
   bool leaving;
   /**
-   * Identity of the data folder; zero on a diskless node.
+   * Identity of the data folder; zero on a node without a disk.
    */
   int64_t replica_id;
   std::string peer_address;
   /**
-   * Sequence of the newest reply that the node had received when it sent this; zero for none.
+   * Sequence of the newest reply received when this was sent; zero if there was none.
    */
   int64_t acknowledged_sequence;
   std::string service_address;
@@ -3770,7 +3773,7 @@
   int64_t group_id;
   int32_t epoch;
   /**
-   * Requests in the engine when it was last seen.
+   * Requests in the engine when it was last observed.
    */
   int32_t load;
 
@@ -3951,7 +3954,7 @@
   virtual ~HeartbeatReply() noexcept;
   int64_t sequence;
   /**
-   * The sender does not lead: the node to ask instead, if known.
+   * Set if the sender is not the leader. `leader` is the node to ask instead, if known.
    */
   bool not_leader;
   std::string leader;
@@ -4101,7 +4104,7 @@
 } _ClaimReply__isset;
 
 /**
- * Answer to a claim: granted, or the claim that stands in its way.
+ * Reply to a claim: granted, or the existing claim that prevents it.
  */
 class ClaimReply : public virtual ::apache::thrift::TBase {
  public:
@@ -4223,7 +4226,7 @@
 } _ResolutionReply__isset;
 
 /**
- * The resolution is committed.
+ * Confirms that the resolution is committed.
  */
 class ResolutionReply : public virtual ::apache::thrift::TBase {
  public:
@@ -4649,7 +4652,7 @@
 } _GroupMembership__isset;
 
 /**
- * The group that an instance says it belongs to.
+ * The group membership that an instance reports.
  */
 class GroupMembership : public virtual ::apache::thrift::TBase {
  public:
@@ -4734,7 +4737,7 @@
 } _Instance__isset;
 
 /**
- * One start of a back end, as it registered itself.
+ * One incarnation of a back-end process, as it registered itself.
  */
 class Instance : public virtual ::apache::thrift::TBase {
  public:
@@ -4773,33 +4776,35 @@
   InstanceState::type state;
   int32_t slots;
   /**
-   * Rises with every registration call of the instance.
+   * Increases with every registration call of the instance.
    */
   int64_t call_number;
   std::vector<std::string>  staged_models;
   GroupMembership membership;
   /**
-   * Its registrations stopped; it may be down, or only cut off from the control replicas.
+   * The instance no longer renews its registration. It may be down, or only partitioned from the control replicas.
    */
   bool silent;
   /**
-   * The model of the instance's last group since its start, whose weights it still holds; empty when it had none.
+   * The model of the instance's last group since its start, whose weights it still holds; empty if it had none.
    */
   std::string model;
   /**
-   * Unix milliseconds of the start that says this; 0 when it does not tell. A new start is a new incarnation.
+   * Unix time in milliseconds of the reported start; 0 if the instance does not report it. A new start is a new
+   * incarnation.
    */
   int64_t born_ms;
   /**
-   * For how much longer it bears few requests, in milliseconds, as it said itself.
+   * For how many more milliseconds the instance can take only few requests, as it reported.
    */
   int32_t cold_left_ms;
   /**
-   * It bears few requests now, by its own word or because it stood in an emptied zone until just now.
+   * The instance can take only few requests now: it reported so, or its zone was evacuated until recently.
    */
   bool cold;
   /**
-   * Requests a second that it takes from all entries together, by its own answers; absent while it names no limit.
+   * Requests per second that the instance accepts from all entries together, as it reported in its responses; absent
+   * while it reports no limit.
    */
   double limit_per_second;
 
@@ -4904,7 +4909,7 @@
 } _EngineGroup__isset;
 
 /**
- * A replica of a model over several instances; the first member is the head and takes the requests.
+ * A replica of a model that runs on several instances. The first member is the head and receives the requests.
  */
 class EngineGroup : public virtual ::apache::thrift::TBase {
  public:
@@ -4933,11 +4938,12 @@
    */
   GroupPhase::type phase;
   /**
-   * Births of the members that it was formed of, in their order; 0 for one that does not tell.
+   * Values of `born_ms` of the members with which the group was formed, in their order; 0 for a member that does not
+   * report it.
    */
   std::vector<int64_t>  member_born_ms;
   /**
-   * Zones of its members, each once; none when an earlier version formed it.
+   * Zones of the members, each once; empty if an earlier version formed the group.
    */
   std::vector<std::string>  zones;
 
@@ -5004,7 +5010,7 @@
 } _BlockedRequest__isset;
 
 /**
- * A request that is sent to no server, since servers ended while they ran it.
+ * A request that is no longer dispatched because servers crashed while they ran it.
  */
 class BlockedRequest : public virtual ::apache::thrift::TBase {
  public:
@@ -5023,15 +5029,15 @@
   virtual ~BlockedRequest() noexcept;
   int64_t fingerprint;
   /**
-   * Sendings granted since, to find out whether it still ends servers.
+   * Number of trial dispatches granted since then, to find out whether the request still crashes servers.
    */
   int32_t trials;
   /**
-   * The leader may grant one now.
+   * True if the leader may grant a trial now.
    */
   bool trial_due;
   /**
-   * How long the present wait lasts in all, in milliseconds.
+   * Total length of the current wait for the next trial, in milliseconds.
    */
   int64_t wait_ms;
 
@@ -5084,7 +5090,7 @@
 } _FleetState__isset;
 
 /**
- * The leader's soft state, as its subscribers copy it. Ordered by (term, version).
+ * The leader's soft state, as copied by its subscribers. Ordered by (term, version).
  */
 class FleetState : public virtual ::apache::thrift::TBase {
  public:
@@ -5105,7 +5111,7 @@
   std::vector<EngineGroup>  groups;
   std::vector<BlockedRequest>  blocked_requests;
   /**
-   * Names of groups that are dissolved while servers still report them.
+   * Names of groups that are dissolved but still reported by servers.
    */
   std::vector<std::string>  released_groups;
 
@@ -5171,7 +5177,7 @@
 } _FleetStateChange__isset;
 
 /**
- * Rows of the fleet's state that changed between two versions of one term.
+ * Changes of the fleet state between two versions of one term.
  */
 class FleetStateChange : public virtual ::apache::thrift::TBase {
  public:
@@ -5189,7 +5195,7 @@
   virtual ~FleetStateChange() noexcept;
   int64_t term;
   /**
-   * Applies to copies of this version or a later one.
+   * The change applies to copies of this version or a later one.
    */
   int64_t from_version;
   int64_t version;
@@ -5199,12 +5205,12 @@
   std::vector<std::string>  removed_groups;
   std::vector<BlockedRequest>  blocked_requests;
   /**
-   * Fingerprints.
+   * Fingerprints of the requests.
    */
   std::vector<int64_t>  removed_blocked_requests;
   std::vector<std::string>  released_groups;
   /**
-   * Those that no server reports any more.
+   * Names of released groups that no server reports any more.
    */
   std::vector<std::string>  removed_released_groups;
 
@@ -5302,15 +5308,15 @@
   std::string group;
   int32_t in_flight;
   /**
-   * Of them, streams that brought their first event.
+   * How many of these requests have received their first stream event.
    */
   int32_t streaming;
   /**
-   * Prompt tokens of the others.
+   * Prompt tokens of the other requests.
    */
   int64_t waiting_tokens;
   /**
-   * Milliseconds since the sender last saw an event or answer of the group; negative when it saw none.
+   * Milliseconds since the sender last received an event or response from the group; negative if it never did.
    */
   int32_t progress_age_ms;
 
@@ -5367,7 +5373,7 @@
 } _ModelDemand__isset;
 
 /**
- * Requests for a model that a node received since it started: totals, so that a lost report loses nothing.
+ * Requests for a model that a node received since it started. These are totals, so that a lost report loses no data.
  */
 class ModelDemand : public virtual ::apache::thrift::TBase {
  public:
@@ -5391,11 +5397,11 @@
   int64_t received;
   int64_t prompt_tokens;
   /**
-   * As far as the requests themselves foretold them.
+   * Expected answer tokens, as far as the requests indicate them.
    */
   int64_t answer_tokens;
   /**
-   * Shortest time to the first event that their routes aim at.
+   * Smallest target for the time to the first event among the routes of these requests.
    */
   int32_t target_latency_ms;
 
@@ -5451,7 +5457,7 @@
 } _GroupFailure__isset;
 
 /**
- * An entry's own evidence against a group's head: it refused connections, reset or stood still.
+ * An entry's own observation that a group's head failed: it refused or reset connections, or stalled.
  */
 class GroupFailure : public virtual ::apache::thrift::TBase {
  public:
@@ -5512,8 +5518,8 @@
 } _FleetHeartbeat__isset;
 
 /**
- * A node reports to the control replica that it subscribes to: a control replica to the leader, an entry to any control
- * replica.
+ * Heartbeat of a node to the control replica that it subscribes to. A control replica subscribes to the leader, an
+ * entry to any control replica.
  */
 class FleetHeartbeat : public virtual ::apache::thrift::TBase {
  public:
@@ -5546,7 +5552,7 @@
    */
   int64_t replica_id;
   /**
-   * Where the node serves control calls, IP:PORT; empty when it does not.
+   * Address, IP:PORT, at which the node serves control calls; empty if it serves none.
    */
   std::string control_address;
   int64_t document_version;
@@ -5555,23 +5561,23 @@
   bool leaving;
   bool serves_requests;
   /**
-   * The copy held, sent when the leader asked for it.
+   * The sender's copy of the state, sent if the leader asked for it.
    */
   FleetState held_state;
   /**
-   * The entry chooses targets by itself at present: the answer is to carry the loads of all entries.
+   * The entry currently chooses targets itself, so the reply must contain the loads of all entries.
    */
   bool wants_loads;
   /**
-   * Of a control replica: entries that subscribe to it and serve requests.
+   * On control replicas: number of subscribed entries that serve requests.
    */
   int32_t serving_entries;
   /**
-   * Of a control replica: the version of `held_term` that all those entries hold at least.
+   * On control replicas: the lowest version of `held_term` that these entries hold.
    */
   int64_t entries_hold_version;
   /**
-   * Revision of the evacuations held.
+   * Revision of the evacuations that the sender holds.
    */
   int64_t evacuation_revision;
 
@@ -5673,7 +5679,7 @@
 } _SlotRequest__isset;
 
 /**
- * An entry asks the leader for a slot of a group for one request.
+ * Request of an entry to the leader for a slot in a group for one request.
  */
 class SlotRequest : public virtual ::apache::thrift::TBase {
  public:
@@ -5697,22 +5703,22 @@
 
   virtual ~SlotRequest() noexcept;
   /**
-   * Unique in the entry's life.
+   * Unique among the slot requests of one entry incarnation.
    */
   int64_t id;
   std::string service_name;
   std::string model;
   int32_t prompt_tokens;
   /**
-   * Milliseconds from now until the group must have brought the first event; zero when the route aims at none.
+   * Milliseconds from now until the group must deliver the first event; zero if the route has no such target.
    */
   int32_t first_event_ms;
   /**
-   * Longest pause between events that the route aims at, in milliseconds; zero for none.
+   * The route's target for the longest pause between events, in milliseconds; zero for none.
    */
   int32_t gap_ms;
   /**
-   * 0 is the most urgent.
+   * 0 is the highest priority.
    */
   int32_t priority;
   /**
@@ -5720,24 +5726,26 @@
    */
   int32_t patience_ms;
   /**
-   * Groups that the entry knows or believes to fail.
+   * Groups that the entry observed to fail or suspects.
    */
   std::vector<std::string>  excluded_groups;
   /**
-   * Set when the entry asks for no slot, but whether it may send this blocked request once.
+   * If set, the entry requests no slot but permission for one trial dispatch of the blocked request with this
+   * fingerprint.
    */
   int64_t trial_of;
   /**
-   * Set when the entry asks for no slot, but whether it may send this request again, whose answer was lost.
+   * If set, the entry requests no slot but permission to resend the request with this fingerprint, whose response was
+   * lost.
    */
   int64_t repeat_of;
   /**
-   * Zones of the request's home regions, sorted, where it may run; absent when it may run anywhere.
+   * Zones of the request's home regions in which it may run, sorted; absent if it may run anywhere.
    */
   std::vector<std::string>  allowed_zones;
   /**
-   * Incarnations of plain servers that take only so many requests a second, the preferred one first: the entry asks
-   * for one of them, not for a group. Absent where it asks for a group.
+   * Incarnations of plain servers with a rate limit, in order of preference. The entry requests one of them instead of
+   * a group. Absent if it requests a group.
    */
   std::vector<std::string>  rated_servers;
 
@@ -5853,11 +5861,11 @@
 
   virtual ~SlotGrant() noexcept;
   /**
-   * Id of the request.
+   * The id of the SlotRequest.
    */
   int64_t id;
   /**
-   * Rises with each slot granted to the entry in the leader's term.
+   * Increases with each slot granted to the entry in the leader's term.
    */
   int64_t sequence;
   /**
@@ -5871,11 +5879,11 @@
    */
   int32_t expected_ms;
   /**
-   * The one of `rated_servers` that the request is to be sent to.
+   * The server of `rated_servers` to which the request must be sent.
    */
   std::string server;
   /**
-   * With BUSY: milliseconds after which the servers' limits leave room for the request.
+   * With BUSY: milliseconds after which the rate limits of the servers admit the request.
    */
   int32_t retry_after_ms;
 
@@ -5942,7 +5950,7 @@
 } _RequestServerEnd__isset;
 
 /**
- * A server ended while it ran a request of the sender.
+ * A server crashed or ended while it ran a request of the sender.
  */
 class RequestServerEnd : public virtual ::apache::thrift::TBase {
  public:
@@ -5961,15 +5969,15 @@
   virtual ~RequestServerEnd() noexcept;
   int64_t fingerprint;
   /**
-   * Its incarnation: the id, and its birth where it tells one.
+   * Incarnation of the server: its id, and its `born_ms` if it reports one.
    */
   std::string instance_id;
   /**
-   * Milliseconds since the sender noticed it.
+   * Milliseconds since the sender noticed the end.
    */
   int64_t age_ms;
   /**
-   * Nothing answers there; the server's own later report shows the contrary.
+   * Set if no process answers at the server's address. A later report of the server itself disproves the end.
    */
   bool is_likely;
 
@@ -6021,7 +6029,8 @@
 } _ServerLimitReport__isset;
 
 /**
- * What a server said in an answer to the sender of the requests a second that it takes from all entries together.
+ * The limit that a server named in a response to the sender: requests per second that it accepts from all entries
+ * together.
  */
 class ServerLimitReport : public virtual ::apache::thrift::TBase {
  public:
@@ -6039,11 +6048,11 @@
   virtual ~ServerLimitReport() noexcept;
   std::string incarnation;
   /**
-   * Absent when it names a limit no more.
+   * Absent if the server no longer names a limit.
    */
   double per_second;
   /**
-   * Milliseconds since the sender observed it.
+   * Milliseconds since the sender observed the limit.
    */
   int64_t age_ms;
 
@@ -6100,7 +6109,7 @@
 } _SlotReport__isset;
 
 /**
- * An entry's questions, and its load where it changed since it last told; sent to the leader.
+ * An entry's slot requests, and its loads that changed since its last report. Sent to the leader.
  */
 class SlotReport : public virtual ::apache::thrift::TBase {
  public:
@@ -6120,32 +6129,33 @@
   std::vector<SlotRequest>  requests;
   std::vector<GroupLoad>  loads;
   /**
-   * The last slot received, by the term and sequence it came under: `loads` count it.
+   * Term and sequence of the last slot grant received. `loads` include the requests of all grants up to it.
    */
   int64_t grants_term;
   int64_t grants_seen;
   /**
-   * `loads` name every group where the entry has something under way; at the others it has nothing.
+   * `loads` list every group at which the entry has requests in flight; it has none at other groups.
    */
   bool is_complete;
   /**
-   * Totals since the entry started; in complete reports.
+   * Totals since the entry started; only in complete reports.
    */
   std::vector<ModelDemand>  demand;
   /**
-   * Groups that the entry avoids; in complete reports, and at once when one is added.
+   * Groups that the entry avoids. Contained in complete reports, and sent immediately when a group is added.
    */
   std::vector<GroupFailure>  failures;
   /**
-   * The entry has seen at least one caller's request since it started.
+   * The entry has received at least one caller's request since it started.
    */
   bool traffic_seen;
   /**
-   * Groups whose streams at this entry pause for longer than they should at present.
+   * Groups whose streams at this entry currently pause for longer than expected.
    */
   std::vector<std::string>  quiet_groups;
   /**
-   * Servers that ended under the entry's requests since its last report; the newest again for a new leader.
+   * Servers that ended during the entry's requests since its last report. The most recent ones are repeated to a new
+   * leader.
    */
   std::vector<RequestServerEnd>  server_ends;
   /**
@@ -6153,7 +6163,7 @@
    */
   std::vector<int64_t>  answered_requests;
   /**
-   * Limits of servers that changed since the entry's last report; all that it knows in complete reports.
+   * Server limits that changed since the entry's last report; all known ones in complete reports.
    */
   std::vector<ServerLimitReport>  server_limits;
 
@@ -6249,7 +6259,7 @@
   int64_t term;
   std::vector<SlotGrant>  grants;
   /**
-   * Groups that stand still by the word of several entries: what is under way there is to be sent elsewhere.
+   * Groups that have stalled according to several entries. Their in-flight requests must be sent elsewhere.
    */
   std::vector<std::string>  failed_groups;
 
@@ -6294,7 +6304,7 @@
 } _ControlPeer__isset;
 
 /**
- * A control replica, as nodes learn of it.
+ * A control replica, as other nodes learn of it.
  */
 class ControlPeer : public virtual ::apache::thrift::TBase {
  public:
@@ -6311,7 +6321,7 @@
   virtual ~ControlPeer() noexcept;
   std::string address;
   /**
-   * Empty while it is not known.
+   * Empty while the zone is unknown.
    */
   std::string zone;
 
@@ -6366,8 +6376,8 @@
 } _FleetUpdate__isset;
 
 /**
- * Answer to a heartbeat (sequence set), or a push of news (sequence zero). Control replicas get it from the leader;
- * entries from the control replica that they subscribe to, which passes on what it holds itself.
+ * Reply to a heartbeat (sequence set) or an unsolicited update (sequence zero). Control replicas receive it from the
+ * leader; entries receive it from the control replica that they subscribe to, which forwards its own copy.
  */
 class FleetUpdate : public virtual ::apache::thrift::TBase {
  public:
@@ -6393,50 +6403,50 @@
   int64_t sequence;
   bool not_leader;
   /**
-   * Peer address of the leader, as far as the sender knows.
+   * Peer address of the leader, if known to the sender.
    */
   std::string leader;
   int64_t term;
   int64_t document_version;
   FleetState state;
   /**
-   * Requests in flight per group at all entries, for who asked for it.
+   * In-flight requests per group at all entries, for nodes that asked for them.
    */
   std::vector<GroupLoad>  loads;
   /**
-   * Entries that serve requests now; budgets that all share are split by it.
+   * Number of entries that currently serve requests. Budgets shared by all entries are divided by it.
    */
   int32_t serving_nodes;
   /**
-   * The leader lacks its predecessor's state and asks for the copy held.
+   * The leader does not have its predecessor's state and asks for the receiver's copy.
    */
   bool wants_state;
   /**
-   * Sent instead of the state to who holds an earlier version of the same term.
+   * Sent instead of the state if the receiver holds an earlier version of the same term.
    */
   FleetStateChange state_change;
   /**
-   * A call waits until all nodes hold this version: confirm at once rather than with the next heartbeat.
+   * A call waits until all nodes hold this version: confirm immediately instead of with the next heartbeat.
    */
   bool wants_confirmation;
   /**
-   * Milliseconds since a leader knew `document_version` to be the newest; negative when none ever confirmed it.
+   * Milliseconds since a leader last confirmed that `document_version` is the newest; negative if none ever did.
    */
   int64_t confirmed_age_ms;
   /**
-   * All control replicas known.
+   * All known control replicas.
    */
   std::vector<ControlPeer>  control_peers;
   /**
-   * Sent to who holds an earlier version.
+   * Sent if the receiver holds an earlier version.
    */
   DocumentChange document;
   /**
-   * Revision of the evacuations that was the newest when `document_version` was.
+   * Revision of the evacuations that was the newest when `document_version` was confirmed.
    */
   int64_t evacuation_revision;
   /**
-   * Sent to who holds an earlier revision.
+   * Sent if the receiver holds an earlier revision.
    */
   ZoneEvacuations evacuations;
 
@@ -6571,7 +6581,7 @@
   std::string instance_id;
   std::string body;
   /**
-   * Of an order to evacuate or restore.
+   * Zone of a call to evacuate or restore.
    */
   std::string zone;
 
@@ -6683,7 +6693,7 @@
 } _RegistrationReport__isset;
 
 /**
- * A heartbeat of an instance, as a control replica took it.
+ * A heartbeat of an instance, as received by a control replica.
  */
 class RegistrationReport : public virtual ::apache::thrift::TBase {
  public:
@@ -6699,7 +6709,7 @@
   virtual ~RegistrationReport() noexcept;
   Instance instance;
   /**
-   * Term of the newest leader that the replica knew of when it took the heartbeat; 0 for none.
+   * Term of the newest leader known to the replica when it received the heartbeat; 0 if it knew none.
    */
   int64_t known_term;
 
@@ -6739,7 +6749,7 @@
 } _RegistrationBatch__isset;
 
 /**
- * Heartbeats of instances that a control replica took, for the leader.
+ * Heartbeats of instances received by a control replica, for the leader.
  */
 class RegistrationBatch : public virtual ::apache::thrift::TBase {
  public:
@@ -6787,7 +6797,7 @@
 } _FormationNotice__isset;
 
 /**
- * What a seed of a new fleet says to the others until one of them has made the first log.
+ * Message of a seed of a new fleet to the other seeds until one of them has created the first log.
  */
 class FormationNotice : public virtual ::apache::thrift::TBase {
  public:
@@ -6803,11 +6813,12 @@
 
   virtual ~FormationNotice() noexcept;
   /**
-   * Peer address of the seed that the sender lets make the first log, as its disk holds it; empty while it has not chosen.
+   * Peer address of the seed that the sender has chosen to create the first log, as persisted on its disk; empty while
+   * it has not chosen.
    */
   std::string choice;
   /**
-   * The sender holds a log: the fleet exists.
+   * The sender has a log, so the fleet already exists.
    */
   bool holds_log;
 
--- a/tests/integration/stream_callers.h
+++ b/tests/integration/stream_callers.h
@@ -12,54 +12,54 @@
 
 namespace larchlever::integration {
 
-/// Callers that ask for streams through entries drawn by seed until they are told to stop, and check each answer.
+/// Callers that send streaming requests through randomly chosen entries until `stop`, and check each response.
 class StreamCallers {
  public:
-  /// Counts at a moment.
-  struct Mark {
+  /// Numbers of requests sent and served up to a point in time.
+  struct RequestCounts {
     std::chrono::steady_clock::time_point at;
-    uint64_t sent = 0;
-    uint64_t served = 0;
+    uint64_t sent_count = 0;
+    uint64_t served_count = 0;
   };
 
-  /// Every whole answer has `events` events.
+  /// Every complete response has `events` events.
   StreamCallers(const FleetNodeProcesses& fleet, int events, uint64_t seed);
   ~StreamCallers() { stop(); }
   StreamCallers(const StreamCallers&) = delete;
   StreamCallers& operator=(const StreamCallers&) = delete;
 
   void stop();
-  uint64_t served() const { return served_; }
-  uint64_t sent() const { return sent_; }
-  /// Whole answers whose events were not those of the model, one line each.
-  std::vector<std::string> faults();
-  /// What was sent and served up to now.
-  Mark mark() const { return {std::chrono::steady_clock::now(), sent_, served_}; }
-  /// Nearly all that was sent since `mark` is to have been served.
-  void expect_served_since(const Mark& mark);
+  uint64_t served_count() const { return served_count_; }
+  uint64_t sent_count() const { return sent_count_; }
+  /// One line for each complete response whose events were wrong.
+  std::vector<std::string> wrong_responses();
+  /// Numbers of requests sent and served so far.
+  RequestCounts request_counts() const { return {std::chrono::steady_clock::now(), sent_count_, served_count_}; }
+  /// Expects that nearly all requests sent since `baseline` were served.
+  void expect_served_since(const RequestCounts& baseline);
 
  private:
-  struct Unserved {
+  struct UnservedRequest {
     std::chrono::steady_clock::time_point at;
-    std::string story;
+    std::string description;
   };
 
-  void call(uint64_t seed, int number);
-  std::string whole_stream() const;
-  /// What callers were told instead of an answer since `begin`, one line each.
+  void call_until_stopped(uint64_t seed, int number);
+  std::string expected_body() const;
+  /// One line for each request since `begin` that was not served, with its result.
   std::string unserved_since(std::chrono::steady_clock::time_point begin);
-  void note_fault(std::string fault);
-  void note_unserved(std::string story);
+  void record_wrong_response(std::string description);
+  void record_unserved_request(std::string description);
 
   const FleetNodeProcesses& fleet_;
   const std::vector<std::string> entries_;
   const int events_;
   std::atomic<bool> stopped_ = false;
-  std::atomic<uint64_t> served_ = 0;
-  std::atomic<uint64_t> sent_ = 0;
+  std::atomic<uint64_t> served_count_ = 0;
+  std::atomic<uint64_t> sent_count_ = 0;
   std::mutex mutex_;
-  std::vector<std::string> faults_;
-  std::vector<Unserved> unserved_;
+  std::vector<std::string> wrong_responses_;
+  std::vector<UnservedRequest> unserved_;
   std::vector<std::thread> threads_;
 };
 
