--- a/src/core/placement/group_lifecycle.cc
+++ b/src/core/placement/group_lifecycle.cc
@@ -30,6 +30,7 @@
 struct AllReleased {};
 
 // Boost.MSM requires these names.
+// NOLINTBEGIN(readability-identifier-naming)
 struct LifecycleDefinition : front::state_machine_def<LifecycleDefinition> {
   using initial_state = Planned;
   struct transition_table
